--- a/packages/admission/src/shortRoom.ts
+++ b/packages/admission/src/bypassBudget.ts
@@ -14,7 +14,7 @@
 const USUAL_WEIGHT = 0.05;
 
 /** A request that starts, or would pass. */
-export interface Work {
+export interface ShortRequest {
   readonly tier: Tier;
   /** Expected time in a place. */
   readonly hold: Milliseconds;
@@ -29,13 +29,13 @@
  * the higher tiers next to nothing. Whoever is more urgent still goes first in all
  * else: only what its own starts have earned is given away.
  */
-export class ShortRoom {
+export class BypassBudget {
   /** Usual time in a place of the requests of each tier that started. */
   readonly #usual = new Map<Tier, Milliseconds>();
   #room: Milliseconds = 0;
 
   /** A request started in its turn, or passed more urgent ones. */
-  noteStart({ tier, hold }: Work, isPassing: boolean): void {
+  recordStart({ tier, hold }: ShortRequest, isPassing: boolean): void {
     const usual = this.#usual.get(tier) ?? hold;
     this.#usual.set(tier, usual + USUAL_WEIGHT * (hold - usual));
     const room = this.#room + (isPassing ? -hold : ROOM_SHARE * hold);
@@ -43,14 +43,16 @@
   }
 
   /** Those of the given requests, in their order, that may pass more urgent ones now. */
-  passing<Item extends Work>(items: readonly Item[]): Item[] {
-    const turn = this.takeTurn();
-    return items.filter((item) => turn.mayPass(item.tier) && turn.take(item));
+  selectBypassing<Item extends ShortRequest>(items: readonly Item[]): Item[] {
+    const turn = this.startSelection();
+    return items.filter((item) =>
+      turn.isTierAllowed(item.tier) && turn.take(item)
+    );
   }
 
   /** One look at what may pass: what is taken in it leaves less room for the rest. */
-  takeTurn(): PassingTurn {
-    return new PassingTurn(this.#room, (tier) => this.#leastAbove(tier));
+  startSelection(): BypassSelection {
+    return new BypassSelection(this.#room, (tier) => this.#leastAbove(tier));
   }
 
   /** Least usual time in a place among the more urgent tiers; 0 where there is none. */
@@ -63,8 +65,8 @@
   }
 }
 
-/** See {@link ShortRoom.takeTurn}. */
-export class PassingTurn {
+/** See {@link BypassBudget.startSelection}. */
+export class BypassSelection {
   #room: Milliseconds;
   readonly #leastAbove: (tier: Tier) => Milliseconds;
 
@@ -74,12 +76,12 @@
   }
 
   /** Whether work of a tier can pass at all now. */
-  mayPass(tier: Tier): boolean {
+  isTierAllowed(tier: Tier): boolean {
     return this.#room > 0 && this.#leastAbove(tier) > 0;
   }
 
   /** Whether this work passes; it takes its room then. */
-  take({ tier, hold }: Work): boolean {
+  take({ tier, hold }: ShortRequest): boolean {
     if (hold > this.#room) return false;
     if (PASSING_RATIO * hold > this.#leastAbove(tier)) return false;
     this.#room -= hold;
--- a/packages/admission/src/patience.ts
+++ b/packages/admission/src/callerTimeouts.ts
@@ -30,7 +30,7 @@
 }
 
 /** How long a caller bears it that nothing comes; plain answers are waited for to the end. */
-export function callerGap(
+export function callerIdleTimeout(
   { isStreaming, target, pauseTarget }: Route,
 ): Milliseconds {
   if (!isStreaming) return Infinity;
@@ -42,21 +42,21 @@
 }
 
 /** How long after its arrival a request's caller bears it that nothing comes. */
-export function callerPatience(
+export function firstByteTimeout(
   route: Route,
   timeLeft: Milliseconds,
 ): Milliseconds {
-  return Math.min(callerGap(route), timeLeft);
+  return Math.min(callerIdleTimeout(route), timeLeft);
 }
 
 /** Works out until when a start serves the caller; times are on one clock. */
-export function startBounds(
-  { arrivedAt, target, patience, latency }: {
+export function computeStartBounds(
+  { arrivedAt, target, firstByteTimeout: timeout, latency }: {
     arrivedAt: Milliseconds;
     /** Time from arrival until the first event or the whole answer is due. */
     target: Milliseconds;
-    /** See {@link callerPatience}. */
-    patience: Milliseconds;
+    /** See {@link firstByteTimeout}. */
+    firstByteTimeout: Milliseconds;
     /** Usual time from the start to the first event or whole answer. */
     latency: Milliseconds;
   },
@@ -64,7 +64,7 @@
   return {
     onTimeUntil: arrivedAt + target - latency,
     usefulUntil: arrivedAt +
-      Math.max(TRYING_SHARE * patience, USEFUL_SHARE * patience - latency),
+      Math.max(TRYING_SHARE * timeout, USEFUL_SHARE * timeout - latency),
   };
 }
 
@@ -72,7 +72,7 @@
  * When a refused caller should come back: after what is ahead has started, no
  * later than it will wait, and not together with the others.
  */
-export function returnAfter(
+export function computeRetryDelay(
   { wait: expected, timeLeft }: {
     /** Time until what is ahead has started. */
     wait: Milliseconds;
--- a/packages/admission/src/cellKeeper.ts
+++ b/packages/admission/src/cellCoordinator.ts
@@ -6,25 +6,28 @@
   RequestId,
   UpstreamId,
 } from "@wasabivane/common";
-import { CellMembers } from "./cellMembers.ts";
+import { CellUpstreams } from "./cellUpstreams.ts";
 import type { Cell } from "./cells.ts";
 import type {
+  CellDecision,
+  CellReply,
   CellSnapshot,
-  PlaceAnswer,
-  PlaceAsk,
-  PlaceDecision,
-  PlaceVerdict,
+  CellUpdate,
+  NumberedDecision,
 } from "./cellMessages.ts";
 import type { UpstreamLoad } from "./fleetLoad.ts";
 import {
-  PlaceScheduler,
+  type PlacementDecision,
+  RequestScheduler,
   type UpstreamSource,
-  type Verdict,
-} from "./placeScheduler.ts";
-import { candidateOf, type PlaceWish } from "./placeWish.ts";
-import { KeeperStartLimit } from "./startLimit.ts";
+} from "./requestScheduler.ts";
+import {
+  createPendingRequest,
+  type PlacementRequest,
+} from "./placementRequest.ts";
+import { CoordinatorStartLimit } from "./startLimit.ts";
 import type { Upstream } from "./types.ts";
-import type { UpstreamKnowledge } from "./upstreamKnowledge.ts";
+import type { UpstreamStats } from "./upstreamStats.ts";
 
 /**
  * Asks that come within this time are decided together. A burst costs one look at the
@@ -49,19 +52,19 @@
 /** A keeper that nobody asks for so long has been replaced. */
 const IDLE_MS: Milliseconds = 3_000;
 
-/** What a {@link CellKeeper} is built from. */
-export interface CellKeeperOptions {
+/** What a {@link CellCoordinator} is built from. */
+export interface CellCoordinatorOptions {
   readonly host: HostId;
   readonly incarnation: Incarnation;
   readonly cell: Cell;
   readonly upstreams: UpstreamSource;
-  readonly knowledge: UpstreamKnowledge;
+  readonly stats: UpstreamStats;
   readonly random: Random;
   /** Starts in one second that a cold upstream bears; `undefined` where it bears any. */
   readonly coldStartsOf: (upstream: Upstream) => number | undefined;
   /** Hosts that live as far as is known, this one included. */
   readonly hostCount: () => number;
-  readonly send: (to: HostId, answer: PlaceAnswer) => void;
+  readonly send: (to: HostId, answer: CellReply) => void;
   /** Calls back once after a while. */
   readonly after: (span: Milliseconds, callback: () => void) => void;
   readonly now: () => Milliseconds;
@@ -89,7 +92,7 @@
   repeatSpan: Milliseconds;
 }
 
-interface UnseenVerdict extends PlaceVerdict {
+interface UnseenVerdict extends NumberedDecision {
   readonly until: Milliseconds;
   readonly promptTokens: number;
 }
@@ -109,23 +112,23 @@
  * Two keepers of one cell, while hosts disagree on who lives, fill it twice at most:
  * engines reject what they cannot take, and the request is asked for again.
  */
-export class CellKeeper {
-  readonly #options: CellKeeperOptions;
-  readonly #scheduler: PlaceScheduler;
+export class CellCoordinator {
+  readonly #options: CellCoordinatorOptions;
+  readonly #scheduler: RequestScheduler;
   readonly #askers = new Map<HostId, Asker>();
   #askedAt: Milliseconds;
   #turnAt: Milliseconds = -Infinity;
   #isTurnPlanned = false;
 
-  constructor(options: CellKeeperOptions, now: Milliseconds) {
-    const { cell, upstreams, knowledge, random, coldStartsOf } = options;
+  constructor(options: CellCoordinatorOptions, now: Milliseconds) {
+    const { cell, upstreams, stats: knowledge, random, coldStartsOf } = options;
     this.#options = options;
     this.#askedAt = now;
-    this.#scheduler = new PlaceScheduler({
-      upstreams: new CellMembers(cell, upstreams),
-      knowledge,
+    this.#scheduler = new RequestScheduler({
+      upstreams: new CellUpstreams(cell, upstreams),
+      stats: knowledge,
       random,
-      starts: new KeeperStartLimit({
+      starts: new CoordinatorStartLimit({
         coldStartsOf,
         warmth: knowledge.warmth,
         isCutOff: (now) => this.#isCutOff(now),
@@ -138,7 +141,7 @@
   }
 
   /** Whether requests wait here. */
-  get isWaiting(): boolean {
+  get hasWaiting(): boolean {
     return this.#scheduler.waitingTotal > 0;
   }
 
@@ -154,32 +157,32 @@
   }
 
   /** Takes in an ask; answers go to every host about which something was decided. */
-  hear(ask: PlaceAsk, now: Milliseconds): void {
+  receive(ask: CellUpdate, now: Milliseconds): void {
     this.#askedAt = now;
     const asker = this.#askerOf(ask, now);
     if (ask.sequence <= asker.sequence) return;
     asker.sequence = ask.sequence;
     // Before the host's work is counted anew: the upstream had what has ended since.
     for (const [upstream, requests] of ask.reports) {
-      this.#scheduler.load.report(upstream, requests, now);
+      this.#scheduler.load.recordReport(upstream, requests, now);
     }
     asker.heardAt = now;
     asker.inFlight = ask.inFlight;
     asker.unseen = asker.unseen.filter(({ number }) =>
-      number > ask.verdictsSeen
+      number > ask.decisionsSeen
     );
-    this.#scheduler.noteTurnaround(ask.answerTime);
+    this.#scheduler.recordTurnaround(ask.replyTime);
     this.#learn(asker, ask, now);
     this.#count(ask.host, asker, now);
     this.#takeWishes(asker, ask, now);
-    if (ask.wantsAnswer) asker.hasNews = true;
+    if (ask.wantsReply) asker.hasNews = true;
     this.#planTurn(now);
   }
 
   /** Looks at the line again: time went by, or upstreams have changed. */
   review(now: Milliseconds): void {
     for (const [host, asker] of this.#askers) this.#age(host, asker, now);
-    this.#scheduler.load.expire(now);
+    this.#scheduler.load.expirePeers(now);
     this.#scheduler.review(now);
     this.#answer(now);
   }
@@ -207,11 +210,11 @@
 
   #takeTurn(now: Milliseconds): void {
     this.#turnAt = now;
-    this.#scheduler.fill(this.cell.service, now);
+    this.#scheduler.fillSlots(this.cell.service, now);
     this.#answer(now);
   }
 
-  #askerOf({ host, incarnation }: PlaceAsk, now: Milliseconds): Asker {
+  #askerOf({ host, incarnation }: CellUpdate, now: Milliseconds): Asker {
     const known = this.#askers.get(host);
     if (known?.incarnation === incarnation) return known;
     if (known !== undefined) this.#withdrawAll(known);
@@ -233,19 +236,19 @@
     return asker;
   }
 
-  #learn(asker: Asker, ask: PlaceAsk, now: Milliseconds): void {
-    const { knowledge, host } = this.#options;
-    const { observations, observationsFrom } = ask;
+  #learn(asker: Asker, ask: CellUpdate, now: Milliseconds): void {
+    const { stats: knowledge, host } = this.#options;
+    const { observations, firstObservation: observationsFrom } = ask;
     for (const [index, observation] of observations.entries()) {
       if (observationsFrom + index <= asker.observationsSeen) continue;
       if (observation.outcome === "whole") {
-        this.#scheduler.noteResidence(
+        this.#scheduler.recordResidence(
           observation.service,
           observation.residence,
         );
       }
       // What this host did itself it has learned already.
-      if (ask.host !== host) knowledge.learn(observation, now);
+      if (ask.host !== host) knowledge.record(observation, now);
     }
     const last = observationsFrom + observations.length - 1;
     asker.observationsSeen = Math.max(asker.observationsSeen, last);
@@ -256,30 +259,31 @@
     const inFlight = new Map(asker.inFlight);
     for (const { decision, promptTokens } of asker.unseen) {
       if (decision.kind !== "place") continue;
-      const { requests, unreadTokens } = inFlight.get(decision.upstream) ??
-        { requests: 0, unreadTokens: 0 };
+      const { requests, pendingPrefillTokens: unreadTokens } =
+        inFlight.get(decision.upstream) ??
+          { requests: 0, pendingPrefillTokens: 0 };
       inFlight.set(decision.upstream, {
         requests: requests + 1,
-        unreadTokens: unreadTokens + promptTokens,
+        pendingPrefillTokens: unreadTokens + promptTokens,
       });
     }
-    this.#scheduler.load.hear(host, { inFlight }, now);
+    this.#scheduler.load.setPeerLoad(host, { inFlight }, now);
   }
 
-  #takeWishes(asker: Asker, ask: PlaceAsk, now: Milliseconds): void {
+  #takeWishes(asker: Asker, ask: CellUpdate, now: Milliseconds): void {
     for (const request of ask.withdrawn) this.#withdraw(asker, request);
     const decided = new Set(asker.unseen.map(({ request }) => request));
     if (ask.waiting !== undefined) {
-      this.#compare(asker, ask.waiting, { wishes: ask.wishes, decided });
+      this.#compare(asker, ask.waiting, { wishes: ask.requests, decided });
     }
-    for (const wish of ask.wishes) {
+    for (const wish of ask.requests) {
       if (asker.waiting.has(wish.request) || decided.has(wish.request)) {
         continue;
       }
       asker.waiting.add(wish.request);
-      const candidate = candidateOf(
+      const candidate = createPendingRequest(
         wish,
-        this.#options.knowledge,
+        this.#options.stats,
         (verdict) => this.#decide(ask.host, { asker, wish, verdict, now }),
       );
       this.#scheduler.enqueue(candidate, now);
@@ -291,7 +295,7 @@
     asker: Asker,
     told: readonly RequestId[],
     { wishes, decided }: {
-      wishes: readonly PlaceWish[];
+      wishes: readonly PlacementRequest[];
       decided: ReadonlySet<RequestId>;
     },
   ): void {
@@ -310,8 +314,8 @@
     host: HostId,
     { asker, wish, verdict, now }: {
       asker: Asker;
-      wish: PlaceWish;
-      verdict: Verdict;
+      wish: PlacementRequest;
+      verdict: PlacementDecision;
       now: Milliseconds;
     },
   ): void {
@@ -366,25 +370,31 @@
   #answerTo(
     asker: Asker,
     snapshots: readonly CellSnapshot[],
-  ): PlaceAnswer {
+  ): CellReply {
     const { host, incarnation, cell, isLeaving } = this.#options;
     return {
       host,
       incarnation,
       cell,
-      to: asker.incarnation,
+      toIncarnation: asker.incarnation,
       sequence: asker.sequence,
       observationsSeen: asker.observationsSeen,
-      verdicts: asker.unseen,
-      unknown: asker.unknown.splice(0),
+      decisions: asker.unseen,
+      unknownRequests: asker.unknown.splice(0),
       snapshots,
       isLeaving: isLeaving(),
     };
   }
 }
 
-function decisionOf(verdict: Verdict): PlaceDecision {
+function decisionOf(verdict: PlacementDecision): CellDecision {
   if (verdict.kind === "refuse") return verdict;
-  const { kind, upstream, inFlight, unreadTokens } = verdict;
-  return { kind, upstream: upstream.upstream, inFlight, unreadTokens };
+  const { kind, upstream, inFlight, pendingPrefillTokens: unreadTokens } =
+    verdict;
+  return {
+    kind,
+    upstream: upstream.upstream,
+    inFlight,
+    pendingPrefillTokens: unreadTokens,
+  };
 }
--- a/packages/admission/src/cellMap.ts
+++ b/packages/admission/src/cellMap.ts
@@ -3,9 +3,9 @@
   type Cell,
   type CellKey,
   cellKeyOf,
-  dealCells,
   isInCell,
-  placesOf,
+  partitionIntoCells,
+  totalSlots,
 } from "./cells.ts";
 import { HASH_WEIGHTS, hashWeight } from "./hashWeight.ts";
 import type { Upstream } from "./types.ts";
@@ -26,22 +26,22 @@
   }
 
   /** The cells of a service. */
-  ofService(service: ServiceId): readonly Cell[] {
+  cellsOf(service: ServiceId): readonly Cell[] {
     this.#forgetOld();
     let cells = this.#cells.get(service);
     if (cells === undefined) {
-      cells = dealCells(service, this.#directory.of(service));
+      cells = partitionIntoCells(service, this.#directory.of(service));
       this.#cells.set(service, cells);
     }
     return cells;
   }
 
   /** The cell of an upstream; `undefined` for one of a failure domain without a cell. */
-  of(upstream: Upstream): Cell | undefined {
+  cellOf(upstream: Upstream): Cell | undefined {
     const { upstream: id, service } = upstream;
     this.#forgetOld();
     if (this.#cellOf.has(id)) return this.#cellOf.get(id);
-    const found = this.ofService(service).find((cell) =>
+    const found = this.cellsOf(service).find((cell) =>
       isInCell(cell, upstream)
     );
     this.#cellOf.set(id, found);
@@ -49,7 +49,7 @@
   }
 
   /** Whether a cell holds an upstream, also one that has left the directory since. */
-  holds(cell: Cell, id: UpstreamId): boolean {
+  hasUpstream(cell: Cell, id: UpstreamId): boolean {
     this.#forgetOld();
     let known = this.#holds.get(cell);
     if (known === undefined) {
@@ -97,7 +97,7 @@
       const members = this.#directory.of(cell.service).filter((upstream) =>
         isInCell(cell, upstream)
       );
-      places = placesOf(members);
+      places = totalSlots(members);
       this.#places.set(key, places);
     }
     return places;
--- a/packages/admission/src/cellMessages.ts
+++ b/packages/admission/src/cellMessages.ts
@@ -8,17 +8,17 @@
 } from "@wasabivane/common";
 import type { Cell } from "./cells.ts";
 import type { UpstreamLoad } from "./fleetLoad.ts";
-import type { PlaceRefusal } from "./placeScheduler.ts";
-import type { PlaceWish } from "./placeWish.ts";
-import type { Outlook } from "./waitingLine.ts";
-import type { AttemptObservation } from "./upstreamKnowledge.ts";
+import type { PlacementRefusal } from "./requestScheduler.ts";
+import type { PlacementRequest } from "./placementRequest.ts";
+import type { QueueEstimate } from "./requestQueue.ts";
+import type { AttemptObservation } from "./upstreamStats.ts";
 
 /**
  * What a host has to say to the keeper of a cell: its work there, what began and ceased
  * to wait, and what it learned. All of it is repeated until the keeper has answered, so
  * that a lost ask does no harm.
  */
-export interface PlaceAsk {
+export interface CellUpdate {
   readonly host: HostId;
   readonly incarnation: Incarnation;
   readonly cell: Cell;
@@ -27,7 +27,7 @@
   /** The host's work at the cell's upstreams. */
   readonly inFlight: ReadonlyMap<UpstreamId, UpstreamLoad>;
   /** Requests that wait there and of which the keeper may not know. */
-  readonly wishes: readonly PlaceWish[];
+  readonly requests: readonly PlacementRequest[];
   /** Requests that wait there no more, although the keeper may think so. */
   readonly withdrawn: readonly RequestId[];
   /** Now and then: all requests of the host that wait there. */
@@ -36,58 +36,58 @@
   readonly reports: readonly (readonly [UpstreamId, number])[];
   /** What ended attempts showed, oldest first; the first has number `observationsFrom`. */
   readonly observations: readonly AttemptObservation[];
-  readonly observationsFrom: number;
+  readonly firstObservation: number;
   /** Number of the last verdict of this keeper that the host took in; 0 before any. */
-  readonly verdictsSeen: number;
-  readonly wantsAnswer: boolean;
+  readonly decisionsSeen: number;
+  readonly wantsReply: boolean;
   /** What answers of the keeper take lately, on the mean; 0 before any. */
-  readonly answerTime: Milliseconds;
+  readonly replyTime: Milliseconds;
 }
 
 /** What a keeper decided about one wish. */
-export type PlaceDecision =
+export type CellDecision =
   | {
     readonly kind: "place";
     readonly upstream: UpstreamId;
     readonly inFlight: number;
-    readonly unreadTokens: number;
+    readonly pendingPrefillTokens: number;
   }
   | {
     readonly kind: "refuse";
-    readonly reason: PlaceRefusal;
-    readonly outlook: Outlook;
+    readonly reason: PlacementRefusal;
+    readonly estimate: QueueEstimate;
   };
 
 /** A numbered decision; the keeper repeats it until the host has seen it. */
-export interface PlaceVerdict {
+export interface NumberedDecision {
   readonly number: number;
   readonly request: RequestId;
-  readonly decision: PlaceDecision;
+  readonly decision: CellDecision;
 }
 
 /** How full a cell was when its keeper looked last. */
 export interface CellSnapshot {
   readonly cell: Cell;
-  readonly places: number;
+  readonly capacity: number;
   readonly free: number;
   readonly waiting: number;
   readonly at: Milliseconds;
 }
 
 /** What a keeper tells a host. */
-export interface PlaceAnswer {
+export interface CellReply {
   /** The keeper. */
   readonly host: HostId;
   readonly incarnation: Incarnation;
   readonly cell: Cell;
   /** Incarnation and ask of the host that this answers. */
-  readonly to: Incarnation;
+  readonly toIncarnation: Incarnation;
   readonly sequence: number;
   /** Number of the last observation that the keeper took in. */
   readonly observationsSeen: number;
-  readonly verdicts: readonly PlaceVerdict[];
+  readonly decisions: readonly NumberedDecision[];
   /** Requests that the host says wait and that the keeper does not know. */
-  readonly unknown: readonly RequestId[];
+  readonly unknownRequests: readonly RequestId[];
   /** The cell itself, and others of its service that the keeper knows of. */
   readonly snapshots: readonly CellSnapshot[];
   /** The keeper stops soon; hosts turn to the next one. */
--- a/packages/admission/src/cellAsking.ts
+++ b/packages/admission/src/cellSession.ts
@@ -6,8 +6,12 @@
   UpstreamId,
 } from "@wasabivane/common";
 import { type Cell, type CellKey, cellKeyOf } from "./cells.ts";
-import type { PlaceAnswer, PlaceAsk, PlaceVerdict } from "./cellMessages.ts";
-import type { AttemptObservation } from "./upstreamKnowledge.ts";
+import type {
+  CellReply,
+  CellUpdate,
+  NumberedDecision,
+} from "./cellMessages.ts";
+import type { AttemptObservation } from "./upstreamStats.ts";
 
 /** An answer takes a few milliseconds; a datagram that was lost is sent again then, */
 const REPEAT_MS: Milliseconds = 30;
@@ -49,16 +53,16 @@
 const MAXIMUM_LESSONS = 16;
 
 /** Why a keeper is passed over. */
-export type KeeperSilence = "silent" | "leaving";
+export type FailoverReason = "silent" | "leaving";
 
 /** What a host has to do about a cell now. */
-export type AskingDue = "nothing" | "ask" | "tell" | "passed-over" | "over";
+export type SessionAction = "nothing" | "ask" | "tell" | "passed-over" | "over";
 
-/** What a {@link CellAsking} adds to an ask. */
-export interface AskingPart extends
+/** What a {@link CellSession} adds to an ask. */
+export interface UpdatePart extends
   Omit<
-    PlaceAsk,
-    "host" | "incarnation" | "inFlight" | "wishes"
+    CellUpdate,
+    "host" | "incarnation" | "inFlight" | "requests"
   > {
   /** Requests that have to be described. */
   readonly described: readonly RequestId[];
@@ -70,7 +74,7 @@
 }
 
 /** One host's conversation with whoever keeps a cell. */
-export class CellAsking {
+export class CellSession {
   readonly cell: Cell;
   readonly key: CellKey;
   #keeper: HostId | undefined;
@@ -105,16 +109,16 @@
     this.key = cellKeyOf(cell);
   }
 
-  get keeper(): HostId | undefined {
+  get coordinator(): HostId | undefined {
     return this.#keeper;
   }
 
-  get isUnanswered(): boolean {
+  get isAwaitingReply(): boolean {
     return this.#unanswered.length > 0;
   }
 
   /** Keepers that did not answer, one after the other. */
-  get silentKeepers(): number {
+  get silentCoordinators(): number {
     return this.#silentKeepers;
   }
 
@@ -123,7 +127,7 @@
     return this.#described.keys();
   }
 
-  get isWaiting(): boolean {
+  get hasWaiting(): boolean {
     return this.#described.size > 0;
   }
 
@@ -143,12 +147,12 @@
   }
 
   /** An upstream of the cell said how many requests it has. */
-  reported(upstream: UpstreamId, requests: number): void {
+  setUpstreamReport(upstream: UpstreamId, requests: number): void {
     this.#reports.set(upstream, requests);
   }
 
   /** An attempt in this cell ended. */
-  learned(observation: AttemptObservation, now: Milliseconds): void {
+  addObservation(observation: AttemptObservation, now: Milliseconds): void {
     this.#observations.push(observation);
     this.#unconfirmedSince = Math.min(this.#unconfirmedSince, now);
     if (this.#observations.length <= MAXIMUM_LESSONS) return;
@@ -157,37 +161,37 @@
   }
 
   /** The next ask lists all that waits: the keeper may have lost it. */
-  listNext(): void {
+  scheduleListing(): void {
     this.#isListing = true;
   }
 
   /** There is something to tell, with the next ask or by then. */
-  tellBy(at: Milliseconds): void {
+  sendBy(at: Milliseconds): void {
     this.#tellBy = Math.min(this.#tellBy, at);
   }
 
   /** When something is to be told or listed at the latest; `Infinity` if nothing is. */
-  get tellAt(): Milliseconds {
-    const listAt = this.isWaiting ? this.#listedAt + CONFIRM_MS : Infinity;
+  get sendAt(): Milliseconds {
+    const listAt = this.hasWaiting ? this.#listedAt + CONFIRM_MS : Infinity;
     const confirmAt = this.#unconfirmedSince + CONFIRM_END_MS;
     return Math.min(this.#tellBy, listAt, confirmAt);
   }
 
   /** The next ask, but for what the host knows itself. */
-  compose(
+  createUpdate(
     { keeper, wantsAnswer, now }: {
       keeper: HostId;
       wantsAnswer: boolean;
       now: Milliseconds;
     },
-  ): AskingPart {
+  ): UpdatePart {
     if (keeper !== this.#keeper) this.#turnTo(keeper);
     const sequence = ++this.#sequence;
     if (wantsAnswer) this.#unanswered.push({ sequence, sentAt: now });
     this.#sentAt = now;
     this.#tellBy = Infinity;
     const isListing = this.#isListing ||
-      (this.isWaiting && now - this.#listedAt >= LIST_WITH_ASK_MS);
+      (this.hasWaiting && now - this.#listedAt >= LIST_WITH_ASK_MS);
     if (isListing) this.#listedAt = now;
     const reports = [...this.#reports];
     this.#reports.clear();
@@ -200,18 +204,18 @@
       ...isListing && { waiting: [...this.#described.keys()] },
       reports,
       observations: [...this.#observations],
-      observationsFrom: this.#observationsFrom,
-      verdictsSeen: this.#verdictsSeen,
-      wantsAnswer,
-      answerTime: this.#meanAnswerTime,
+      firstObservation: this.#observationsFrom,
+      decisionsSeen: this.#verdictsSeen,
+      wantsReply: wantsAnswer,
+      replyTime: this.#meanAnswerTime,
     };
   }
 
   /** Takes in an answer; gives back the verdicts that are new, or `undefined` for one that is not the keeper's. */
-  hear(
-    answer: PlaceAnswer,
+  receive(
+    answer: CellReply,
     now: Milliseconds,
-  ): PlaceVerdict[] | undefined {
+  ): NumberedDecision[] | undefined {
     if (answer.host !== this.#keeper) return undefined;
     this.#noteTime(answer.sequence, now);
     if (answer.incarnation !== this.#keeperIncarnation) {
@@ -224,7 +228,7 @@
     for (const [request, sequence] of this.#withdrawn) {
       if (sequence <= this.#answered) this.#withdrawn.delete(request);
     }
-    for (const request of answer.unknown) {
+    for (const request of answer.unknownRequests) {
       if (this.#described.has(request)) this.#described.set(request, Infinity);
     }
     this.#unanswered = this.#unanswered.filter(({ sequence }) =>
@@ -236,7 +240,7 @@
       this.#observationsFrom = answer.observationsSeen + 1;
     }
     this.#unconfirmedSince = this.#observations.length > 0 ? now : Infinity;
-    const fresh = answer.verdicts.filter(({ number }) =>
+    const fresh = answer.decisions.filter(({ number }) =>
       number > this.#verdictsSeen
     );
     this.#verdictsSeen = Math.max(
@@ -247,9 +251,9 @@
   }
 
   /** What is due, by what this host has to do with the cell. */
-  due(
+  nextAction(
     { hasWork, now }: { hasWork: boolean; now: Milliseconds },
-  ): AskingDue {
+  ): SessionAction {
     const sinceSent = now - this.#sentAt;
     const told = now >= this.#tellBy ? "tell" : "nothing";
     const [oldest] = this.#unanswered;
@@ -262,13 +266,13 @@
       const repeat = Math.max(REPEAT_MS, REPEAT_FACTOR * this.#answerTime);
       return sinceSent >= repeat ? "ask" : told;
     }
-    if (this.isWaiting && now - this.#listedAt >= CONFIRM_MS) {
+    if (this.hasWaiting && now - this.#listedAt >= CONFIRM_MS) {
       this.#isListing = true;
       return "ask";
     }
     if (now - this.#unconfirmedSince >= CONFIRM_END_MS) return "ask";
     if (hasWork && sinceSent >= CONFIRM_MS) return "ask";
-    const isBusy = hasWork || this.isWaiting;
+    const isBusy = hasWork || this.hasWaiting;
     return !isBusy && sinceSent >= IDLE_MS ? "over" : told;
   }
 
@@ -276,7 +280,7 @@
    * This host itself stood still for so long. Answers that came meanwhile are still to be
    * read; its own pause is not the keeper's silence.
    */
-  excuse(pause: Milliseconds, now: Milliseconds): void {
+  extendTimeouts(pause: Milliseconds, now: Milliseconds): void {
     this.#unanswered = this.#unanswered.map(({ sequence, sentAt }) => ({
       sequence,
       sentAt: Math.min(now, sentAt + pause),
@@ -284,13 +288,13 @@
   }
 
   /** The keeper does not answer, or stops. */
-  notePassedOver(kind: KeeperSilence): void {
+  recordFailover(kind: FailoverReason): void {
     if (kind === "silent") this.#silentKeepers++;
     this.#unanswered = [];
   }
 
   /** Nobody answers; the next ask begins anew. */
-  giveUp(): void {
+  reset(): void {
     this.#silentKeepers = 0;
     this.#unanswered = [];
   }
--- a/packages/admission/src/cellSnapshots.ts
+++ b/packages/admission/src/cellSnapshots.ts
@@ -12,7 +12,7 @@
   readonly #snapshots = new Map<CellKey, CellSnapshot>();
 
   /** Takes in a snapshot unless a newer one is known. */
-  see(snapshot: CellSnapshot): void {
+  update(snapshot: CellSnapshot): void {
     const key = cellKeyOf(snapshot.cell);
     const known = this.#snapshots.get(key);
     if (known === undefined || known.at <= snapshot.at) {
@@ -21,7 +21,7 @@
   }
 
   /** The snapshot of a cell; `undefined` without one that is new enough. */
-  of(cell: Cell, now: Milliseconds): CellSnapshot | undefined {
+  get(cell: Cell, now: Milliseconds): CellSnapshot | undefined {
     const snapshot = this.#snapshots.get(cellKeyOf(cell));
     if (snapshot === undefined || now - snapshot.at > SNAPSHOT_MS) {
       return undefined;
@@ -34,21 +34,21 @@
     let places = 0;
     let free = 0;
     for (const cell of cells) {
-      const snapshot = this.of(cell, now);
+      const snapshot = this.get(cell, now);
       if (snapshot === undefined) continue;
       if (snapshot.waiting > 0) return false;
-      places += snapshot.places;
+      places += snapshot.capacity;
       free += snapshot.free;
     }
     return free > IDLE_SHARE * places;
   }
 
   /** A cell drawn by the free places that were seen; `undefined` without any. */
-  roomiest(
+  pickByFreeSlots(
     cells: readonly Cell[],
     { random, now }: { random: Random; now: Milliseconds },
   ): Cell | undefined {
-    const free = cells.map((cell) => this.of(cell, now)?.free ?? 0);
+    const free = cells.map((cell) => this.get(cell, now)?.free ?? 0);
     let draw = random.float() * free.reduce((sum, count) => sum + count, 0);
     return cells.find((_, index) => {
       draw -= free[index]!;
--- a/packages/admission/src/cellMembers.ts
+++ b/packages/admission/src/cellUpstreams.ts
@@ -1,6 +1,6 @@
 import type { ServiceId } from "@wasabivane/common";
 import { type Cell, isInCell } from "./cells.ts";
-import type { UpstreamSource } from "./placeScheduler.ts";
+import type { UpstreamSource } from "./requestScheduler.ts";
 import type { Upstream } from "./types.ts";
 
 /**
@@ -8,7 +8,7 @@
  * another one, not for each decision: that would hash the names of a whole service
  * several times for each request.
  */
-export class CellMembers implements UpstreamSource {
+export class CellUpstreams implements UpstreamSource {
   readonly #cell: Cell;
   readonly #source: UpstreamSource;
   #list: readonly Upstream[] | undefined;
--- a/packages/admission/src/cells.ts
+++ b/packages/admission/src/cells.ts
@@ -37,11 +37,11 @@
  * hash within it. Counts are powers of two, so that they seldom change when upstreams
  * come and go. Hosts with the same list deal alike without a word.
  */
-export function dealCells(
+export function partitionIntoCells(
   service: ServiceId,
   upstreams: readonly Upstream[],
 ): Cell[] {
-  if (placesOf(upstreams) <= CELL_PLACES) {
+  if (totalSlots(upstreams) <= CELL_PLACES) {
     return [{ service, failureDomain: undefined, index: 0, count: 1 }];
   }
   const sizes = new Map<FailureDomain, number>();
@@ -58,7 +58,7 @@
 }
 
 /** Requests that some upstreams run at once. */
-export function placesOf(upstreams: readonly Upstream[]): number {
+export function totalSlots(upstreams: readonly Upstream[]): number {
   return upstreams.reduce((sum, { slots }) => sum + slots, 0);
 }
 
--- a/packages/admission/src/connectionBacklog.ts
+++ b/packages/admission/src/connectionBacklog.ts
@@ -14,20 +14,20 @@
   #hasTaken = false;
 
   /** A connection was taken in this turn of the loop. */
-  noteTaken(): void {
+  recordAccept(): void {
     if (!this.#hasTaken) this.#turns++;
     this.#hasTaken = true;
   }
 
   /** A turn is over; gives back whether the next one is to be looked at as well. */
-  endTurn(): boolean {
+  endIteration(): boolean {
     if (!this.#hasTaken) this.#turns = 0;
     this.#hasTaken = false;
     return this.#turns > 0;
   }
 
   /** Whether the connection that was taken last had waited behind others. */
-  get isStanding(): boolean {
+  get hasBacklog(): boolean {
     return this.#turns >= STANDING_TURNS;
   }
 }
--- a/packages/admission/src/upstreamLife.ts
+++ b/packages/admission/src/createUpstreamId.ts
@@ -8,7 +8,7 @@
 const TEXT_BASE = 36;
 
 /** The id of one life of an upstream; equal on every host that reads the same entry. */
-export function upstreamLife(
+export function createUpstreamId(
   name: string,
   bornAt: EpochMilliseconds,
 ): UpstreamId {
--- a/packages/admission/src/watchWait.ts
+++ b/packages/admission/src/drawWatchDuration.ts
@@ -24,7 +24,7 @@
 const SHARING_PEERS = 3;
 
 /** What a host knows when it begins to watch for changes. */
-export interface WatchSituation {
+export interface WatchContext {
   /** Within this time of being withdrawn, a key must have stopped working. */
   readonly revocationBound: Milliseconds;
   /** Peers that watch too and pass on that nothing changed. */
@@ -39,8 +39,8 @@
  * Answers two loads on the store and the callers: each answer is a call that is
  * paid for, and the age of the last proof bounds which requests may be served.
  */
-export function watchWait(
-  { revocationBound, readingPeers, hasJustChanged }: WatchSituation,
+export function drawWatchDuration(
+  { revocationBound, readingPeers, hasJustChanged }: WatchContext,
   random: Random,
 ): Milliseconds {
   const settling = waitOf(SETTLING_WAIT_SHARE * revocationBound);
--- a/packages/admission/src/hostLag.ts
+++ b/packages/admission/src/eventLoopLag.ts
@@ -33,7 +33,7 @@
  * at all. A machine that stands still for a moment, because its share of a tenth of a
  * second is used up, has a peak and no standing lag.
  */
-export class HostLag {
+export class EventLoopLag {
   #peak: Milliseconds = 0;
   #peakAt: Milliseconds = -Infinity;
   #longTurnAt: Milliseconds = -Infinity;
@@ -56,12 +56,12 @@
   }
 
   /** Whether turns were so long lately that what came in meanwhile may still wait. */
-  hadLongTurns(now: Milliseconds): boolean {
+  hasRecentLongIteration(now: Milliseconds): boolean {
     return now - this.#longTurnAt < AFTERMATH_MS;
   }
 
   /** The least lateness of the last span; 0 as long as too few timers have run. */
-  get standing(): Milliseconds {
+  get sustained(): Milliseconds {
     if (this.#samples.length < LEAST_SAMPLES) return 0;
     let least = Infinity;
     for (const { late } of this.#samples) least = Math.min(least, late);
--- a/packages/admission/src/firstEventModel.ts
+++ b/packages/admission/src/firstEventModel.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds, ServiceId, UpstreamId } from "@wasabivane/common";
-import { LineFit } from "./lineFit.ts";
+import { LinearFit } from "./linearFit.ts";
 import type { UpstreamSpeed } from "./upstreamSpeed.ts";
 
 /** Assumed before anything was seen. */
@@ -25,7 +25,7 @@
  */
 export class FirstEventModel {
   readonly #speed: UpstreamSpeed;
-  readonly #fits = new Map<ServiceId, LineFit>();
+  readonly #fits = new Map<ServiceId, LinearFit>();
 
   constructor(speed: UpstreamSpeed) {
     this.#speed = speed;
@@ -37,7 +37,7 @@
     const time = duration / this.#speed.slowness(service, upstream);
     const fit = this.#fits.get(service);
     if (fit === undefined) {
-      this.#fits.set(service, new LineFit(promptTokens, time));
+      this.#fits.set(service, new LinearFit(promptTokens, time));
     } else fit.add(promptTokens, time);
   }
 
@@ -53,11 +53,11 @@
       ? 1
       : this.#speed.slowness(service, upstream);
     const fit = this.#fits.get(service);
-    return (fit?.at(promptTokens) ?? FIRST_GUESS_MS) * slowness;
+    return (fit?.predict(promptTokens) ?? FIRST_GUESS_MS) * slowness;
   }
 
   /** Expected time in which an upstream reads so many prompt tokens. */
-  reading(
+  prefillTime(
     service: ServiceId,
     { promptTokens, upstream }: { promptTokens: number; upstream: UpstreamId },
   ): Milliseconds {
--- a/packages/admission/src/fleetLoad.ts
+++ b/packages/admission/src/fleetLoad.ts
@@ -18,10 +18,10 @@
 export interface UpstreamLoad {
   readonly requests: number;
   /** Prompt tokens of requests that have no first event yet. */
-  readonly unreadTokens: number;
+  readonly pendingPrefillTokens: number;
 }
 
-const NO_LOAD: UpstreamLoad = { requests: 0, unreadTokens: 0 };
+const NO_LOAD: UpstreamLoad = { requests: 0, pendingPrefillTokens: 0 };
 
 /** What a host tells of its own work; each word replaces the one before. */
 export interface HostLoad {
@@ -59,21 +59,27 @@
 
   /** Counts a request in that this host sends. */
   begin(upstream: UpstreamId, promptTokens = 0): void {
-    add(this.#own, upstream, { requests: 1, unreadTokens: promptTokens });
+    add(this.#own, upstream, {
+      requests: 1,
+      pendingPrefillTokens: promptTokens,
+    });
   }
 
   /** The upstream has read a request's prompt, or will not any more. */
-  endReading(upstream: UpstreamId, promptTokens: number): void {
-    add(this.#own, upstream, { requests: 0, unreadTokens: -promptTokens });
+  endPrefill(upstream: UpstreamId, promptTokens: number): void {
+    add(this.#own, upstream, {
+      requests: 0,
+      pendingPrefillTokens: -promptTokens,
+    });
   }
 
   /** Counts a request out. */
   end(upstream: UpstreamId): void {
-    add(this.#own, upstream, { requests: -1, unreadTokens: 0 });
+    add(this.#own, upstream, { requests: -1, pendingPrefillTokens: 0 });
   }
 
   /** Takes a peer's word. */
-  hear(peer: HostId, load: HostLoad, now: Milliseconds): void {
+  setPeerLoad(peer: HostId, load: HostLoad, now: Milliseconds): void {
     this.#now = Math.max(this.#now, now);
     const former = this.#peers.get(peer);
     if (former !== undefined) this.#addAll(former, -1);
@@ -82,7 +88,7 @@
   }
 
   /** Forgets peers that have been silent; true when one was forgotten. */
-  expire(now: Milliseconds): boolean {
+  expirePeers(now: Milliseconds): boolean {
     this.#now = Math.max(this.#now, now);
     if (now - this.#checkedAt < SILENCE_CHECK_MS) return false;
     this.#checkedAt = now;
@@ -102,7 +108,11 @@
   }
 
   /** An upstream says how many requests it has, running and waiting. */
-  report(upstream: UpstreamId, requests: number, now: Milliseconds): void {
+  recordReport(
+    upstream: UpstreamId,
+    requests: number,
+    now: Milliseconds,
+  ): void {
     this.#now = Math.max(this.#now, now);
     const more = requests - this.#told(upstream);
     const known = this.#untoldAt(upstream);
@@ -123,10 +133,10 @@
   }
 
   /** Prompt tokens from all hosts that the upstream has yet to read. */
-  unreadTokens(upstream: UpstreamId): number {
+  pendingPrefillTokens(upstream: UpstreamId): number {
     const own = this.#own.get(upstream) ?? NO_LOAD;
     const others = this.#others.get(upstream) ?? NO_LOAD;
-    return own.unreadTokens + others.unreadTokens;
+    return own.pendingPrefillTokens + others.pendingPrefillTokens;
   }
 
   /** This host's own work. */
@@ -135,10 +145,13 @@
   }
 
   #addAll({ inFlight }: HostLoad, sign: 1 | -1): void {
-    for (const [upstream, { requests, unreadTokens }] of inFlight) {
+    for (
+      const [upstream, { requests, pendingPrefillTokens: unreadTokens }]
+        of inFlight
+    ) {
       add(this.#others, upstream, {
         requests: sign * requests,
-        unreadTokens: sign * unreadTokens,
+        pendingPrefillTokens: sign * unreadTokens,
       });
     }
   }
@@ -147,12 +160,15 @@
 function add(
   loads: Map<UpstreamId, UpstreamLoad>,
   upstream: UpstreamId,
-  { requests, unreadTokens }: UpstreamLoad,
+  { requests, pendingPrefillTokens: addedTokens }: UpstreamLoad,
 ): void {
   const former = loads.get(upstream) ?? NO_LOAD;
   const sum = {
     requests: Math.max(0, former.requests + requests),
-    unreadTokens: Math.max(0, former.unreadTokens + unreadTokens),
+    pendingPrefillTokens: Math.max(
+      0,
+      former.pendingPrefillTokens + addedTokens,
+    ),
   };
   if (sum.requests > 0) loads.set(upstream, sum);
   else loads.delete(upstream);
--- a/packages/admission/src/index.ts
+++ b/packages/admission/src/index.ts
@@ -5,77 +5,108 @@
  */
 export * from "./types.ts";
 export { PolicyIndex } from "./policyIndex.ts";
-export { Freshness, type FreshnessOptions } from "./freshness.ts";
-export { type KeptUpstream, UpstreamDirectory } from "./upstreamDirectory.ts";
-export { upstreamLife } from "./upstreamLife.ts";
+export {
+  PolicyFreshness,
+  type PolicyFreshnessOptions,
+} from "./policyFreshness.ts";
+export { type LapsedUpstream, UpstreamDirectory } from "./upstreamDirectory.ts";
+export { createUpstreamId } from "./createUpstreamId.ts";
 export { FleetLoad, type HostLoad, type UpstreamLoad } from "./fleetLoad.ts";
 export {
-  KeeperStartLimit,
-  LoneStartLimit,
+  CoordinatorStartLimit,
+  LocalStartLimit,
   StartLimit,
   type StartLimitOptions,
 } from "./startLimit.ts";
 export { ConnectionBacklog } from "./connectionBacklog.ts";
-export { HostLag } from "./hostLag.ts";
-export { LoadShedding, type LoadSheddingOptions } from "./loadShedding.ts";
-export { UpstreamWarmth } from "./upstreamWarmth.ts";
-export { type LossNotice, UpstreamHealth } from "./upstreamHealth.ts";
-export { type PauseSample, UpstreamPauses } from "./upstreamPauses.ts";
+export { EventLoopLag } from "./eventLoopLag.ts";
+export { LoadShedder, type LoadShedderOptions } from "./loadShedder.ts";
+export { UpstreamWarmup } from "./upstreamWarmup.ts";
+export { type EjectionNotice, UpstreamHealth } from "./upstreamHealth.ts";
+export { PauseRiskModel, type PauseSample } from "./pauseRiskModel.ts";
 export { type SpeedSample, UpstreamSpeed } from "./upstreamSpeed.ts";
-export { AnswerTimeModel, type AnswerTimeSample } from "./answerTimeModel.ts";
+export {
+  ResponseDurationModel,
+  type ResponseDurationSample,
+} from "./responseDurationModel.ts";
 export { FirstEventModel, type FirstEventSample } from "./firstEventModel.ts";
-export { Placement, type PlacementOptions, type Wish } from "./placement.ts";
-export { type Outlook, type Waiter, WaitingLine } from "./waitingLine.ts";
-export { type OverQuota, QuotaBook, type UsageReport } from "./quotaBook.ts";
+export {
+  Placement,
+  type PlacementCriteria,
+  type PlacementOptions,
+} from "./placement.ts";
+export {
+  type QueuedRequest,
+  type QueueEstimate,
+  RequestQueue,
+} from "./requestQueue.ts";
+export {
+  type OverQuota,
+  QuotaLimiter,
+  type UsageReport,
+} from "./quotaLimiter.ts";
 export { UsageLedger } from "./usageLedger.ts";
 export { type QuotaTolerance } from "./quotaBucket.ts";
 export { RetryBudget, type RetryBudgetOptions } from "./retryBudget.ts";
-export { type Crash, CrashBook } from "./crashBook.ts";
+export { type Crash, PoisonRequestDetector } from "./poisonRequestDetector.ts";
 export {
-  callerPatience,
-  returnAfter,
+  computeRetryDelay,
+  computeStartBounds,
+  firstByteTimeout,
   type StartBounds,
-  startBounds,
-} from "./patience.ts";
-export { SignsOfLife } from "./signsOfLife.ts";
-export { bearablePause, bearableWait, type SilentUpstream } from "./silence.ts";
+} from "./callerTimeouts.ts";
+export { UpstreamActivity } from "./upstreamActivity.ts";
 export {
-  type Candidate,
-  type PlaceCounts,
-  type PlaceRefusal,
-  PlaceScheduler,
-  type PlaceSchedulerOptions,
+  firstEventTimeout,
+  type PauseContext,
+  pauseTimeout,
+} from "./upstreamTimeouts.ts";
+export {
+  type PendingRequest,
+  type PlacementDecision,
+  type PlacementRefusal,
+  RequestScheduler,
+  type RequestSchedulerOptions,
+  type SlotCounts,
   type UpstreamSource,
-  type Verdict,
-} from "./placeScheduler.ts";
-export { candidateOf, type PlaceWish } from "./placeWish.ts";
+} from "./requestScheduler.ts";
+export {
+  createPendingRequest,
+  type PlacementRequest,
+} from "./placementRequest.ts";
 export {
-  type AnswerTimes,
   type AttemptObservation,
-  UpstreamKnowledge,
-} from "./upstreamKnowledge.ts";
+  type ResponseTimings,
+  UpstreamStats,
+} from "./upstreamStats.ts";
 export { CellMap } from "./cellMap.ts";
-export { PromptMemory } from "./promptMemory.ts";
+export { PrefixCacheIndex } from "./prefixCacheIndex.ts";
 export {
   type Cell,
   type CellKey,
   cellKeyOf,
-  dealCells,
   isInCell,
+  partitionIntoCells,
 } from "./cells.ts";
 export type {
+  CellDecision,
+  CellReply,
   CellSnapshot,
-  PlaceAnswer,
-  PlaceAsk,
-  PlaceDecision,
-  PlaceVerdict,
+  CellUpdate,
+  NumberedDecision,
 } from "./cellMessages.ts";
-export { CellKeeper, type CellKeeperOptions } from "./cellKeeper.ts";
-export { KeeperChoice } from "./keeperChoice.ts";
-export { type KeeperCandidate, keeperOrder } from "./keeperOrder.ts";
 export {
-  type KeeperChange,
-  PlaceSeeker,
-  type PlaceSeekerOptions,
-} from "./placeSeeker.ts";
-export { type WatchSituation, watchWait } from "./watchWait.ts";
+  CellCoordinator,
+  type CellCoordinatorOptions,
+} from "./cellCoordinator.ts";
+export { CoordinatorSelector } from "./coordinatorSelector.ts";
+export {
+  type CoordinatorCandidate,
+  rankCoordinators,
+} from "./rankCoordinators.ts";
+export {
+  type CoordinatorChange,
+  PlacementClient,
+  type PlacementClientOptions,
+} from "./placementClient.ts";
+export { drawWatchDuration, type WatchContext } from "./drawWatchDuration.ts";
--- a/packages/admission/src/lineFit.ts
+++ b/packages/admission/src/linearFit.ts
@@ -8,7 +8,7 @@
  * While there are few, all weigh alike: the first answers after a start are often
  * slow, and one of them must not stand for the next fifty.
  */
-export class LineFit {
+export class LinearFit {
   #samples = 1;
   #meanAmount: number;
   #meanTime: Milliseconds;
@@ -32,7 +32,7 @@
   }
 
   /** Expected time of so much work. */
-  at(amount: number): Milliseconds {
+  predict(amount: number): Milliseconds {
     const time = this.#meanTime + this.slope * (amount - this.#meanAmount);
     return Math.max(0, time);
   }
--- a/packages/admission/src/loadShedding.ts
+++ b/packages/admission/src/loadShedder.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds, Random, Tier } from "@wasabivane/common";
-import type { HostLag } from "./hostLag.ts";
+import type { EventLoopLag } from "./eventLoopLag.ts";
 
 /**
  * A request passes four steps on its host, each so much late; the shortest targets are a
@@ -18,9 +18,9 @@
 /** Callers that are refused come back to other hosts, after about this time. */
 const RETURN_MS: Milliseconds = 300;
 
-/** What a {@link LoadShedding} is built from. */
-export interface LoadSheddingOptions {
-  readonly lag: HostLag;
+/** What a {@link LoadShedder} is built from. */
+export interface LoadShedderOptions {
+  readonly lag: EventLoopLag;
   readonly random: Random;
   /** A host that is less behind takes every request. */
   readonly lowestLag?: Milliseconds;
@@ -36,8 +36,8 @@
  * once it does not, so that it settles where the host keeps up. The least urgent tier is
  * refused first, and a more urgent one only when all of those are.
  */
-export class LoadShedding {
-  readonly #options: LoadSheddingOptions;
+export class LoadShedder {
+  readonly #options: LoadShedderOptions;
   /** Share of the requests that came lately, by tier. */
   readonly #mix = new Map<Tier, number>();
   /** Refusals that a tier's share asks for and that are not given yet: they come evenly. */
@@ -48,7 +48,7 @@
   #adjustedAt: Milliseconds = -Infinity;
   #shedCount = 0;
 
-  constructor(options: LoadSheddingOptions) {
+  constructor(options: LoadShedderOptions) {
     this.#options = options;
   }
 
@@ -77,14 +77,15 @@
   }
 
   /** When a refused caller should come back. */
-  returnAfter(now: Milliseconds): Milliseconds {
+  computeRetryDelay(now: Milliseconds): Milliseconds {
     const { lag, random } = this.#options;
     return (RETURN_MS + lag.peak(now)) * (0.5 + random.float());
   }
 
   /** The lag of the moment counts at once; what it asks for again and again is kept. */
   #adjust(now: Milliseconds): void {
-    const { lag: { standing }, lowestLag = LOWEST_LAG_MS } = this.#options;
+    const { lag: { sustained: standing }, lowestLag = LOWEST_LAG_MS } =
+      this.#options;
     const excess = (standing - lowestLag) / (HIGHEST_LAG_MS - LOWEST_LAG_MS);
     const steps = Math.floor((now - this.#adjustedAt) / ADJUST_MS);
     if (steps > 0) {
--- a/packages/admission/src/upstreamPauses.ts
+++ b/packages/admission/src/pauseRiskModel.ts
@@ -33,7 +33,7 @@
  * enough was seen of an upstream, it is taken to pause as its service does, the more
  * the slower it is.
  */
-export class UpstreamPauses {
+export class PauseRiskModel {
   readonly #speed: UpstreamSpeed;
   readonly #upstreams = new Map<UpstreamId, Seen>();
   readonly #services = new Map<ServiceId, Seen>();
--- a/packages/admission/src/placement.ts
+++ b/packages/admission/src/placement.ts
@@ -5,10 +5,10 @@
   UpstreamId,
 } from "@wasabivane/common";
 import type { FleetLoad } from "./fleetLoad.ts";
-import type { PromptMemory } from "./promptMemory.ts";
+import type { PrefixCacheIndex } from "./prefixCacheIndex.ts";
 import type { StartLimit } from "./startLimit.ts";
 import type { PromptPart, Upstream } from "./types.ts";
-import type { UpstreamKnowledge } from "./upstreamKnowledge.ts";
+import type { UpstreamStats } from "./upstreamStats.ts";
 
 /** An upstream with no work at all still has half the cost of a full one. */
 const IDLE_COST = 0.5;
@@ -41,7 +41,7 @@
 const JITTER = 0.08;
 
 /** What a request looks for. */
-export interface Wish {
+export interface PlacementCriteria {
   /** Where the host is that sends it. */
   readonly failureDomain: FailureDomain;
   /** When it arrived. */
@@ -55,7 +55,7 @@
   /** When the whole answer must have been given. */
   readonly deadline: Milliseconds;
   /** Expected time from the first event to the end at the service's mean upstream. */
-  readonly answering: Milliseconds;
+  readonly responseDuration: Milliseconds;
   /** Longest pause of a stream that is on time; 0 where pauses do not count. */
   readonly pauseTarget: Milliseconds;
   /** Parts of the prompt, in order; engines keep those that they have read. */
@@ -75,8 +75,8 @@
 /** What {@link Placement} reads. */
 export interface PlacementOptions {
   readonly load: FleetLoad;
-  readonly knowledge: UpstreamKnowledge;
-  readonly prompts: PromptMemory;
+  readonly stats: UpstreamStats;
+  readonly prefixCaches: PrefixCacheIndex;
   readonly random: Random;
   readonly starts: StartLimit;
   /** Requests that an upstream may have from all hosts together. */
@@ -105,7 +105,7 @@
   }
 
   /** Places that the upstreams have left, over all hosts. */
-  freePlaces(upstreams: readonly Upstream[], now: Milliseconds): number {
+  freeSlots(upstreams: readonly Upstream[], now: Milliseconds): number {
     let free = 0;
     for (const upstream of upstreams) free += this.#freeAt(upstream, now);
     return free;
@@ -114,7 +114,7 @@
   /** The best upstream with a free place, or `undefined` when none should be taken. */
   pick(
     upstreams: readonly Upstream[],
-    wish: Wish,
+    wish: PlacementCriteria,
     now: Milliseconds,
   ): Upstream | undefined {
     const best = this.#bestFree(upstreams, wish, now);
@@ -128,17 +128,21 @@
 
   #bestFree(
     upstreams: readonly Upstream[],
-    wish: Wish,
+    wish: PlacementCriteria,
     now: Milliseconds,
   ): Option | undefined {
     const { excluded, parts, promptTokens } = wish;
-    const { knowledge } = this.#options;
+    const { stats: knowledge } = this.#options;
     let best: Option | undefined;
     let leastCost = Infinity;
     for (const upstream of upstreams) {
       if (excluded?.has(upstream.upstream)) continue;
       if (this.#freeAt(upstream, now) <= 0) continue;
-      const held = this.#options.prompts.held(upstream.upstream, parts, now);
+      const held = this.#options.prefixCaches.cachedTokens(
+        upstream.upstream,
+        parts,
+        now,
+      );
       const latency = this.#latencyAt(upstream, promptTokens - held);
       const isGood = this.#isGood(upstream, { wish, latency, now });
       if (best?.isGood && !isGood) continue;
@@ -158,10 +162,10 @@
   /** Whether the request would be good if a place came free now at some upstream. */
   #couldBeGood(
     upstreams: readonly Upstream[],
-    wish: Wish,
+    wish: PlacementCriteria,
     now: Milliseconds,
   ): boolean {
-    const { health, firstEvents } = this.#options.knowledge;
+    const { health, firstEvents } = this.#options.stats;
     const { promptTokens, excluded } = wish;
     return upstreams.some((upstream) => {
       const { service, upstream: id } = upstream;
@@ -178,15 +182,19 @@
    * What it is worth that an upstream gets another request than the next one, because
    * it holds more of its prompt; 0 where it does not or the other had better not go there.
    */
-  savedBy(
+  prefillTimeSaved(
     upstream: Upstream,
-    { next, other, now }: { next: Wish; other: Wish; now: Milliseconds },
+    { next, other, now }: {
+      next: PlacementCriteria;
+      other: PlacementCriteria;
+      now: Milliseconds;
+    },
   ): Milliseconds {
-    const { prompts } = this.#options;
+    const { prefixCaches: prompts } = this.#options;
     const id = upstream.upstream;
     if (other.excluded?.has(id)) return 0;
-    const held = prompts.held(id, other.parts, now);
-    const more = held - prompts.held(id, next.parts, now);
+    const held = prompts.cachedTokens(id, other.parts, now);
+    const more = held - prompts.cachedTokens(id, next.parts, now);
     if (more <= 0) return 0;
     const latency = this.#latencyAt(upstream, other.promptTokens - held);
     if (!this.#isGood(upstream, { wish: other, latency, now })) return 0;
@@ -198,23 +206,23 @@
     { service, upstream }: Upstream,
     promptTokens: number,
   ): Milliseconds {
-    const { firstEvents } = this.#options.knowledge;
+    const { firstEvents } = this.#options.stats;
     return READING_WORTH *
-      firstEvents.reading(service, { upstream, promptTokens });
+      firstEvents.prefillTime(service, { upstream, promptTokens });
   }
 
   /** Whether a place that is likely free soon, where the prompt is held, is worth waiting for. */
   #shouldWaitForHolder(
-    wish: Wish,
+    wish: PlacementCriteria,
     { upstreams, best, now }: {
       upstreams: readonly Upstream[];
       best: Option;
       now: Milliseconds;
     },
   ): boolean {
-    const { prompts, knowledge } = this.#options;
+    const { prefixCaches: prompts, stats: knowledge } = this.#options;
     const { parts, excluded } = wish;
-    const holders = prompts.holdersOf(parts);
+    const holders = prompts.upstreamsCaching(parts);
     if (holders.size === 0) return false;
     let most = best.held;
     for (const upstream of upstreams) {
@@ -222,7 +230,7 @@
       if (!holders.has(id) || excluded?.has(id)) continue;
       const isFull = !knowledge.health.isEjected(id, now) &&
         this.#freeAt(upstream, now) <= 0;
-      if (isFull) most = Math.max(most, prompts.held(id, parts, now));
+      if (isFull) most = Math.max(most, prompts.cachedTokens(id, parts, now));
     }
     if (most === best.held) return false;
     const span = this.#worthOfReading(best.upstream, most - best.held);
@@ -233,20 +241,24 @@
   #isGood(
     { service, upstream }: Upstream,
     { wish, latency, now }: {
-      wish: Wish;
+      wish: PlacementCriteria;
       latency: Milliseconds;
       now: Milliseconds;
     },
   ): boolean {
-    const { load, knowledge: { speed, pauses, firstEvents } } = this.#options;
+    const { load, stats: { speed, pauseRisks: pauses, firstEvents } } =
+      this.#options;
     if (now + latency > wish.dueAt) return false;
-    const duration = wish.answering * speed.slowness(service, upstream);
+    const duration = wish.responseDuration * speed.slowness(service, upstream);
     if (now + latency + LENGTH_MARGIN * duration > wish.deadline) return false;
     if (wish.pauseTarget <= 0) return true;
     const risk = pauses.risk({ service, upstream, duration });
     if (risk > GOOD_PAUSE_RISK) return false;
     const { promptTokens } = wish;
-    const reading = firstEvents.reading(service, { upstream, promptTokens });
+    const reading = firstEvents.prefillTime(service, {
+      upstream,
+      promptTokens,
+    });
     return reading <= wish.pauseTarget || load.total(upstream) === 0;
   }
 
@@ -255,15 +267,16 @@
     { service, upstream }: Upstream,
     promptTokens: number,
   ): Milliseconds {
-    const { load, knowledge } = this.#options;
+    const { load, stats: knowledge } = this.#options;
     return knowledge.firstEvents.expected(service, {
       upstream,
-      promptTokens: Math.max(0, promptTokens) + load.unreadTokens(upstream),
+      promptTokens: Math.max(0, promptTokens) +
+        load.pendingPrefillTokens(upstream),
     });
   }
 
   #freeAt(upstream: Upstream, now: Milliseconds): number {
-    const { load, knowledge, limitOf, starts } = this.#options;
+    const { load, stats: knowledge, limitOf, starts } = this.#options;
     if (knowledge.health.isEjected(upstream.upstream, now)) return 0;
     if (!starts.isOpen(upstream, now)) return 0;
     return Math.max(0, limitOf(upstream) - load.total(upstream.upstream));
@@ -279,7 +292,7 @@
     },
   ): number {
     const { load, random, limitOf } = this.#options;
-    const { health, speed } = this.#options.knowledge;
+    const { health, speed } = this.#options.stats;
     const id = upstream.upstream;
     const limit = limitOf(upstream);
     const fill = load.total(id) / limit;
--- a/packages/admission/src/placeSeeker.ts
+++ b/packages/admission/src/placementClient.ts
@@ -8,23 +8,30 @@
   ServiceId,
   UpstreamId,
 } from "@wasabivane/common";
-import { CellAsking, type KeeperSilence } from "./cellAsking.ts";
-import { CellChoice } from "./cellChoice.ts";
+import { CellSession, type FailoverReason } from "./cellSession.ts";
+import { CellSelector } from "./cellSelector.ts";
 import { CellMap } from "./cellMap.ts";
 import { type Cell, type CellKey, cellKeyOf } from "./cells.ts";
-import type { PlaceAnswer, PlaceAsk, PlaceVerdict } from "./cellMessages.ts";
+import type {
+  CellReply,
+  CellUpdate,
+  NumberedDecision,
+} from "./cellMessages.ts";
 import { CellSnapshots } from "./cellSnapshots.ts";
-import { KeeperChoice } from "./keeperChoice.ts";
-import type { KeeperCandidate } from "./keeperOrder.ts";
-import { PlaceScheduler, type Verdict } from "./placeScheduler.ts";
-import { candidateOf, type PlaceWish } from "./placeWish.ts";
-import { LoneStartLimit } from "./startLimit.ts";
+import { CoordinatorSelector } from "./coordinatorSelector.ts";
+import type { CoordinatorCandidate } from "./rankCoordinators.ts";
+import {
+  type PlacementDecision,
+  RequestScheduler,
+} from "./requestScheduler.ts";
+import {
+  createPendingRequest,
+  type PlacementRequest,
+} from "./placementRequest.ts";
+import { LocalStartLimit } from "./startLimit.ts";
 import type { Upstream } from "./types.ts";
 import type { UpstreamDirectory } from "./upstreamDirectory.ts";
-import type {
-  AttemptObservation,
-  UpstreamKnowledge,
-} from "./upstreamKnowledge.ts";
+import type { AttemptObservation, UpstreamStats } from "./upstreamStats.ts";
 
 /** Keepers that may be silent in a row before a host decides alone. */
 const SILENT_KEEPERS = 2;
@@ -42,36 +49,36 @@
 /** Cells that one request waits in at most. */
 const CELLS_AT_ONCE = 2;
 
-/** What a {@link PlaceSeeker} is built from. */
-export interface PlaceSeekerOptions {
+/** What a {@link PlacementClient} is built from. */
+export interface PlacementClientOptions {
   readonly host: HostId;
   readonly incarnation: Incarnation;
   readonly failureDomain: FailureDomain;
   readonly directory: UpstreamDirectory;
-  readonly knowledge: UpstreamKnowledge;
+  readonly stats: UpstreamStats;
   readonly random: Random;
   /** The hosts that live, this one included. */
-  readonly candidates: () => readonly KeeperCandidate[];
+  readonly candidates: () => readonly CoordinatorCandidate[];
   /** Starts in one second that a cold upstream bears; `undefined` where it bears any. */
   readonly coldStartsOf: (upstream: Upstream) => number | undefined;
-  readonly send: (keeper: HostId, ask: PlaceAsk) => void;
-  /** A keeper is to be told something in a while; see {@link PlaceSeeker.tellAt}. */
-  readonly onTelling: () => void;
+  readonly send: (keeper: HostId, ask: CellUpdate) => void;
+  /** A keeper is to be told something in a while; see {@link PlacementClient.sendAt}. */
+  readonly onSendScheduled: () => void;
   /** Something changed about who keeps a cell. */
-  readonly onKeeper: (change: KeeperChange) => void;
+  readonly onCoordinatorChange: (change: CoordinatorChange) => void;
 }
 
 /** A host turned to another keeper, or to none. */
-export interface KeeperChange {
+export interface CoordinatorChange {
   readonly cell: CellKey;
   readonly kind: "silent" | "leaving" | "alone";
-  readonly keeper: HostId | undefined;
+  readonly coordinator: HostId | undefined;
 }
 
 /** A request that waits, and where. */
 interface Seeking {
-  wish: PlaceWish;
-  readonly decide: (verdict: Verdict) => void;
+  wish: PlacementRequest;
+  readonly decide: (verdict: PlacementDecision) => void;
   readonly cells: Set<CellKey>;
   isAlone: boolean;
 }
@@ -85,32 +92,32 @@
  * learns that from the next ask. A dead keeper costs the first request that asks it a
  * tenth of a second, less than the shortest target; others hear of it.
  */
-export class PlaceSeeker {
-  readonly #options: PlaceSeekerOptions;
-  readonly #alone: PlaceScheduler;
+export class PlacementClient {
+  readonly #options: PlacementClientOptions;
+  readonly #alone: RequestScheduler;
   readonly #seeking = new Map<RequestId, Seeking>();
   readonly #cells: CellMap;
-  readonly #askings = new Map<CellKey, CellAsking>();
+  readonly #askings = new Map<CellKey, CellSession>();
   readonly #snapshots = new CellSnapshots();
-  readonly #choice: CellChoice;
-  readonly #keepers: KeeperChoice;
+  readonly #choice: CellSelector;
+  readonly #keepers: CoordinatorSelector;
   #tickedAt: Milliseconds = -Infinity;
 
-  constructor(options: PlaceSeekerOptions) {
-    const { directory, knowledge, random } = options;
+  constructor(options: PlacementClientOptions) {
+    const { directory, stats: knowledge, random } = options;
     this.#options = options;
     this.#cells = new CellMap(directory);
-    this.#choice = new CellChoice({
+    this.#choice = new CellSelector({
       ...options,
       cells: this.#cells,
       snapshots: this.#snapshots,
     });
-    this.#keepers = new KeeperChoice(options);
-    this.#alone = new PlaceScheduler({
+    this.#keepers = new CoordinatorSelector(options);
+    this.#alone = new RequestScheduler({
       upstreams: directory,
-      knowledge,
+      stats: knowledge,
       random,
-      starts: new LoneStartLimit({
+      starts: new LocalStartLimit({
         coldStartsOf: options.coldStartsOf,
         warmth: knowledge.warmth,
         hosts: () => options.candidates().length,
@@ -136,23 +143,25 @@
   /** Whether an answer is due or this host decides alone, so that it looks often. */
   get isBusy(): boolean {
     if (this.#alone.waitingTotal > 0) return true;
-    for (const { isUnanswered } of this.#askings.values()) {
+    for (const { isAwaitingReply: isUnanswered } of this.#askings.values()) {
       if (isUnanswered) return true;
     }
     return false;
   }
 
   /** When a keeper is to be told something at the latest; `Infinity` if nothing is. */
-  get tellAt(): Milliseconds {
+  get sendAt(): Milliseconds {
     let at = Infinity;
-    for (const { tellAt } of this.#askings.values()) at = Math.min(at, tellAt);
+    for (const { sendAt: tellAt } of this.#askings.values()) {
+      at = Math.min(at, tellAt);
+    }
     return at;
   }
 
   /** Seeks a place; the verdict may come before the call returns. */
   submit(
-    wish: PlaceWish,
-    decide: (verdict: Verdict) => void,
+    wish: PlacementRequest,
+    decide: (verdict: PlacementDecision) => void,
     now: Milliseconds,
   ): void {
     const seeking = { wish, decide, cells: new Set<CellKey>(), isAlone: false };
@@ -160,7 +169,7 @@
     if (this.#options.directory.isEvacuated(wish.service)) {
       return this.#refuseEvacuated(seeking, now);
     }
-    const cell = this.#choice.first(wish, now);
+    const cell = this.#choice.selectFirst(wish, now);
     if (cell === undefined) this.#decideAlone(seeking, now);
     else this.#seekIn(cell, seeking, now);
   }
@@ -180,25 +189,29 @@
   }
 
   /** The upstream has read a request's prompt, or will not any more. */
-  endReading(
+  endPrefill(
     upstream: Upstream,
     promptTokens: number,
     now: Milliseconds,
   ): void {
-    this.#alone.load.endReading(upstream.upstream, promptTokens);
+    this.#alone.load.endPrefill(upstream.upstream, promptTokens);
     if (promptTokens <= 0) return;
-    const cell = this.#cells.of(upstream);
+    const cell = this.#cells.cellOf(upstream);
     if (cell === undefined) return;
-    this.#askingOf(cell).tellBy(now + TELL_MS);
-    this.#options.onTelling();
+    this.#askingOf(cell).sendBy(now + TELL_MS);
+    this.#options.onSendScheduled();
   }
 
   /** An upstream said how many requests it has; the keeper hears of it with the next ask. */
-  noteLoad(upstream: Upstream, requests: number, now: Milliseconds): void {
-    this.#alone.load.report(upstream.upstream, requests, now);
-    const cell = this.#cells.of(upstream);
+  recordUpstreamLoad(
+    upstream: Upstream,
+    requests: number,
+    now: Milliseconds,
+  ): void {
+    this.#alone.load.recordReport(upstream.upstream, requests, now);
+    const cell = this.#cells.cellOf(upstream);
     if (cell === undefined) return;
-    this.#askingOf(cell).reported(upstream.upstream, requests);
+    this.#askingOf(cell).setUpstreamReport(upstream.upstream, requests);
   }
 
   /** A request ended at an upstream. */
@@ -208,55 +221,55 @@
     now: Milliseconds,
   ): void {
     this.#alone.load.end(upstream.upstream);
-    const cell = this.#cells.of(upstream);
+    const cell = this.#cells.cellOf(upstream);
     if (cell !== undefined) {
       const asking = this.#askingOf(cell);
-      asking.learned(observation, now);
+      asking.addObservation(observation, now);
       // With more to say soon, the answer to that confirms this as well.
-      const isLast = !asking.isWaiting && !this.#hasWorkAt(cell);
+      const isLast = !asking.hasWaiting && !this.#hasWorkAt(cell);
       this.#ask(asking.key, now, { wantsAnswer: isLast });
-      this.#options.onTelling();
+      this.#options.onSendScheduled();
     }
     if (this.#alone.waitingTotal > 0) this.#alone.review(now);
   }
 
   /** Takes in what a keeper says. */
-  hear(answer: PlaceAnswer, now: Milliseconds): void {
+  receive(answer: CellReply, now: Milliseconds): void {
     const { incarnation } = this.#options;
-    if (answer.to !== incarnation) return;
-    for (const snapshot of answer.snapshots) this.#snapshots.see(snapshot);
+    if (answer.toIncarnation !== incarnation) return;
+    for (const snapshot of answer.snapshots) this.#snapshots.update(snapshot);
     const key = cellKeyOf(answer.cell);
     const asking = this.#askings.get(key);
-    const fresh = asking?.hear(answer, now);
+    const fresh = asking?.receive(answer, now);
     if (asking === undefined || fresh === undefined) return;
-    this.#keepers.noteAnswer(answer.host);
+    this.#keepers.clearSkip(answer.host);
     if (fresh.length > 0) {
-      asking.tellBy(now + SEEN_MS);
-      this.#options.onTelling();
+      asking.sendBy(now + SEEN_MS);
+      this.#options.onSendScheduled();
     }
     for (const verdict of fresh) this.#take(verdict, key, now);
-    const hasOther = answer.host !== this.#options.host;
-    if (answer.isLeaving && hasOther) this.#passOver(asking, "leaving", now);
+    const isRemote = answer.host !== this.#options.host;
+    if (answer.isLeaving && isRemote) this.#passOver(asking, "leaving", now);
     this.#spread(key, now);
   }
 
   /** The keeper of a cell has just begun and asks for what hosts do there. */
-  report(cell: Cell, now: Milliseconds): void {
+  resync(cell: Cell, now: Milliseconds): void {
     const asking = this.#askings.get(cellKeyOf(cell));
     if (asking === undefined) return;
-    if (!this.#hasWorkAt(cell) && !asking.isWaiting) return;
-    asking.listNext();
+    if (!this.#hasWorkAt(cell) && !asking.hasWaiting) return;
+    asking.scheduleListing();
     this.#ask(asking.key, now);
   }
 
   /** Who keeps which cell, as this host sees it. */
-  get keepers(): KeeperChoice {
+  get coordinators(): CoordinatorSelector {
     return this.#keepers;
   }
 
   /** The cells of a service. */
   cellsOf(service: ServiceId): readonly Cell[] {
-    return this.#cells.ofService(service);
+    return this.#cells.cellsOf(service);
   }
 
   /** Repeats what went unanswered, confirms work, and looks for dead keepers. */
@@ -264,9 +277,9 @@
     const pause = now - this.#tickedAt;
     this.#tickedAt = now;
     for (const asking of [...this.#askings.values()]) {
-      if (pause > OWN_PAUSE_MS) asking.excuse(pause, now);
+      if (pause > OWN_PAUSE_MS) asking.extendTimeouts(pause, now);
       const { key, cell } = asking;
-      const due = asking.due({ hasWork: this.#hasWorkAt(cell), now });
+      const due = asking.nextAction({ hasWork: this.#hasWorkAt(cell), now });
       if (due === "passed-over") this.#passOver(asking, "silent", now);
       else if (due === "ask") this.#ask(key, now);
       else if (due === "tell") this.#ask(key, now, { wantsAnswer: false });
@@ -284,13 +297,13 @@
       }
       if (seeking.isAlone || !this.#seeking.has(seeking.wish.request)) continue;
       const known = new Set(
-        this.#cells.ofService(seeking.wish.service).map(cellKeyOf),
+        this.#cells.cellsOf(seeking.wish.service).map(cellKeyOf),
       );
       for (const key of [...seeking.cells]) {
         if (!known.has(key)) this.#leave(seeking, key);
       }
       if (seeking.cells.size > 0) continue;
-      const cell = this.#choice.first(seeking.wish, now);
+      const cell = this.#choice.selectFirst(seeking.wish, now);
       if (cell !== undefined) this.#seekIn(cell, seeking, now);
     }
     if (this.#alone.waitingTotal > 0) this.#alone.review(now);
@@ -298,18 +311,18 @@
 
   /** Whether places of a service are free to spare and nobody waits, as last heard. */
   isIdle(service: ServiceId, now: Milliseconds): boolean {
-    return this.#snapshots.areIdle(this.#cells.ofService(service), now);
+    return this.#snapshots.areIdle(this.#cells.cellsOf(service), now);
   }
 
   /** Whether a service has an upstream in reach besides those left out. */
-  hasOther(
+  hasAlternative(
     service: ServiceId,
     { excluded, now }: {
       excluded: ReadonlySet<UpstreamId>;
       now: Milliseconds;
     },
   ): boolean {
-    const { directory, knowledge } = this.#options;
+    const { directory, stats: knowledge } = this.#options;
     return directory.of(service).some(({ upstream }) =>
       !excluded.has(upstream) && !knowledge.health.isEjected(upstream, now)
     );
@@ -320,7 +333,7 @@
     for (const seeking of this.#seekingIn(key)) {
       const { wish, cells: held } = seeking;
       if (held.size >= CELLS_AT_ONCE) continue;
-      const other = this.#choice.another(wish, { held, now });
+      const other = this.#choice.selectAdditional(wish, { held, now });
       if (other !== undefined) this.#seekIn(other, seeking, now);
     }
   }
@@ -333,7 +346,7 @@
   }
 
   #take(
-    { request, decision }: PlaceVerdict,
+    { request, decision }: NumberedDecision,
     key: CellKey,
     now: Milliseconds,
   ): void {
@@ -367,7 +380,7 @@
     seeking: Seeking,
     { key, decision, now }: {
       key: CellKey;
-      decision: Extract<Verdict, { kind: "refuse" }>;
+      decision: Extract<PlacementDecision, { kind: "refuse" }>;
       now: Milliseconds;
     },
   ): void {
@@ -390,24 +403,24 @@
     decide({
       kind: "refuse",
       reason: "evacuated",
-      outlook: { ahead: 0, startsPerSecond: 0, wait: EVACUATED_RETURN_MS },
+      estimate: { ahead: 0, startsPerSecond: 0, wait: EVACUATED_RETURN_MS },
     });
   }
 
   /** A cell that holds an upstream which has not got the request. */
-  #cellWithOther({ service, excluded }: PlaceWish): Cell | undefined {
+  #cellWithOther({ service, excluded }: PlacementRequest): Cell | undefined {
     const upstream = this.#options.directory.of(service).find((candidate) =>
       !excluded.has(candidate.upstream)
     );
-    return upstream === undefined ? undefined : this.#cells.of(upstream);
+    return upstream === undefined ? undefined : this.#cells.cellOf(upstream);
   }
 
   #decideAlone(seeking: Seeking, now: Milliseconds): void {
     seeking.isAlone = true;
     for (const key of [...seeking.cells]) this.#leave(seeking, key);
-    const candidate = candidateOf(
+    const candidate = createPendingRequest(
       seeking.wish,
-      this.#options.knowledge,
+      this.#options.stats,
       (verdict) => {
         this.#close(seeking);
         seeking.decide(verdict);
@@ -436,23 +449,23 @@
   }
 
   #passOver(
-    asking: CellAsking,
-    kind: KeeperSilence,
+    asking: CellSession,
+    kind: FailoverReason,
     now: Milliseconds,
   ): void {
-    const { keeper, key } = asking;
-    const { host, onKeeper } = this.#options;
-    if (keeper !== undefined) this.#keepers.passOver(keeper, now);
-    onKeeper({ cell: key, kind, keeper });
-    asking.notePassedOver(kind);
-    const isAlone = asking.silentKeepers >= SILENT_KEEPERS ||
+    const { coordinator: keeper, key } = asking;
+    const { host, onCoordinatorChange: onKeeper } = this.#options;
+    if (keeper !== undefined) this.#keepers.skip(keeper, now);
+    onKeeper({ cell: key, kind, coordinator: keeper });
+    asking.recordFailover(kind);
+    const isAlone = asking.silentCoordinators >= SILENT_KEEPERS ||
       keeper === host;
     if (!isAlone) return this.#ask(key, now);
-    onKeeper({ cell: key, kind: "alone", keeper });
+    onKeeper({ cell: key, kind: "alone", coordinator: keeper });
     for (const seeking of this.#seekingIn(key)) {
       this.#decideAlone(seeking, now);
     }
-    asking.giveUp();
+    asking.reset();
   }
 
   #ask(
@@ -463,14 +476,18 @@
     const asking = this.#askings.get(key);
     if (asking === undefined) return;
     const { host, incarnation, send } = this.#options;
-    const keeper = this.#keepers.keeperOf(asking.cell, now);
-    const { described, ...ask } = asking.compose({ keeper, wantsAnswer, now });
+    const keeper = this.#keepers.coordinatorOf(asking.cell, now);
+    const { described, ...ask } = asking.createUpdate({
+      keeper,
+      wantsAnswer,
+      now,
+    });
     send(keeper, {
       ...ask,
       host,
       incarnation,
       inFlight: this.#workAt(asking.cell),
-      wishes: described.flatMap((request) =>
+      requests: described.flatMap((request) =>
         this.#seeking.get(request)?.wish ?? []
       ),
     });
@@ -478,17 +495,17 @@
 
   #hasWorkAt(cell: Cell): boolean {
     for (const upstream of this.#alone.load.ownInFlight().keys()) {
-      if (this.#cells.holds(cell, upstream)) return true;
+      if (this.#cells.hasUpstream(cell, upstream)) return true;
     }
     return false;
   }
 
   #workAt(
     cell: Cell,
-  ): Map<UpstreamId, { requests: number; unreadTokens: number }> {
+  ): Map<UpstreamId, { requests: number; pendingPrefillTokens: number }> {
     const work = new Map();
     for (const [upstream, load] of this.#alone.load.ownInFlight()) {
-      if (this.#cells.holds(cell, upstream)) work.set(upstream, load);
+      if (this.#cells.hasUpstream(cell, upstream)) work.set(upstream, load);
     }
     return work;
   }
@@ -498,11 +515,11 @@
     return requests.flatMap((request) => this.#seeking.get(request) ?? []);
   }
 
-  #askingOf(cell: Cell): CellAsking {
+  #askingOf(cell: Cell): CellSession {
     const key = cellKeyOf(cell);
     let asking = this.#askings.get(key);
     if (asking === undefined) {
-      asking = new CellAsking(cell);
+      asking = new CellSession(cell);
       this.#askings.set(key, asking);
     }
     return asking;
--- a/packages/admission/src/placeWish.ts
+++ b/packages/admission/src/placementRequest.ts
@@ -6,10 +6,10 @@
   Tier,
   UpstreamId,
 } from "@wasabivane/common";
-import { startBounds } from "./patience.ts";
-import type { Candidate, Verdict } from "./placeScheduler.ts";
+import { computeStartBounds } from "./callerTimeouts.ts";
+import type { PendingRequest, PlacementDecision } from "./requestScheduler.ts";
 import type { PromptPart, RouteId } from "./types.ts";
-import type { UpstreamKnowledge } from "./upstreamKnowledge.ts";
+import type { UpstreamStats } from "./upstreamStats.ts";
 
 /** Part of the target that a margin takes at most: a belief must not make all late. */
 const MOST_MARGIN_SHARE = 0.5;
@@ -17,7 +17,7 @@
 const LEAST_HOLD_MS: Milliseconds = 1;
 
 /** A request that wants a place, as its host describes it to whoever keeps the line. */
-export interface PlaceWish {
+export interface PlacementRequest {
   readonly request: RequestId;
   readonly service: ServiceId;
   /** Where the host is that sends it. */
@@ -30,7 +30,7 @@
   /** When the whole answer must have been given. */
   readonly deadline: Milliseconds;
   /** Time from arrival for which its caller bears it that nothing comes. */
-  readonly patience: Milliseconds;
+  readonly firstByteTimeout: Milliseconds;
   readonly promptTokens: number;
   /** Tokens that its caller expects in the answer; 0 where it does not say. */
   readonly expectedTokens: number;
@@ -45,28 +45,31 @@
 }
 
 /** Works out from what is known of the upstreams what a scheduler decides by. */
-export function candidateOf(
-  wish: PlaceWish,
-  knowledge: UpstreamKnowledge,
-  decide: (verdict: Verdict) => void,
-): Candidate {
+export function createPendingRequest(
+  wish: PlacementRequest,
+  knowledge: UpstreamStats,
+  decide: (verdict: PlacementDecision) => void,
+): PendingRequest {
   const { service, route, arrivedAt, target, promptTokens } = wish;
   const latency = knowledge.firstEvents.expected(service, { promptTokens });
-  const answering = knowledge.answerTimes.expected(route, wish.expectedTokens);
+  const answering = knowledge.responseDurations.expected(
+    route,
+    wish.expectedTokens,
+  );
   return {
     ...wish,
     since: arrivedAt,
     dueAt: arrivedAt + target,
     hold: Math.max(LEAST_HOLD_MS, latency + answering),
-    answering,
-    ...startBounds({
+    responseDuration: answering,
+    ...computeStartBounds({
       arrivedAt,
       target,
-      patience: wish.patience,
+      firstByteTimeout: wish.firstByteTimeout,
       latency,
     }),
     margin: Math.min(
-      knowledge.margins.of(route),
+      knowledge.latencyMargins.of(route),
       MOST_MARGIN_SHARE * target,
     ),
     decide,
--- a/packages/admission/src/crashBook.ts
+++ b/packages/admission/src/poisonRequestDetector.ts
@@ -23,30 +23,30 @@
  * nothing; it counts when the upstream is found down right after. Hosts tell
  * each other of crashes, so that three on any hosts convict.
  */
-export class CrashBook {
+export class PoisonRequestDetector {
   readonly #broken: Crash[] = [];
   readonly #crashes = new Map<Digest, Map<UpstreamId, Milliseconds>>();
 
   /** The answer to a request broke off. */
-  noteBroken(crash: Crash): void {
+  recordBrokenResponse(crash: Crash): void {
     this.#broken.push(crash);
     while (this.#broken.length > MAXIMUM_FINGERPRINTS) this.#broken.shift();
   }
 
   /** An upstream is down; gives back the crashes that this confirms. */
-  noteDown(upstream: UpstreamId, now: Milliseconds): Crash[] {
+  confirmCrashes(upstream: UpstreamId, now: Milliseconds): Crash[] {
     const confirmed: Crash[] = [];
     for (const crash of this.#broken.splice(0)) {
       if (now - crash.at > CONFIRMATION_MS) continue;
       if (crash.upstream === upstream) confirmed.push(crash);
       else this.#broken.push(crash);
     }
-    for (const crash of confirmed) this.hear(crash);
+    for (const crash of confirmed) this.recordCrash(crash);
     return confirmed;
   }
 
   /** Takes in a crash, also one that a peer saw; true when it was news. */
-  hear({ fingerprint, upstream, at }: Crash): boolean {
+  recordCrash({ fingerprint, upstream, at }: Crash): boolean {
     const crashes = this.#crashes.get(fingerprint) ?? new Map();
     const isNews = !crashes.has(upstream);
     this.#crashes.delete(fingerprint);
@@ -58,7 +58,7 @@
   }
 
   /** Whether a request has crashed so many upstreams that it must not run again. */
-  isConvicted(fingerprint: Digest, now: Milliseconds): boolean {
+  isQuarantined(fingerprint: Digest, now: Milliseconds): boolean {
     const crashes = this.#crashes.get(fingerprint);
     if (crashes === undefined) return false;
     for (const [upstream, at] of crashes) {
--- a/packages/admission/src/freshness.ts
+++ b/packages/admission/src/policyFreshness.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from "@wasabivane/common";
 
-/** Options of a {@link Freshness}. */
-export interface FreshnessOptions {
+/** Options of a {@link PolicyFreshness}. */
+export interface PolicyFreshnessOptions {
   /** Within this time of being withdrawn, a key must have stopped working. */
   readonly revocationBound: Milliseconds;
   /** Within this time of being published, a policy must be in force. */
@@ -26,18 +26,18 @@
  * newer proof) is a lease; when it has run out, requests with a key are
  * refused as not run, and nothing is denied for good.
  */
-export class Freshness {
+export class PolicyFreshness {
   readonly #keyLease: Milliseconds;
   readonly #denialLease: Milliseconds;
   #provenAt: Milliseconds = -Infinity;
 
-  constructor({ revocationBound, applyBound }: FreshnessOptions) {
+  constructor({ revocationBound, applyBound }: PolicyFreshnessOptions) {
     this.#keyLease = revocationBound * KEY_LEASE_SHARE;
     this.#denialLease = applyBound * DENIAL_SHARE;
   }
 
   /** The policy in force was the newest at this moment; older proofs change nothing. */
-  prove(at: Milliseconds): void {
+  confirm(at: Milliseconds): void {
     this.#provenAt = Math.max(this.#provenAt, at);
   }
 
@@ -47,12 +47,12 @@
   }
 
   /** Whether requests may be served on the word of a key. */
-  mayTrustKeys(now: Milliseconds): boolean {
+  isKeyTrusted(now: Milliseconds): boolean {
     return this.age(now) <= this.#keyLease;
   }
 
   /** Whether an unknown route or key may be denied. */
-  mayDeny(now: Milliseconds): boolean {
+  isDenialAllowed(now: Milliseconds): boolean {
     return this.age(now) <= this.#denialLease;
   }
 }
--- a/packages/admission/src/promptMemory.ts
+++ b/packages/admission/src/prefixCacheIndex.ts
@@ -17,12 +17,12 @@
  * Spread over all engines, each reads every common beginning once more; a fifth of
  * what engines read can be saved by going back to where it was read.
  */
-export class PromptMemory {
+export class PrefixCacheIndex {
   readonly #read = new Map<UpstreamId, Map<string, Milliseconds>>();
   readonly #holders = new Map<string, Set<UpstreamId>>();
 
   /** A prompt of these parts goes to an upstream. */
-  note(
+  recordPrompt(
     upstream: UpstreamId,
     parts: readonly PromptPart[],
     now: Milliseconds,
@@ -42,7 +42,7 @@
   }
 
   /** Upstreams that have read the longest beginning of a prompt which any has read. */
-  holdersOf(parts: readonly PromptPart[]): ReadonlySet<UpstreamId> {
+  upstreamsCaching(parts: readonly PromptPart[]): ReadonlySet<UpstreamId> {
     for (const { part } of parts.toReversed()) {
       const holders = this.#holders.get(part);
       if (holders !== undefined) return holders;
@@ -51,7 +51,7 @@
   }
 
   /** Tokens of the longest beginning of a prompt that an upstream likely holds. */
-  held(
+  cachedTokens(
     upstream: UpstreamId,
     parts: readonly PromptPart[],
     now: Milliseconds,
--- a/packages/admission/src/quotaBook.ts
+++ b/packages/admission/src/quotaLimiter.ts
@@ -51,7 +51,7 @@
  * Peers lag by a fraction of a second, which a bucket in debt makes good. A peer
  * that falls silent may be cut off: its last rate stays charged for a while.
  */
-export class QuotaBook {
+export class QuotaLimiter {
   readonly #tolerance: QuotaTolerance;
   readonly #buckets = new Map<ClientAccountId, QuotaBucket>();
   readonly #used = new Map<ClientAccountId, number>();
@@ -89,7 +89,7 @@
   }
 
   /** Gives back units of a request that did not run. */
-  giveBack(account: ClientAccountId, units: number): void {
+  refund(account: ClientAccountId, units: number): void {
     this.#buckets.get(account)?.take(-units);
     this.#used.set(account, (this.#used.get(account) ?? 0) - units);
   }
@@ -100,7 +100,10 @@
   }
 
   /** Takes out what a peer admitted since its last word. */
-  hear({ host, incarnation, used }: UsageReport, now: Milliseconds): void {
+  applyUsage(
+    { host, incarnation, used }: UsageReport,
+    now: Milliseconds,
+  ): void {
     const former = this.#peers.get(host);
     if (former === undefined || former.incarnation !== incarnation) {
       this.#peers.set(host, freshUsage({ incarnation, used, now }));
--- a/packages/admission/src/keeperOrder.ts
+++ b/packages/admission/src/rankCoordinators.ts
@@ -12,7 +12,7 @@
 const LEAST_CORES = 0.05;
 
 /** A live host that may keep a cell. */
-export interface KeeperCandidate {
+export interface CoordinatorCandidate {
   readonly host: HostId;
   readonly failureDomain: FailureDomain;
   /** Time since its process started. */
@@ -30,9 +30,9 @@
  * machines of a mixed fleet a burst takes all the processor there is, the keeper
  * answers late, and its hosts go on without it at the worst time.
  */
-export function keeperOrder(
+export function rankCoordinators(
   cell: Cell,
-  candidates: readonly KeeperCandidate[],
+  candidates: readonly CoordinatorCandidate[],
 ): HostId[] {
   const key = cellKeyOf(cell);
   const ranked = candidates.map(({ host, failureDomain, age, cores }) => ({
--- a/packages/admission/src/waitingLine.ts
+++ b/packages/admission/src/requestQueue.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds, RequestId, Tier } from "@wasabivane/common";
-import { ShortRoom } from "./shortRoom.ts";
+import { BypassBudget } from "./bypassBudget.ts";
 import { SortedQueue } from "./sortedQueue.ts";
 import { type Rank, StartRates } from "./startRates.ts";
 
@@ -13,7 +13,7 @@
 const PLACES = 3;
 
 /** A request in a line. */
-export interface Waiter {
+export interface QueuedRequest {
   readonly request: RequestId;
   readonly tier: Tier;
   readonly since: Milliseconds;
@@ -28,7 +28,7 @@
 }
 
 /** What a line promises one of its requests, or one that would join it. */
-export interface Outlook {
+export interface QueueEstimate {
   /** Requests that start before it as long as it is as urgent as now. */
   readonly ahead: number;
   /** Starts a second of requests like it; `undefined` while that is not known. */
@@ -49,7 +49,7 @@
  * Orders the requests that wait for one service: the most urgent tier first; within
  * it those that go on with begun work; then those that can still be on time, earliest
  * due first; then those that are late anyway, in order of arrival. Short work of lower
- * tiers has a bounded room of its own, see {@link ShortRoom}.
+ * tiers has a bounded room of its own, see {@link BypassBudget}.
  *
  * Answers the load pattern of a burst above capacity. First come, first served
  * would make every request late in turn; serving those that can still be on
@@ -60,12 +60,12 @@
  * vain. Begun work is never told so: most of it is done, and what was passed on would
  * break off.
  */
-export class WaitingLine<Item extends Waiter> {
+export class RequestQueue<Item extends QueuedRequest> {
   readonly #queued = new Map<RequestId, Queued<Item>>();
   /** By rank; those of a rank are in the order in which they should start. */
   readonly #queues = new Map<Rank, SortedQueue<Item>>();
   readonly #rates = new StartRates();
-  readonly #room = new ShortRoom();
+  readonly #room = new BypassBudget();
   #pushed = 0;
   /** Before this time no request of the line is of no use any more. */
   #uselessFrom: Milliseconds = Infinity;
@@ -76,12 +76,12 @@
   }
 
   /** Whether something has waited for a good part of the last seconds. */
-  get isStanding(): boolean {
+  get isBacklogged(): boolean {
     return this.#rates.isKnown;
   }
 
   push(item: Item, now: Milliseconds): void {
-    this.#rates.pass(this.size > 0, now);
+    this.#rates.advance(this.size > 0, now);
     this.remove(item.request);
     this.#add(item, this.#pushed++, now);
     if (isBegun(item)) return;
@@ -90,11 +90,11 @@
 
   /** Takes out a request that starts. */
   start(request: RequestId, now: Milliseconds): Item | undefined {
-    this.#rates.pass(this.size > 0, now);
+    this.#rates.advance(this.size > 0, now);
     const item = this.remove(request);
     if (item === undefined) return undefined;
-    this.#rates.count(rankOf(item, now));
-    this.#room.noteStart(item, this.#hasAbove(item.tier));
+    this.#rates.recordStart(rankOf(item, now));
+    this.#room.recordStart(item, this.#hasAbove(item.tier));
     return item;
   }
 
@@ -110,8 +110,8 @@
    * Takes out the requests that are of no use any more, and those that are late and
    * will not start in time at the pace of the line.
    */
-  takeUseless(now: Milliseconds): Item[] {
-    this.#rates.pass(this.size > 0, now);
+  removeUnservable(now: Milliseconds): Item[] {
+    this.#rates.advance(this.size > 0, now);
     return [...this.#takeExpired(now), ...this.#takeOutpaced(now)];
   }
 
@@ -138,7 +138,7 @@
       if (!isRankOfLate(rank)) continue;
       let ahead = 0;
       for (const item of this.#queues.get(rank)!.items) {
-        const startsAt = now + this.#rates.waitBehind(ahead, [rank]);
+        const startsAt = now + this.#rates.estimateWait(ahead, [rank]);
         if (startsAt > item.usefulUntil) outpaced.push(item);
         else ahead++;
       }
@@ -152,16 +152,16 @@
    * any use, or for an answer on time while it could still be. With nobody ahead it may
    * start at once and is never refused for a belief.
    */
-  isHopeless(item: Waiter, now: Milliseconds): boolean {
+  shouldRefuse(item: QueuedRequest, now: Milliseconds): boolean {
     if (isBegun(item)) return false;
-    const { ahead, wait } = this.outlook(item, now);
+    const { ahead, wait } = this.estimate(item, now);
     if (ahead === 0) return false;
     const until = isLate(item, now) ? item.usefulUntil : item.onTimeUntil;
     return now + wait > until;
   }
 
   /** What the line promises a request, waiting or not. */
-  outlook(item: Waiter, now: Milliseconds): Outlook {
+  estimate(item: QueuedRequest, now: Milliseconds): QueueEstimate {
     this.#noteLate(now);
     const rank = rankOf(item, now);
     if (isRankOfLate(rank)) {
@@ -170,7 +170,7 @@
       return {
         ahead,
         startsPerSecond,
-        wait: this.#rates.waitBehind(ahead, [rank]),
+        wait: this.#rates.estimateWait(ahead, [rank]),
       };
     }
     const ranks = ranksOf(item.tier);
@@ -181,7 +181,7 @@
     return {
       ahead,
       startsPerSecond: this.#rates.perSecond(ranks),
-      wait: this.#rates.waitBehind(ahead, ranks),
+      wait: this.#rates.estimateWait(ahead, ranks),
     };
   }
 
@@ -202,10 +202,10 @@
 
   /** Short work that may be started before all that is more urgent. */
   #passing(ranks: readonly Rank[]): Item[] {
-    const turn = this.#room.takeTurn();
+    const turn = this.#room.startSelection();
     const passing: Item[] = [];
     for (const rank of ranks) {
-      const mayPass = !isRankOfLate(rank) && turn.mayPass(tierOf(rank));
+      const mayPass = !isRankOfLate(rank) && turn.isTierAllowed(tierOf(rank));
       if (!mayPass) continue;
       for (const item of this.#queues.get(rank)!.items) {
         if (turn.take(item)) passing.push(item);
@@ -251,7 +251,7 @@
   }
 
   /** Others of its rank whose turn comes no later. */
-  #aheadOf(item: Waiter, rank: Rank, now: Milliseconds): number {
+  #aheadOf(item: QueuedRequest, rank: Rank, now: Milliseconds): number {
     const count = this.#queues.get(rank)?.countUpTo(turnOf(item, now)) ?? 0;
     const isCounted = this.#queued.get(item.request)?.rank === rank;
     return isCounted ? count - 1 : count;
@@ -261,22 +261,26 @@
 /** Whether a request is as urgent as another one and due at most so long after it. */
 export function isDueWithin(
   span: Milliseconds,
-  { first, other, now }: { first: Waiter; other: Waiter; now: Milliseconds },
+  { first, other, now }: {
+    first: QueuedRequest;
+    other: QueuedRequest;
+    now: Milliseconds;
+  },
 ): boolean {
   return rankOf(first, now) === rankOf(other, now) &&
     turnOf(other, now) <= turnOf(first, now) + span;
 }
 
-function isBegun({ isContinuation }: Waiter): boolean {
+function isBegun({ isContinuation }: QueuedRequest): boolean {
   return isContinuation === true;
 }
 
 /** Begun work is never late in the sense of the order. */
-function isLate(item: Waiter, now: Milliseconds): boolean {
+function isLate(item: QueuedRequest, now: Milliseconds): boolean {
   return !isBegun(item) && item.onTimeUntil <= now;
 }
 
-function rankOf(item: Waiter, now: Milliseconds): Rank {
+function rankOf(item: QueuedRequest, now: Milliseconds): Rank {
   const place = isBegun(item) ? BEGUN : isLate(item, now) ? LATE : ON_TIME;
   return PLACES * item.tier + place;
 }
@@ -299,6 +303,6 @@
 }
 
 /** Order within a rank: earliest due first, what is late or begun by its arrival. */
-function turnOf(item: Waiter, now: Milliseconds): Milliseconds {
+function turnOf(item: QueuedRequest, now: Milliseconds): Milliseconds {
   return isLate(item, now) || isBegun(item) ? item.since : item.onTimeUntil;
 }
--- a/packages/admission/src/placeScheduler.ts
+++ b/packages/admission/src/requestScheduler.ts
@@ -5,17 +5,17 @@
   ServiceId,
 } from "@wasabivane/common";
 import { FleetLoad } from "./fleetLoad.ts";
-import { Placement, type Wish } from "./placement.ts";
-import { PromptMemory } from "./promptMemory.ts";
+import { Placement, type PlacementCriteria } from "./placement.ts";
+import { PrefixCacheIndex } from "./prefixCacheIndex.ts";
 import type { StartLimit } from "./startLimit.ts";
 import type { Upstream } from "./types.ts";
-import type { UpstreamKnowledge } from "./upstreamKnowledge.ts";
+import type { UpstreamStats } from "./upstreamStats.ts";
 import {
   isDueWithin,
-  type Outlook,
-  type Waiter,
-  WaitingLine,
-} from "./waitingLine.ts";
+  type QueuedRequest,
+  type QueueEstimate,
+  RequestQueue,
+} from "./requestQueue.ts";
 
 /**
  * Least time from an answer's end until the next request of the line is at its upstream:
@@ -35,16 +35,16 @@
 const RESIDENCE_WEIGHT = 0.05;
 
 /** A request that wants an upstream. */
-export interface Candidate extends Waiter, Wish {
+export interface PendingRequest extends QueuedRequest, PlacementCriteria {
   readonly service: ServiceId;
   /** By how much it starts sooner than need be while the line stands, to be on time likely. */
   readonly margin?: Milliseconds;
   /** Called once unless the candidate is withdrawn. */
-  readonly decide: (verdict: Verdict) => void;
+  readonly decide: (verdict: PlacementDecision) => void;
 }
 
-/** Why a {@link Candidate} gets no place. */
-export type PlaceRefusal =
+/** Why a {@link PendingRequest} gets no place. */
+export type PlacementRefusal =
   | "line-too-long"
   | "waited-out"
   /** It was sent to every upstream of the service before. */
@@ -52,21 +52,21 @@
   /** Every upstream of the service is in a failure domain that operators have evacuated. */
   | "evacuated";
 
-/** What was decided about a {@link Candidate}. */
-export type Verdict =
+/** What was decided about a {@link PendingRequest}. */
+export type PlacementDecision =
   | {
     readonly kind: "place";
     readonly upstream: Upstream;
     /** Requests that the upstream has besides, as far as whoever decided knows. */
     readonly inFlight: number;
     /** Prompt tokens that it reads before this one's. */
-    readonly unreadTokens: number;
+    readonly pendingPrefillTokens: number;
   }
   | {
     readonly kind: "refuse";
-    readonly reason: PlaceRefusal;
+    readonly reason: PlacementRefusal;
     /** What the line promised when it was decided. */
-    readonly outlook: Outlook;
+    readonly estimate: QueueEstimate;
   };
 
 /** Which upstreams of a service may get work. */
@@ -74,22 +74,22 @@
   of(service: ServiceId): readonly Upstream[];
 }
 
-/** What a {@link PlaceScheduler} is built from. */
-export interface PlaceSchedulerOptions {
+/** What a {@link RequestScheduler} is built from. */
+export interface RequestSchedulerOptions {
   readonly upstreams: UpstreamSource;
-  readonly knowledge: UpstreamKnowledge;
+  readonly stats: UpstreamStats;
   readonly random: Random;
   readonly starts: StartLimit;
 }
 
 interface ServiceLine {
-  readonly line: WaitingLine<Candidate>;
+  readonly line: RequestQueue<PendingRequest>;
   residence: Milliseconds;
 }
 
 /** Places and waiting requests of some upstreams. */
-export interface PlaceCounts {
-  readonly places: number;
+export interface SlotCounts {
+  readonly capacity: number;
   readonly free: number;
   readonly waiting: number;
 }
@@ -102,24 +102,24 @@
  * arrival and know no tiers. Requests wait here, in order of tier, and engines get
  * no more than they run at once, over all hosts that tell of their work.
  */
-export class PlaceScheduler {
+export class RequestScheduler {
   readonly load = new FleetLoad();
   readonly #upstreams: UpstreamSource;
   readonly #starts: StartLimit;
-  readonly #prompts = new PromptMemory();
+  readonly #prompts = new PrefixCacheIndex();
   readonly #placement: Placement;
   /** What it takes to fill a place that came free, on the mean. */
   #refill: Milliseconds = LEAST_REFILL_MS;
   readonly #services = new Map<ServiceId, ServiceLine>();
 
-  constructor(options: PlaceSchedulerOptions) {
-    const { upstreams, knowledge, random, starts } = options;
+  constructor(options: RequestSchedulerOptions) {
+    const { upstreams, stats: knowledge, random, starts } = options;
     this.#upstreams = upstreams;
     this.#starts = starts;
     this.#placement = new Placement({
       load: this.load,
-      knowledge,
-      prompts: this.#prompts,
+      stats: knowledge,
+      prefixCaches: this.#prompts,
       random,
       starts,
       limitOf: (upstream) => this.#limitOf(upstream),
@@ -127,21 +127,21 @@
   }
 
   /** Takes a candidate in and fills free places; it may be decided before the call returns. */
-  submit(candidate: Candidate, now: Milliseconds): void {
+  submit(candidate: PendingRequest, now: Milliseconds): void {
     this.enqueue(candidate, now);
-    this.fill(candidate.service, now);
+    this.fillSlots(candidate.service, now);
   }
 
   /** Takes a candidate in; it may be refused before the call returns. */
-  enqueue(candidate: Candidate, now: Milliseconds): void {
+  enqueue(candidate: PendingRequest, now: Milliseconds): void {
     const { line } = this.#stateOf(candidate.service);
     if (this.#hasNoOther(candidate)) {
       return refuse(candidate, "no-other-upstream", { line, now });
     }
-    if (line.isHopeless(candidate, now)) {
+    if (line.shouldRefuse(candidate, now)) {
       return refuse(candidate, "line-too-long", { line, now });
     }
-    line.push(line.isStanding ? withMargin(candidate) : candidate, now);
+    line.push(line.isBacklogged ? withMargin(candidate) : candidate, now);
   }
 
   /** Takes back a candidate that still waits. */
@@ -150,7 +150,7 @@
   }
 
   /** An attempt that answered whole held its place for so long. */
-  noteResidence(service: ServiceId, residence: Milliseconds): void {
+  recordResidence(service: ServiceId, residence: Milliseconds): void {
     const state = this.#stateOf(service);
     state.residence += RESIDENCE_WEIGHT * (residence - state.residence);
   }
@@ -159,7 +159,7 @@
    * A host says what it takes to be answered: from an end that it tells to a start that
    * it is told of. Hosts that are slow themselves leave places empty for so long.
    */
-  noteTurnaround(span: Milliseconds): void {
+  recordTurnaround(span: Milliseconds): void {
     if (span <= 0) return;
     this.#refill += REFILL_WEIGHT * (span - this.#refill);
   }
@@ -167,10 +167,10 @@
   /** Looks at every line again: upstreams or hosts' work have changed, or time went by. */
   review(now: Milliseconds): void {
     for (const [service, { line }] of this.#services) {
-      for (const candidate of line.takeUseless(now)) {
+      for (const candidate of line.removeUnservable(now)) {
         refuse(candidate, "waited-out", { line, now });
       }
-      this.fill(service, now);
+      this.fillSlots(service, now);
     }
   }
 
@@ -182,23 +182,23 @@
   }
 
   /** Places of a service, those that are free and the requests that wait. */
-  counts(service: ServiceId, now: Milliseconds): PlaceCounts {
+  counts(service: ServiceId, now: Milliseconds): SlotCounts {
     const upstreams = this.#upstreams.of(service);
     let places = 0;
     for (const upstream of upstreams) places += this.#limitOf(upstream);
     return {
-      places,
-      free: this.#placement.freePlaces(upstreams, now),
+      capacity: places,
+      free: this.#placement.freeSlots(upstreams, now),
       waiting: this.#services.get(service)?.line.size ?? 0,
     };
   }
 
   /** Fills free places in order of the line. */
-  fill(service: ServiceId, now: Milliseconds): void {
+  fillSlots(service: ServiceId, now: Milliseconds): void {
     const { line } = this.#stateOf(service);
     if (line.size === 0) return;
     const upstreams = this.#upstreams.of(service);
-    let left = this.#placement.freePlaces(upstreams, now);
+    let left = this.#placement.freeSlots(upstreams, now);
     if (left <= 0) return;
     const order = line.inOrder(now, MAXIMUM_LOOKS);
     for (let next = order.shift(); next !== undefined; next = order.shift()) {
@@ -226,18 +226,22 @@
   #bestFor(
     upstream: Upstream,
     { next, order, now }: {
-      next: Candidate;
-      order: readonly Candidate[];
+      next: PendingRequest;
+      order: readonly PendingRequest[];
       now: Milliseconds;
     },
-  ): Candidate {
+  ): PendingRequest {
     // The room for short work is its own: nobody else takes the place that it pays for.
     const isPassing = order.some(({ tier }) => tier < next.tier);
     if (isPassing) return next;
     let best = next;
     let mostSaved = 0;
     for (const other of order) {
-      const saved = this.#placement.savedBy(upstream, { next, other, now });
+      const saved = this.#placement.prefillTimeSaved(upstream, {
+        next,
+        other,
+        now,
+      });
       if (saved <= mostSaved) continue;
       if (!isDueWithin(saved, { first: next, other, now })) continue;
       best = other;
@@ -247,22 +251,22 @@
   }
 
   #place(
-    { parts, decide }: Candidate,
+    { parts, decide }: PendingRequest,
     upstream: Upstream,
     now: Milliseconds,
   ): void {
     const id = upstream.upstream;
-    this.#prompts.note(id, parts, now);
-    this.#starts.noteStart(upstream, now);
+    this.#prompts.recordPrompt(id, parts, now);
+    this.#starts.recordStart(upstream, now);
     decide({
       kind: "place",
       upstream,
       inFlight: this.load.total(id),
-      unreadTokens: this.load.unreadTokens(id),
+      pendingPrefillTokens: this.load.pendingPrefillTokens(id),
     });
   }
 
-  #hasNoOther({ service, excluded }: Candidate): boolean {
+  #hasNoOther({ service, excluded }: PendingRequest): boolean {
     const upstreams = this.#upstreams.of(service);
     return upstreams.length > 0 &&
       upstreams.every(({ upstream }) => excluded?.has(upstream));
@@ -285,7 +289,7 @@
     let state = this.#services.get(service);
     if (state === undefined) {
       state = {
-        line: new WaitingLine(),
+        line: new RequestQueue(),
         residence: FIRST_RESIDENCE_MS,
       };
       this.#services.set(service, state);
@@ -295,16 +299,16 @@
 }
 
 /** The candidate, due sooner by its margin. */
-function withMargin(candidate: Candidate): Candidate {
+function withMargin(candidate: PendingRequest): PendingRequest {
   const { onTimeUntil, margin = 0 } = candidate;
   return { ...candidate, onTimeUntil: onTimeUntil - margin };
 }
 
 function refuse(
-  candidate: Candidate,
-  reason: PlaceRefusal,
-  { line, now }: { line: WaitingLine<Candidate>; now: Milliseconds },
+  candidate: PendingRequest,
+  reason: PlacementRefusal,
+  { line, now }: { line: RequestQueue<PendingRequest>; now: Milliseconds },
 ): void {
-  const outlook = line.outlook(candidate, now);
-  candidate.decide({ kind: "refuse", reason, outlook });
+  const outlook = line.estimate(candidate, now);
+  candidate.decide({ kind: "refuse", reason, estimate: outlook });
 }
--- a/packages/admission/src/answerTimeModel.ts
+++ b/packages/admission/src/responseDurationModel.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds, ServiceId, UpstreamId } from "@wasabivane/common";
-import { LineFit } from "./lineFit.ts";
+import { LinearFit } from "./linearFit.ts";
 import type { RouteId } from "./types.ts";
 import type { UpstreamSpeed } from "./upstreamSpeed.ts";
 
@@ -7,7 +7,7 @@
 const FIRST_GUESS_MS: Milliseconds = 300;
 
 /** One answer's time from its first event to its end. */
-export interface AnswerTimeSample {
+export interface ResponseDurationSample {
   readonly route: RouteId;
   readonly service: ServiceId;
   readonly upstream: UpstreamId;
@@ -24,26 +24,27 @@
  * engines that run few at once: what a request costs the others is the time for
  * which it holds its place.
  */
-export class AnswerTimeModel {
+export class ResponseDurationModel {
   readonly #speed: UpstreamSpeed;
-  readonly #fits = new Map<RouteId, LineFit>();
+  readonly #fits = new Map<RouteId, LinearFit>();
 
   constructor(speed: UpstreamSpeed) {
     this.#speed = speed;
   }
 
   observe(
-    { route, service, upstream, expectedTokens, duration }: AnswerTimeSample,
+    { route, service, upstream, expectedTokens, duration }:
+      ResponseDurationSample,
   ): void {
     const time = duration / this.#speed.slowness(service, upstream);
     const fit = this.#fits.get(route);
     if (fit === undefined) {
-      this.#fits.set(route, new LineFit(expectedTokens, time));
+      this.#fits.set(route, new LinearFit(expectedTokens, time));
     } else fit.add(expectedTokens, time);
   }
 
   /** Expected time at the service's mean upstream. */
   expected(route: RouteId, expectedTokens: number): Milliseconds {
-    return this.#fits.get(route)?.at(expectedTokens) ?? FIRST_GUESS_MS;
+    return this.#fits.get(route)?.predict(expectedTokens) ?? FIRST_GUESS_MS;
   }
 }
--- a/packages/admission/src/retryBudget.ts
+++ b/packages/admission/src/retryBudget.ts
@@ -15,7 +15,7 @@
 }
 
 /** Who shares the budget, and when it is asked for. */
-export interface BudgetSituation {
+export interface RetryBudgetContext {
   readonly hosts: number;
   readonly now: Milliseconds;
 }
@@ -42,12 +42,12 @@
   }
 
   /** A request is sent for the first time. */
-  countFirst(service: ServiceId, now: Milliseconds): void {
+  countInitial(service: ServiceId, now: Milliseconds): void {
     this.#current(service, now).first++;
   }
 
   /** Whether one further send is left. */
-  hasFurther(service: ServiceId, situation: BudgetSituation): boolean {
+  hasRetry(service: ServiceId, situation: RetryBudgetContext): boolean {
     this.#current(service, situation.now);
     let first = 0;
     let further = 0;
@@ -61,8 +61,8 @@
   }
 
   /** Takes one further send, or says that there is none left. */
-  takeFurther(service: ServiceId, situation: BudgetSituation): boolean {
-    if (!this.hasFurther(service, situation)) return false;
+  takeRetry(service: ServiceId, situation: RetryBudgetContext): boolean {
+    if (!this.hasRetry(service, situation)) return false;
     this.#current(service, situation.now).further++;
     return true;
   }
--- a/packages/admission/src/startLimit.ts
+++ b/packages/admission/src/startLimit.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds, Random, UpstreamId } from "@wasabivane/common";
 import type { Upstream } from "./types.ts";
-import type { UpstreamWarmth } from "./upstreamWarmth.ts";
+import type { UpstreamWarmup } from "./upstreamWarmup.ts";
 
 /** Span in which starts are counted. */
 const SPAN_MS: Milliseconds = 1_000;
@@ -21,7 +21,7 @@
 export interface StartLimitOptions {
   /** Starts in one second that a cold upstream bears over all hosts; `undefined` for any. */
   readonly coldStartsOf: (upstream: Upstream) => number | undefined;
-  readonly warmth: UpstreamWarmth;
+  readonly warmth: UpstreamWarmup;
 }
 
 /**
@@ -42,7 +42,7 @@
   /** Whether a request may start at an upstream now. */
   abstract isOpen(upstream: Upstream, now: Milliseconds): boolean;
   /** A request starts there. */
-  abstract noteStart(upstream: Upstream, now: Milliseconds): void;
+  abstract recordStart(upstream: Upstream, now: Milliseconds): void;
 }
 
 /**
@@ -50,7 +50,7 @@
  * else asks although there are other hosts is cut off like them, and gives a cold
  * upstream nothing: each of them would.
  */
-export class KeeperStartLimit extends StartLimit {
+export class CoordinatorStartLimit extends StartLimit {
   readonly #starts = new Map<UpstreamId, Milliseconds[]>();
   readonly #isCutOff: (now: Milliseconds) => boolean;
 
@@ -83,7 +83,7 @@
     return earlier === undefined || now - earlier >= SPAN_MS;
   }
 
-  override noteStart(upstream: Upstream, now: Milliseconds): void {
+  override recordStart(upstream: Upstream, now: Milliseconds): void {
     if (this.options.coldStartsOf(upstream) === undefined) return;
     const starts = this.#starts.get(upstream.upstream) ?? [];
     while (starts.length > 0 && now - starts[0]! >= SPAN_MS) starts.shift();
@@ -103,7 +103,7 @@
  * The limit of a host that decides alone. It sees its own starts only, so that a cold
  * upstream gets a small share of what it bears, over all hosts together.
  */
-export class LoneStartLimit extends StartLimit {
+export class LocalStartLimit extends StartLimit {
   readonly #hosts: () => number;
   readonly #random: Random;
   readonly #openAt = new Map<UpstreamId, Milliseconds>();
@@ -145,7 +145,7 @@
     }
   }
 
-  override noteStart(upstream: Upstream, now: Milliseconds): void {
+  override recordStart(upstream: Upstream, now: Milliseconds): void {
     const { upstream: id } = upstream;
     const coldStarts = this.options.coldStartsOf(upstream);
     if (coldStarts === undefined || !this.#openAt.has(id)) return;
--- a/packages/admission/src/startRates.ts
+++ b/packages/admission/src/startRates.ts
@@ -21,19 +21,19 @@
   #passedAt: Milliseconds | undefined;
 
   /** Lets the time pass until now; `isOccupied`: something waited meanwhile. */
-  pass(isOccupied: boolean, now: Milliseconds): void {
+  advance(isOccupied: boolean, now: Milliseconds): void {
     const span = now - (this.#passedAt ?? now);
     this.#passedAt = now;
     if (span <= 0) return;
     const kept = Math.exp(-span / MEMORY_MS);
     this.#occupied = this.#occupied * kept + (isOccupied ? span : 0);
-    for (const [rank, count] of this.#starts) {
-      this.#starts.set(rank, count * kept);
+    for (const [rank, startCount] of this.#starts) {
+      this.#starts.set(rank, startCount * kept);
     }
   }
 
   /** A request of the rank started. */
-  count(rank: Rank): void {
+  recordStart(rank: Rank): void {
     this.#starts.set(rank, (this.#starts.get(rank) ?? 0) + 1);
   }
 
@@ -55,7 +55,7 @@
    * nothing is known. The next one may start any moment, when an upstream
    * returns for instance, and is never given up for a pace of the past.
    */
-  waitBehind(ahead: number, ranks: readonly Rank[]): Milliseconds {
+  estimateWait(ahead: number, ranks: readonly Rank[]): Milliseconds {
     const rate = this.perSecond(ranks);
     if (rate === undefined) return 0;
     const least = 1_000 / MEMORY_MS;
--- a/packages/admission/src/signsOfLife.ts
+++ b/packages/admission/src/upstreamActivity.ts
@@ -16,11 +16,15 @@
  * reads a long prompt moves on with none of them; one that hangs on a single request
  * moves on with the others.
  */
-export class SignsOfLife {
+export class UpstreamActivity {
   readonly #signs = new Map<UpstreamId, Signs>();
 
   /** An event of a request came from the upstream. */
-  note(upstream: UpstreamId, request: RequestId, now: Milliseconds): void {
+  recordEvent(
+    upstream: UpstreamId,
+    request: RequestId,
+    now: Milliseconds,
+  ): void {
     const signs = this.#signs.get(upstream);
     if (signs === undefined) {
       const newest = { request, at: now };
@@ -34,7 +38,7 @@
   }
 
   /** When it last moved on with a request other than this one. */
-  besides(
+  lastEventOfOthers(
     upstream: UpstreamId,
     request: RequestId,
   ): Milliseconds | undefined {
--- a/packages/admission/src/upstreamDirectory.ts
+++ b/packages/admission/src/upstreamDirectory.ts
@@ -17,7 +17,7 @@
 }
 
 /** An upstream whose entry lapsed and that is used for a while yet. */
-export interface KeptUpstream {
+export interface LapsedUpstream {
   readonly name: string;
   /** Time after which it is gone unless it was listed again. */
   readonly left: Milliseconds;
@@ -94,7 +94,7 @@
   }
 
   /** The upstream announced its leaving; `true` when that was news. */
-  leave(upstream: UpstreamId): boolean {
+  markLeaving(upstream: UpstreamId): boolean {
     if (this.#left.has(upstream)) return false;
     this.#left.add(upstream);
     this.#entries.delete(upstream);
@@ -123,9 +123,9 @@
   }
 
   /** The listed life of the upstream that the platform calls so. */
-  named(name: string): Upstream | undefined {
+  findByName(name: string): Upstream | undefined {
     const life = this.#lives.get(name);
-    return life === undefined ? undefined : this.listed(life.upstream);
+    return life === undefined ? undefined : this.findListed(life.upstream);
   }
 
   /** Makes the directory equal to a full reading of the store; gives back who is gone. */
@@ -133,9 +133,9 @@
     upstreams: readonly Upstream[],
     keepUntil?: Milliseconds,
   ): Upstream[] {
-    const listed = new Set(upstreams.map(({ name }) => name));
+    const found = new Set(upstreams.map(({ name }) => name));
     const gone = this.all().filter(({ name, upstream }) =>
-      !listed.has(name) && this.remove(upstream, keepUntil)
+      !found.has(name) && this.remove(upstream, keepUntil)
     );
     for (const upstream of upstreams) {
       const former = this.set(upstream);
@@ -145,7 +145,7 @@
   }
 
   /** Drops kept entries that did not come back; gives them back. */
-  expire(now: Milliseconds): Upstream[] {
+  expireLapsed(now: Milliseconds): Upstream[] {
     const gone: Upstream[] = [];
     for (const { upstream, keptUntil } of this.#entries.values()) {
       if (keptUntil !== undefined && keptUntil <= now) gone.push(upstream);
@@ -161,13 +161,13 @@
 
   /** An upstream that may get work. */
   get(upstream: UpstreamId): Upstream | undefined {
-    const listed = this.listed(upstream);
+    const listed = this.findListed(upstream);
     if (listed === undefined) return undefined;
     return this.#evacuated.has(listed.failureDomain) ? undefined : listed;
   }
 
   /** An upstream that is listed, in an evacuated failure domain or not. */
-  listed(upstream: UpstreamId): Upstream | undefined {
+  findListed(upstream: UpstreamId): Upstream | undefined {
     return this.#entries.get(upstream)?.upstream;
   }
 
@@ -177,8 +177,8 @@
   }
 
   /** Those whose entries lapsed, for peers that do not read the store. */
-  kept(now: Milliseconds): KeptUpstream[] {
-    const kept: KeptUpstream[] = [];
+  lapsed(now: Milliseconds): LapsedUpstream[] {
+    const kept: LapsedUpstream[] = [];
     for (const { upstream: { name }, keptUntil } of this.#entries.values()) {
       if (keptUntil !== undefined) kept.push({ name, left: keptUntil - now });
     }
--- a/packages/admission/src/upstreamHealth.ts
+++ b/packages/admission/src/upstreamHealth.ts
@@ -21,7 +21,7 @@
 }
 
 /** What peers may learn of an upstream's loss. */
-export interface LossNotice {
+export interface EjectionNotice {
   readonly upstream: UpstreamId;
   readonly until: Milliseconds;
 }
@@ -63,7 +63,7 @@
   }
 
   /** A peer ejected the upstream; one host's word holds as long as it says. */
-  hear({ upstream, until }: LossNotice, now: Milliseconds): void {
+  applyNotice({ upstream, until }: EjectionNotice, now: Milliseconds): void {
     const health = this.#healthOf(upstream);
     const bounded = Math.min(until, now + MAXIMUM_EJECTION_MS);
     health.ejectedUntil = Math.max(health.ejectedUntil, bounded);
@@ -84,8 +84,8 @@
   }
 
   /** The ejections in force, for the peers. */
-  notices(now: Milliseconds): LossNotice[] {
-    const notices: LossNotice[] = [];
+  activeEjections(now: Milliseconds): EjectionNotice[] {
+    const notices: EjectionNotice[] = [];
     for (const [upstream, { ejectedUntil }] of this.#health) {
       if (ejectedUntil > now) notices.push({ upstream, until: ejectedUntil });
     }
--- a/packages/admission/src/upstreamKnowledge.ts
+++ b/packages/admission/src/upstreamStats.ts
@@ -1,12 +1,12 @@
 import type { Milliseconds, ServiceId, UpstreamId } from "@wasabivane/common";
-import { AnswerTimeModel } from "./answerTimeModel.ts";
+import { ResponseDurationModel } from "./responseDurationModel.ts";
 import { LatencyMargin } from "./latencyMargin.ts";
 import { FirstEventModel } from "./firstEventModel.ts";
 import type { RouteId, UpstreamOutcome } from "./types.ts";
 import { UpstreamHealth } from "./upstreamHealth.ts";
-import { UpstreamPauses } from "./upstreamPauses.ts";
+import { PauseRiskModel } from "./pauseRiskModel.ts";
 import { UpstreamSpeed } from "./upstreamSpeed.ts";
-import { UpstreamWarmth } from "./upstreamWarmth.ts";
+import { UpstreamWarmup } from "./upstreamWarmup.ts";
 
 /** What one attempt showed of its upstream. */
 export interface AttemptObservation {
@@ -16,11 +16,11 @@
   /** Time in its place. */
   readonly residence: Milliseconds;
   /** Times of an answer that came whole. */
-  readonly times?: AnswerTimes;
+  readonly times?: ResponseTimings;
 }
 
 /** How a whole answer came. */
-export interface AnswerTimes {
+export interface ResponseTimings {
   readonly route: RouteId;
   /** Tokens that its caller expected; 0 where it did not say. */
   readonly expectedTokens: number;
@@ -37,24 +37,24 @@
 }
 
 /** What is known of the upstreams from how they served. */
-export class UpstreamKnowledge {
+export class UpstreamStats {
   readonly health = new UpstreamHealth();
   readonly speed = new UpstreamSpeed();
   readonly firstEvents = new FirstEventModel(this.speed);
-  readonly margins = new LatencyMargin();
-  readonly answerTimes = new AnswerTimeModel(this.speed);
-  readonly pauses = new UpstreamPauses(this.speed);
-  readonly warmth = new UpstreamWarmth();
+  readonly latencyMargins = new LatencyMargin();
+  readonly responseDurations = new ResponseDurationModel(this.speed);
+  readonly pauseRisks = new PauseRiskModel(this.speed);
+  readonly warmth = new UpstreamWarmup();
 
   /** Takes in what an attempt showed; true when its upstream is ejected by it. */
-  learn(observation: AttemptObservation, now: Milliseconds): boolean {
+  record(observation: AttemptObservation, now: Milliseconds): boolean {
     if (observation.outcome === "whole" && observation.times !== undefined) {
       this.#learnTimes(observation, observation.times);
     }
     const { upstream, outcome } = observation;
     const isEjected = this.health.observe(upstream, outcome, now);
     if (isEjected) {
-      this.warmth.noteLost(upstream, this.health.ejectedUntil(upstream));
+      this.warmth.recordLoss(upstream, this.health.ejectedUntil(upstream));
     }
     return isEjected;
   }
@@ -63,7 +63,7 @@
   forget(upstream: UpstreamId): void {
     this.health.forget(upstream);
     this.speed.forget(upstream);
-    this.pauses.forget(upstream);
+    this.pauseRisks.forget(upstream);
     this.warmth.forget(upstream);
   }
 
@@ -71,21 +71,21 @@
   #learnTimes(
     { service, upstream, residence }: AttemptObservation,
     { route, expectedTokens, promptTokens, latency, events, ...times }:
-      AnswerTimes,
+      ResponseTimings,
   ): void {
     const duration = residence - latency;
     const { ownTokens, latePauses } = times;
     const expected = this.firstEvents.expected(service, {
       promptTokens: ownTokens,
     });
-    this.margins.observe(route, latency - expected);
+    this.latencyMargins.observe(route, latency - expected);
     this.firstEvents.observe({
       service,
       upstream,
       promptTokens,
       duration: latency,
     });
-    this.answerTimes.observe({
+    this.responseDurations.observe({
       route,
       service,
       upstream,
@@ -93,7 +93,7 @@
       duration,
     });
     if (events > 0) {
-      this.pauses.observe({ service, upstream, latePauses, duration });
+      this.pauseRisks.observe({ service, upstream, latePauses, duration });
     }
     if (events === 1) return;
     this.speed.observe({
--- a/packages/admission/src/silence.ts
+++ b/packages/admission/src/upstreamTimeouts.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from "@wasabivane/common";
-import { callerGap } from "./patience.ts";
+import { callerIdleTimeout } from "./callerTimeouts.ts";
 import type { Route } from "./types.ts";
 
 /** So many times the usual latency are no sign of trouble. */
@@ -14,17 +14,17 @@
 const GAP_SHARE = 0.5;
 
 /** What an upstream that sends nothing has to do. */
-export interface SilentUpstream {
+export interface PauseContext {
   /** Expected time until it has read the prompts that it was given, from all hosts. */
-  readonly reading: Milliseconds;
+  readonly prefillTime: Milliseconds;
   /** For how long of the silence it moved on with other requests. */
-  readonly movedFor: Milliseconds;
+  readonly otherProgressTime: Milliseconds;
   /** Whether it was found lost by other signs. */
   readonly isEjected: boolean;
 }
 
 /** Longest wait for a first event or a whole answer before another upstream is tried. */
-export function bearableWait(
+export function firstEventTimeout(
   route: Route,
   latency: Milliseconds,
 ): Milliseconds {
@@ -41,13 +41,14 @@
  * other streams, or has nothing to read, has no such excuse; nor is a caller's own
  * patience used up.
  */
-export function bearablePause(
+export function pauseTimeout(
   route: Route,
-  { reading, movedFor, isEjected }: SilentUpstream,
+  { prefillTime: reading, otherProgressTime: movedFor, isEjected }:
+    PauseContext,
 ): Milliseconds | undefined {
   if (!route.isStreaming || route.pauseTarget <= 0) return undefined;
   const usual = PAUSE_TARGETS * route.pauseTarget;
   if (isEjected || movedFor > route.pauseTarget) return usual;
-  const longest = Math.max(usual, GAP_SHARE * callerGap(route));
+  const longest = Math.max(usual, GAP_SHARE * callerIdleTimeout(route));
   return Math.min(longest, usual + READING_FACTOR * reading);
 }
--- a/packages/admission/src/upstreamWarmth.ts
+++ b/packages/admission/src/upstreamWarmup.ts
@@ -16,11 +16,11 @@
 }
 
 /** Which upstreams are cold: they have just started and take little work yet. */
-export class UpstreamWarmth {
+export class UpstreamWarmup {
   readonly #warmth = new Map<UpstreamId, Warmth>();
 
   /** Takes in how much longer an upstream is cold, as its entry says. */
-  hear(
+  update(
     upstream: UpstreamId,
     { coldFor, now }: { coldFor: Milliseconds; now: Milliseconds },
   ): void {
@@ -36,7 +36,7 @@
   }
 
   /** An upstream was lost and gets work again at a time; it may be another start of it. */
-  noteLost(upstream: UpstreamId, backAt: Milliseconds): void {
+  recordLoss(upstream: UpstreamId, backAt: Milliseconds): void {
     const known = this.#warmth.get(upstream);
     const coldUntil = backAt + RETURNED_COLD_MS;
     if (known === undefined) {
--- a/packages/admission/src/usageLedger.ts
+++ b/packages/admission/src/usageLedger.ts
@@ -4,7 +4,7 @@
   Incarnation,
   Milliseconds,
 } from "@wasabivane/common";
-import type { UsageReport } from "./quotaBook.ts";
+import type { UsageReport } from "./quotaLimiter.ts";
 
 /** A host that says nothing for so long may be cut off and go on admitting. */
 const SILENCE_MS: Milliseconds = 1_500;
@@ -41,7 +41,10 @@
   readonly #totals = new Map<ClientAccountId, number>();
 
   /** Takes in what a host has admitted since its start. */
-  hear({ host, incarnation, used }: UsageReport, now: Milliseconds): void {
+  applyUsage(
+    { host, incarnation, used }: UsageReport,
+    now: Milliseconds,
+  ): void {
     const known = this.#reporters.get(host);
     if (known === undefined) {
       // What it admitted before this ledger began was charged by the one before.
@@ -67,7 +70,7 @@
   }
 
   /** What all hosts but one admitted, by account. */
-  othersOf(host: HostId, now: Milliseconds): Map<ClientAccountId, number> {
+  usageOfOthers(host: HostId, now: Milliseconds): Map<ClientAccountId, number> {
     const sums = new Map(this.#totals);
     const own = this.#reporters.get(host);
     if (own !== undefined) add(sums, sumsOf(own), -1);
--- a/packages/admission/tests/beliefs.test.ts
+++ b/packages/admission/tests/beliefs.test.ts
@@ -1,9 +1,9 @@
 import test from "ava";
 import { asId, asTier, type Digest, type UpstreamId } from "@wasabivane/common";
 import {
-  CrashBook,
-  Freshness,
+  PoisonRequestDetector,
   type Policy,
+  PolicyFreshness,
   PolicyIndex,
   type Route,
   UpstreamDirectory,
@@ -16,17 +16,17 @@
 test("keys stop serving before the revocation bound, denials earlier still", (t) => {
   // A host that is cut off cannot know that a key was withdrawn. Requests with keys
   // must end before the bound, with a margin for a store whose watch heard nothing.
-  const freshness = new Freshness({
+  const freshness = new PolicyFreshness({
     revocationBound: 5_000,
     applyBound: 2_000,
   });
-  t.false(freshness.mayTrustKeys(0));
-  freshness.prove(1_000);
-  t.true(freshness.mayTrustKeys(4_000));
-  t.false(freshness.mayTrustKeys(4_500));
-  t.true(freshness.mayDeny(2_000));
-  t.false(freshness.mayDeny(2_500));
-  freshness.prove(500);
+  t.false(freshness.isKeyTrusted(0));
+  freshness.confirm(1_000);
+  t.true(freshness.isKeyTrusted(4_000));
+  t.false(freshness.isKeyTrusted(4_500));
+  t.true(freshness.isDenialAllowed(2_000));
+  t.false(freshness.isDenialAllowed(2_500));
+  freshness.confirm(500);
   t.is(freshness.age(1_000), 0);
 });
 
@@ -48,8 +48,8 @@
   t.deepEqual(directory.replaceAll([], 1_500), []);
   t.is(directory.of(PLANS).length, 2);
   directory.set(buildUpstream(0));
-  t.deepEqual(directory.expire(1_400), []);
-  t.deepEqual(directory.expire(1_500), [buildUpstream(1)]);
+  t.deepEqual(directory.expireLapsed(1_400), []);
+  t.deepEqual(directory.expireLapsed(1_500), [buildUpstream(1)]);
   t.deepEqual(directory.of(PLANS).map(({ upstream }) => upstream), [U0]);
 });
 
@@ -81,24 +81,32 @@
 test("a request that crashed three upstreams on any hosts is convicted", (t) => {
   // Each upstream that runs the request dies; the caller sends it again to another
   // host. A break alone proves nothing; the upstream must be found down right after.
-  const book = new CrashBook();
+  const book = new PoisonRequestDetector();
   const fingerprint = asId<Digest>("f");
   for (const [index, name] of ["u0", "u1"].entries()) {
     const upstream = asId<UpstreamId>(name);
     const at = index * 5_000;
-    book.noteBroken({ fingerprint, upstream, at });
-    t.is(book.noteDown(upstream, at + 100).length, 1);
+    book.recordBrokenResponse({ fingerprint, upstream, at });
+    t.is(book.confirmCrashes(upstream, at + 100).length, 1);
   }
-  t.false(book.isConvicted(fingerprint, 6_000));
-  book.hear({ fingerprint, upstream: asId<UpstreamId>("u2"), at: 8_000 });
-  t.true(book.isConvicted(fingerprint, 8_000));
-  t.false(book.isConvicted(fingerprint, 100_000));
+  t.false(book.isQuarantined(fingerprint, 6_000));
+  book.recordCrash({
+    fingerprint,
+    upstream: asId<UpstreamId>("u2"),
+    at: 8_000,
+  });
+  t.true(book.isQuarantined(fingerprint, 8_000));
+  t.false(book.isQuarantined(fingerprint, 100_000));
 });
 
 test("an upstream that is found down long after is no crash of the request", (t) => {
-  const book = new CrashBook();
-  book.noteBroken({ fingerprint: asId<Digest>("f"), upstream: U0, at: 0 });
-  t.deepEqual(book.noteDown(U0, 2_000), []);
+  const book = new PoisonRequestDetector();
+  book.recordBrokenResponse({
+    fingerprint: asId<Digest>("f"),
+    upstream: U0,
+    at: 0,
+  });
+  t.deepEqual(book.confirmCrashes(U0, 2_000), []);
 });
 
 test("the longest prefix of the host's routes wins", (t) => {
--- a/packages/admission/tests/budgets.test.ts
+++ b/packages/admission/tests/budgets.test.ts
@@ -7,10 +7,10 @@
   SeededRandom,
 } from "@wasabivane/common";
 import {
+  computeRetryDelay,
   type Quota,
-  QuotaBook,
+  QuotaLimiter,
   RetryBudget,
-  returnAfter,
 } from "@wasabivane/admission";
 import { PLANS } from "./helpers/build.ts";
 
@@ -36,7 +36,7 @@
 ): number {
   const books = Array.from(
     { length: hosts },
-    () => new QuotaBook(TOLERANCE),
+    () => new QuotaLimiter(TOLERANCE),
   );
   let admitted = 0;
   for (let now = 0; now < seconds * 1_000; now += 25) {
@@ -54,7 +54,9 @@
         incarnation: asId<Incarnation>("1"),
         used: new Map(book.used()),
       };
-      for (const other of books) if (other !== book) other.hear(report, now);
+      for (const other of books) {
+        if (other !== book) other.applyUsage(report, now);
+      }
     }
   }
   return admitted;
@@ -76,7 +78,7 @@
     isIdle: boolean;
   },
 ): number {
-  const book = new QuotaBook({ ...TOLERANCE, slack });
+  const book = new QuotaLimiter({ ...TOLERANCE, slack });
   let admitted = 0;
   for (let now = 0; now < seconds * 1_000; now += 10) {
     const taken = book.take({
@@ -110,13 +112,13 @@
 test("a peer that falls silent stays charged with its last rate", (t) => {
   // A partition parts two hosts that each admit half of a quota. Both go on
   // serving their callers; without the charge both would admit all of it.
-  const book = new QuotaBook(NONE);
+  const book = new QuotaLimiter(NONE);
   const peer = {
     host: asId<HostId>("peer"),
     incarnation: asId<Incarnation>("1"),
   };
   for (let second = 0; second <= 4; second++) {
-    book.hear(
+    book.applyUsage(
       { ...peer, used: new Map([[FAMILY, second * 5_000]]) },
       second * 1_000,
     );
@@ -140,7 +142,7 @@
 });
 
 test("what did not run is given back", (t) => {
-  const book = new QuotaBook(NONE);
+  const book = new QuotaLimiter(NONE);
   t.true(
     book.take({ account: FAMILY, quota: QUOTA, units: 9_000, isIdle: true }, 0)
       .isOk(),
@@ -149,7 +151,7 @@
     book.take({ account: FAMILY, quota: QUOTA, units: 500, isIdle: true }, 0)
       .isErr(),
   );
-  book.giveBack(FAMILY, 9_000);
+  book.refund(FAMILY, 9_000);
   t.true(
     book.take({ account: FAMILY, quota: QUOTA, units: 500, isIdle: true }, 0)
       .isOk(),
@@ -157,7 +159,7 @@
 });
 
 test("an account over its quota is told when there is room again", (t) => {
-  const book = new QuotaBook(NONE);
+  const book = new QuotaLimiter(NONE);
   book.take({ account: FAMILY, quota: QUOTA, units: 15_000, isIdle: true }, 0);
   const refused = book.take({
     account: FAMILY,
@@ -175,8 +177,8 @@
   let further = 0;
   for (let index = 0; index < 1_000; index++) {
     const now = index * 10;
-    budget.countFirst(PLANS, now);
-    if (budget.takeFurther(PLANS, { hosts: 8, now })) further++;
+    budget.countInitial(PLANS, now);
+    if (budget.takeRetry(PLANS, { hosts: 8, now })) further++;
   }
   t.true(further <= 0.2 * 1_000 + 40 / 8);
   t.true(further >= 0.1 * 1_000);
@@ -186,7 +188,7 @@
   const random = new SeededRandom(3);
   const waits = Array.from(
     { length: 50 },
-    () => returnAfter({ wait: 2_000, timeLeft: 4_000 }, random),
+    () => computeRetryDelay({ wait: 2_000, timeLeft: 4_000 }, random),
   );
   t.true(Math.max(...waits) <= 1_200);
   t.true(Math.min(...waits) >= 600);
--- a/packages/admission/tests/cells.test.ts
+++ b/packages/admission/tests/cells.test.ts
@@ -9,13 +9,13 @@
 import {
   cellKeyOf,
   CellMap,
-  dealCells,
   isInCell,
-  keeperOrder,
-  type PlaceWish,
+  partitionIntoCells,
+  type PlacementDecision,
+  type PlacementRequest,
+  rankCoordinators,
   type Upstream,
   UpstreamDirectory,
-  type Verdict,
 } from "@wasabivane/admission";
 import test from "ava";
 import { buildUpstream, buildWish, PLANS, WEST } from "./helpers/build.ts";
@@ -44,7 +44,7 @@
 test("each upstream of a large service is in one cell of bounded size", (t) => {
   for (const count of [5, 24, 55, 78, 1_200]) {
     const upstreams = upstreamsIn(count, DOMAINS);
-    const cells = dealCells(PLANS, upstreams);
+    const cells = partitionIntoCells(PLANS, upstreams);
     for (const upstream of upstreams) {
       t.is(cells.filter((cell) => isInCell(cell, upstream)).length, 1);
     }
@@ -64,7 +64,7 @@
     directory.set(buildUpstream(index, { slots: 4, failureDomain }));
   }
   const map = new CellMap(directory);
-  const cells = map.ofService(PLANS);
+  const cells = map.cellsOf(PLANS);
   const chosen = Array.from(
     { length: 2_000 },
     (_, index) => map.pickFor(`part ${index}`, cells)!.failureDomain,
@@ -76,15 +76,15 @@
 test("hosts agree on who keeps a cell, near it and grown up", (t) => {
   // A host that just started is known to few. If it kept a cell at once, the others
   // would go on asking the former keeper and both would fill the same places.
-  const [cell] = dealCells(PLANS, upstreamsIn(55, DOMAINS));
+  const [cell] = partitionIntoCells(PLANS, upstreamsIn(55, DOMAINS));
   const candidates = Array.from({ length: 20 }, (_, index) => ({
     host: asId<HostId>(`h${index}`),
     failureDomain: DOMAINS[index % 5]!,
     age: index < 5 ? 1_000 : 60_000,
     cores: 1,
   }));
-  const order = keeperOrder(cell!, candidates);
-  t.deepEqual(keeperOrder(cell!, candidates.toReversed()), order);
+  const order = rankCoordinators(cell!, candidates);
+  t.deepEqual(rankCoordinators(cell!, candidates.toReversed()), order);
   const first = candidates.find(({ host }) => host === order[0])!;
   t.is(first.failureDomain, cell!.failureDomain!);
   t.true(first.age > 1_000);
@@ -109,8 +109,8 @@
     seed: 5,
     loss,
   });
-  const [cell] = dealCells(PLANS, upstreams);
-  const keeper = fleet.named(keeperOrder(cell!, fleet.candidates)[0]!);
+  const [cell] = partitionIntoCells(PLANS, upstreams);
+  const keeper = fleet.named(rankCoordinators(cell!, fleet.candidates)[0]!);
   const others = fleet.hosts.filter((host) => host !== keeper);
   return { fleet, timer, keeper, others };
 }
@@ -118,10 +118,10 @@
 /** Lets a host seek a place; the request begins and ends after `work` if it gets one. */
 function seek(
   host: VirtualHost,
-  wish: PlaceWish,
+  wish: PlacementRequest,
   { timer, work = Infinity }: { timer: VirtualTimer; work?: Milliseconds },
-): { verdict: Verdict | undefined; at: Milliseconds } {
-  const seen: { verdict: Verdict | undefined; at: Milliseconds } = {
+): { verdict: PlacementDecision | undefined; at: Milliseconds } {
+  const seen: { verdict: PlacementDecision | undefined; at: Milliseconds } = {
     verdict: undefined,
     at: Infinity,
   };
@@ -427,20 +427,28 @@
   const { timer, others: [host, other] } = createFleet();
   seek(other!, buildWish("running"), { timer, work: 400 });
   timer.advance(20);
-  const wish = buildWish("waiting", { arrivedAt: 20, patience: 60_000 });
+  const wish = buildWish("waiting", {
+    arrivedAt: 20,
+    firstByteTimeout: 60_000,
+  });
   const seen = seek(host!, wish, { timer });
   t.true(host!.seeker.isBusy);
   timer.advance(20);
   t.false(host!.seeker.isBusy);
-  t.true(host!.seeker.tellAt - timer.now() > 200);
+  t.true(host!.seeker.sendAt - timer.now() > 200);
   timer.advance(400);
   t.is(seen.verdict?.kind, "place");
-  t.true(host!.seeker.tellAt - timer.now() <= 80);
+  t.true(host!.seeker.sendAt - timer.now() <= 80);
 });
 
 test("cells are named alike wherever they are dealt", (t) => {
-  const cells = dealCells(PLANS, upstreamsIn(55, DOMAINS)).map(cellKeyOf);
-  const others = dealCells(PLANS, upstreamsIn(55, DOMAINS).toReversed());
+  const cells = partitionIntoCells(PLANS, upstreamsIn(55, DOMAINS)).map(
+    cellKeyOf,
+  );
+  const others = partitionIntoCells(
+    PLANS,
+    upstreamsIn(55, DOMAINS).toReversed(),
+  );
   t.deepEqual(others.map(cellKeyOf).sort(), cells.sort());
 });
 
@@ -454,7 +462,7 @@
   for (let count = 0; count < 500; count++) {
     const wish = buildWish(`q${count}`, { arrivedAt: timer.now() });
     seek(host!, wish, { timer, work: 20 });
-    host!.seeker.endReading(buildUpstream(0), 100, timer.now());
+    host!.seeker.endPrefill(buildUpstream(0), 100, timer.now());
     timer.advance(1);
   }
   t.is(fleet.changes, 0);
@@ -470,7 +478,7 @@
     const arrivedAt = timer.now();
     const wish = buildWish(`q${count}`, {
       arrivedAt,
-      patience: 60_000,
+      firstByteTimeout: 60_000,
       target: 60_000,
     });
     seek(host!, wish, { timer });
@@ -486,7 +494,10 @@
   const { timer, keeper, others: [host, busy] } = createFleet();
   seek(busy!, buildWish("running"), { timer, work: 400 });
   timer.advance(20);
-  const wish = buildWish("waiting", { arrivedAt: 20, patience: 60_000 });
+  const wish = buildWish("waiting", {
+    arrivedAt: 20,
+    firstByteTimeout: 60_000,
+  });
   const seen = seek(host!, wish, { timer });
   timer.advance(100);
   keeper.restart();
@@ -532,14 +543,14 @@
 test("a cell is kept by one of the larger machines near it", (t) => {
   // A few hosts of a mixed fleet have four times the processor of the others. On a small
   // one the work of keeping leaves too little for anything in a burst.
-  const [cell] = dealCells(PLANS, upstreamsIn(55, DOMAINS));
+  const [cell] = partitionIntoCells(PLANS, upstreamsIn(55, DOMAINS));
   const candidates = Array.from({ length: 40 }, (_, index) => ({
     host: asId<HostId>(`h${index}`),
     failureDomain: DOMAINS[index % 5]!,
     age: 60_000,
     cores: index < 10 ? 1.35 : 0.324,
   }));
-  const order = keeperOrder(cell!, candidates);
+  const order = rankCoordinators(cell!, candidates);
   const sizes = order.slice(0, 8).map((host) =>
     candidates.find((candidate) => candidate.host === host)!.cores
   );
--- a/packages/admission/tests/coldUpstreams.test.ts
+++ b/packages/admission/tests/coldUpstreams.test.ts
@@ -1,8 +1,8 @@
 import type { Milliseconds, UpstreamId } from "@wasabivane/common";
 import {
-  KeeperStartLimit,
-  LoneStartLimit,
-  UpstreamWarmth,
+  CoordinatorStartLimit,
+  LocalStartLimit,
+  UpstreamWarmup,
 } from "@wasabivane/admission";
 import { SeededRandom } from "@wasabivane/common";
 import test from "ava";
@@ -60,7 +60,7 @@
         for (const { knowledge, directory } of fleet.hosts) {
           for (const { upstream } of directory.all()) {
             const now = timer.now();
-            knowledge.warmth.hear(upstream, { coldFor: COLD_FOR, now });
+            knowledge.warmth.update(upstream, { coldFor: COLD_FOR, now });
           }
         }
       });
@@ -123,39 +123,39 @@
 
 test("an upstream that was lost counts as cold when it gets work again", (t) => {
   // Guards against a restart under the same name that the list has yet to tell of.
-  const warmth = new UpstreamWarmth();
+  const warmth = new UpstreamWarmup();
   const { upstream } = buildUpstream(0);
-  warmth.hear(upstream, { coldFor: 0, now: 0 });
+  warmth.update(upstream, { coldFor: 0, now: 0 });
   t.true(warmth.isCold(upstream, 500));
   t.false(warmth.isCold(upstream, 1_500));
-  warmth.noteLost(upstream, 2_400);
+  warmth.recordLoss(upstream, 2_400);
   t.true(warmth.isCold(upstream, 5_000));
   t.false(warmth.isCold(upstream, 5_500));
 });
 
 test("an entry that says the same again does not make an upstream cold anew", (t) => {
   // Guards against lists that are fetched again and again and keep an engine cold.
-  const warmth = new UpstreamWarmth();
+  const warmth = new UpstreamWarmup();
   const { upstream } = buildUpstream(0);
-  warmth.hear(upstream, { coldFor: 3_000, now: 0 });
-  warmth.hear(upstream, { coldFor: 3_000, now: 2_000 });
+  warmth.update(upstream, { coldFor: 3_000, now: 0 });
+  warmth.update(upstream, { coldFor: 3_000, now: 2_000 });
   t.false(warmth.isCold(upstream, 3_100));
-  warmth.hear(upstream, { coldFor: 800, now: 3_200 });
+  warmth.update(upstream, { coldFor: 800, now: 3_200 });
   t.true(warmth.isCold(upstream, 3_900));
-  warmth.hear(upstream, { coldFor: 0, now: 4_000 });
+  warmth.update(upstream, { coldFor: 0, now: 4_000 });
   t.false(warmth.isCold(upstream, 4_000));
 });
 
 test("starts at upstreams that left are forgotten", (t) => {
   // Guards against a memory that grows with each release of a service.
-  const warmth = new UpstreamWarmth();
-  const limit = new KeeperStartLimit({
+  const warmth = new UpstreamWarmup();
+  const limit = new CoordinatorStartLimit({
     coldStartsOf: () => 1,
     warmth,
     isCutOff: () => false,
   });
   for (let index = 0; index < 1_000; index++) {
-    limit.noteStart(buildUpstream(index), 10 * index);
+    limit.recordStart(buildUpstream(index), 10 * index);
   }
   t.true(limit.isOpen(buildUpstream(0), 10_000));
   t.false(limit.isOpen(buildUpstream(999), 10_000));
@@ -165,19 +165,19 @@
 test("upstreams of a service without a limit take any number of starts", (t) => {
   const options = {
     coldStartsOf: () => undefined,
-    warmth: new UpstreamWarmth(),
+    warmth: new UpstreamWarmup(),
   };
   const upstream = buildUpstream(0);
   const limits = [
-    new KeeperStartLimit({ ...options, isCutOff: () => true }),
-    new LoneStartLimit({
+    new CoordinatorStartLimit({ ...options, isCutOff: () => true }),
+    new LocalStartLimit({
       ...options,
       hosts: () => 5,
       random: new SeededRandom(1),
     }),
   ];
   for (const limit of limits) {
-    for (let count = 0; count < 200; count++) limit.noteStart(upstream, 0);
+    for (let count = 0; count < 200; count++) limit.recordStart(upstream, 0);
     t.true(limit.isOpen(upstream, 0));
   }
 });
--- a/packages/admission/tests/evacuation.test.ts
+++ b/packages/admission/tests/evacuation.test.ts
@@ -1,5 +1,8 @@
 import { asId, type FailureDomain, VirtualTimer } from "@wasabivane/common";
-import { UpstreamDirectory, type Verdict } from "@wasabivane/admission";
+import {
+  type PlacementDecision,
+  UpstreamDirectory,
+} from "@wasabivane/admission";
 import test from "ava";
 import { buildUpstream, buildWish, PLANS, WEST } from "./helpers/build.ts";
 import { VirtualFleet } from "./helpers/virtualFleet.ts";
@@ -36,14 +39,14 @@
 function seekAll(
   { hosts }: VirtualFleet,
   { count, timer }: { count: number; timer: VirtualTimer },
-): Map<string, Verdict> {
-  const verdicts = new Map<string, Verdict>();
+): Map<string, PlacementDecision> {
+  const verdicts = new Map<string, PlacementDecision>();
   for (let index = 0; index < count; index++) {
     const { seeker } = hosts[index % hosts.length]!;
     const name = `${timer.now()}-${index}`;
     const wish = buildWish(name, {
       arrivedAt: timer.now(),
-      patience: 20_000,
+      firstByteTimeout: 20_000,
     });
     seeker.submit(wish, (verdict) => {
       verdicts.set(name, verdict);
@@ -80,9 +83,9 @@
   // Guards against a keeper that hears of the evacuation later than the asking host.
   const { timer, fleet } = createFleet();
   const { seeker, directory } = fleet.hosts[0]!;
-  let seen: Verdict | undefined;
+  let seen: PlacementDecision | undefined;
   seeker.submit(
-    buildWish("asked", { patience: 20_000 }),
+    buildWish("asked", { firstByteTimeout: 20_000 }),
     (verdict) => seen = verdict,
     0,
   );
@@ -111,9 +114,9 @@
   directory.set(upstream);
   directory.evacuate(new Set([WEST]));
   t.is(directory.get(upstream.upstream), undefined);
-  t.is(directory.listed(upstream.upstream), upstream);
+  t.is(directory.findListed(upstream.upstream), upstream);
   t.true(directory.isEvacuated(PLANS));
-  t.true(directory.leave(upstream.upstream));
+  t.true(directory.markLeaving(upstream.upstream));
   directory.evacuate(new Set());
   t.deepEqual(directory.of(PLANS), []);
 });
--- a/packages/admission/tests/firstEvents.test.ts
+++ b/packages/admission/tests/firstEvents.test.ts
@@ -98,7 +98,7 @@
   });
   scheduler.submit(second, 0);
   t.is(second.verdict, undefined);
-  scheduler.load.endReading(FAST, 18_000);
+  scheduler.load.endPrefill(FAST, 18_000);
   scheduler.review(10);
   t.like(second.verdict, { kind: "place", upstream: { upstream: FAST } });
 });
--- a/packages/admission/tests/helpers/build.ts
+++ b/packages/admission/tests/helpers/build.ts
@@ -9,16 +9,16 @@
   type UpstreamId,
 } from "@wasabivane/common";
 import {
-  type Candidate,
-  KeeperStartLimit,
-  PlaceScheduler,
-  type PlaceWish,
+  CoordinatorStartLimit,
+  type PendingRequest,
+  type PlacementDecision,
+  type PlacementRequest,
   type PromptPart,
+  RequestScheduler,
   type RouteId,
   type Upstream,
   UpstreamDirectory,
-  UpstreamKnowledge,
-  type Verdict,
+  UpstreamStats,
 } from "@wasabivane/admission";
 
 export const PLANS = asId<ServiceId>("plans");
@@ -57,7 +57,7 @@
     isContinuation = false,
     hold = 300,
     deadline = 60_000,
-    answering = 0,
+    responseDuration: duration = 0,
     pauseTarget = 0,
   }: {
     tier?: number;
@@ -70,10 +70,10 @@
     isContinuation?: boolean;
     hold?: Milliseconds;
     deadline?: Milliseconds;
-    answering?: Milliseconds;
+    responseDuration?: Milliseconds;
     pauseTarget?: Milliseconds;
   } = {},
-): Candidate & { verdict: Verdict | undefined } {
+): PendingRequest & { verdict: PlacementDecision | undefined } {
   const candidate = {
     request: asId<RequestId>(name),
     service: PLANS,
@@ -85,15 +85,15 @@
     dueAt: onTimeUntil,
     target: onTimeUntil - since,
     deadline,
-    answering,
+    responseDuration: duration,
     pauseTarget,
     onTimeUntil,
     usefulUntil,
     isContinuation,
     hold,
     excluded: new Set(excluded.map((id) => asId<UpstreamId>(id))),
-    verdict: undefined as Verdict | undefined,
-    decide: (verdict: Verdict): void => {
+    verdict: undefined as PlacementDecision | undefined,
+    decide: (verdict: PlacementDecision): void => {
       candidate.verdict = verdict;
     },
   };
@@ -102,8 +102,8 @@
 
 /** A scheduler before some upstreams, and the work that they do. */
 export interface SchedulerBench {
-  readonly scheduler: PlaceScheduler;
-  readonly knowledge: UpstreamKnowledge;
+  readonly scheduler: RequestScheduler;
+  readonly knowledge: UpstreamStats;
   readonly directory: UpstreamDirectory;
   /** A request begins at an upstream. */
   readonly begin: (upstream: UpstreamId, promptTokens?: number) => void;
@@ -118,12 +118,12 @@
 ): SchedulerBench {
   const directory = new UpstreamDirectory();
   for (const upstream of upstreams) directory.set(upstream);
-  const knowledge = new UpstreamKnowledge();
-  const scheduler = new PlaceScheduler({
+  const knowledge = new UpstreamStats();
+  const scheduler = new RequestScheduler({
     upstreams: directory,
-    knowledge,
+    stats: knowledge,
     random: new SeededRandom(seed),
-    starts: new KeeperStartLimit({
+    starts: new CoordinatorStartLimit({
       coldStartsOf: () => undefined,
       warmth: knowledge.warmth,
       isCutOff: () => false,
@@ -145,8 +145,8 @@
 /** A request that seeks a place. */
 export function buildWish(
   name: string,
-  changes: Partial<PlaceWish> = {},
-): PlaceWish {
+  changes: Partial<PlacementRequest> = {},
+): PlacementRequest {
   return {
     request: asId<RequestId>(name),
     service: PLANS,
@@ -156,7 +156,7 @@
     arrivedAt: 0,
     target: 500,
     deadline: 60_000,
-    patience: 2_000,
+    firstByteTimeout: 2_000,
     promptTokens: 0,
     expectedTokens: 0,
     pauseTarget: 0,
--- a/packages/admission/tests/helpers/loadReplay.ts
+++ b/packages/admission/tests/helpers/loadReplay.ts
@@ -206,7 +206,7 @@
       target,
       deadline: since + target + 60_000,
       // A start is of use for three quarters of the patience that a caller has.
-      patience: patience / 0.75,
+      firstByteTimeout: patience / 0.75,
       promptTokens,
       expectedTokens: Math.round(work),
       pauseTarget: 0,
@@ -222,7 +222,7 @@
         noteEnding?.(work, false);
         return;
       }
-      const { upstream, unreadTokens } = verdict;
+      const { upstream, pendingPrefillTokens: unreadTokens } = verdict;
       const engine = engines.find((item) => item.upstream === upstream)!;
       seeker.begin(upstream.upstream, promptTokens);
       const sentAt = timer.now();
@@ -244,9 +244,9 @@
           latency = now - sentAt;
           if (replay.areReporting) {
             const requests = engine.running + engine.waiting.length;
-            seeker.noteLoad(upstream, requests, now);
+            seeker.recordUpstreamLoad(upstream, requests, now);
           }
-          seeker.endReading(upstream, promptTokens, now);
+          seeker.endPrefill(upstream, promptTokens, now);
           if (now - since <= target) result.onTime++;
           else result.late++;
         },
@@ -268,7 +268,7 @@
               ownTokens: promptTokens,
             },
           };
-          knowledge.learn(observation, now);
+          knowledge.record(observation, now);
           seeker.end(upstream, observation, now);
         },
       });
--- a/packages/admission/tests/helpers/virtualFleet.ts
+++ b/packages/admission/tests/helpers/virtualFleet.ts
@@ -9,15 +9,15 @@
 } from "@wasabivane/common";
 import {
   type Cell,
-  CellKeeper,
+  CellCoordinator,
   type CellKey,
   cellKeyOf,
   type CellSnapshot,
-  type KeeperCandidate,
-  PlaceSeeker,
+  type CoordinatorCandidate,
+  PlacementClient,
   type Upstream,
   UpstreamDirectory,
-  UpstreamKnowledge,
+  UpstreamStats,
 } from "@wasabivane/admission";
 
 const TICK_MS: Milliseconds = 10;
@@ -45,9 +45,9 @@
 export class VirtualHost {
   readonly host: HostId;
   readonly failureDomain: FailureDomain;
-  readonly knowledge = new UpstreamKnowledge();
-  readonly seeker: PlaceSeeker;
-  readonly keepers = new Map<CellKey, CellKeeper>();
+  readonly knowledge = new UpstreamStats();
+  readonly seeker: PlacementClient;
+  readonly keepers = new Map<CellKey, CellCoordinator>();
   /** It neither sends nor takes anything in. */
   isDead = false;
   /** Words that came while it stood still; `undefined` while it runs. */
@@ -70,27 +70,27 @@
     this.#random = new SeededRandom(seed + Math.imul(index + 1, seedStep));
     this.directory = new UpstreamDirectory();
     for (const upstream of upstreams) this.directory.set(upstream);
-    this.seeker = new PlaceSeeker({
+    this.seeker = new PlacementClient({
       host: this.host,
       incarnation: asId<Incarnation>("1"),
       failureDomain: this.failureDomain,
       directory: this.directory,
-      knowledge: this.knowledge,
+      stats: this.knowledge,
       random: this.#random,
       candidates: () => fleet.candidates,
       coldStartsOf: () => options.coldStarts,
       send: (keeper, ask) => {
-        fleet.described += ask.wishes.length;
+        fleet.described += ask.requests.length;
         fleet.carry(this.host, keeper, (other, now) => {
-          other.keeperOf(ask.cell).hear(ask, now);
+          other.keeperOf(ask.cell).receive(ask, now);
         });
       },
-      onTelling: () => {},
-      onKeeper: () => fleet.changes++,
+      onSendScheduled: () => {},
+      onCoordinatorChange: () => fleet.changes++,
     });
   }
 
-  keeperOf(cell: Cell): CellKeeper {
+  keeperOf(cell: Cell): CellCoordinator {
     const key = cellKeyOf(cell);
     let keeper = this.keepers.get(key);
     if (keeper === undefined) {
@@ -119,13 +119,13 @@
     this.isDead = false;
   }
 
-  #begin(cell: Cell): CellKeeper {
-    return new CellKeeper({
+  #begin(cell: Cell): CellCoordinator {
+    return new CellCoordinator({
       host: this.host,
       incarnation: asId<Incarnation>("1"),
       cell,
       upstreams: this.directory,
-      knowledge: this.knowledge,
+      stats: this.knowledge,
       random: this.#random,
       coldStartsOf: () => this.#coldStarts,
       hostCount: () => this.#fleet.candidates.length,
@@ -133,7 +133,7 @@
         this.#fleet.carry(
           this.host,
           to,
-          (other, now) => other.seeker.hear(answer, now),
+          (other, now) => other.seeker.receive(answer, now),
         ),
       after: (span, callback) => this.#fleet.after(span, callback),
       now: () => this.#fleet.now(),
@@ -146,7 +146,7 @@
 /** Hosts over a network in virtual time, which may lose, cut and kill. */
 export class VirtualFleet {
   readonly hosts: readonly VirtualHost[];
-  candidates: readonly KeeperCandidate[];
+  candidates: readonly CoordinatorCandidate[];
   /** One way between two hosts. */
   delay: Milliseconds;
   /** Keepers passed over. */
@@ -220,8 +220,8 @@
         host,
         other.host,
         ({ seeker }, now) =>
-          seeker.keepers.keeperOf(cell, now) === host &&
-          seeker.report(cell, now),
+          seeker.coordinators.coordinatorOf(cell, now) === host &&
+          seeker.resync(cell, now),
       );
     }
   }
--- a/packages/admission/tests/learnedLatency.test.ts
+++ b/packages/admission/tests/learnedLatency.test.ts
@@ -1,11 +1,11 @@
 import { asId, asTier } from "@wasabivane/common";
 import {
-  callerPatience,
-  candidateOf,
+  computeStartBounds,
+  createPendingRequest,
+  firstByteTimeout,
+  type PlacementDecision,
   type Route,
   type RouteId,
-  startBounds,
-  type Verdict,
 } from "@wasabivane/admission";
 import test from "ava";
 import {
@@ -59,11 +59,11 @@
       arrivedAt: now,
       target: ROUTE.target,
       deadline: now + ROUTE.timeout,
-      patience: callerPatience(ROUTE, ROUTE.timeout),
+      firstByteTimeout: firstByteTimeout(ROUTE, ROUTE.timeout),
       promptTokens: 1_000,
     });
-    let verdict: Verdict | undefined;
-    const candidate = candidateOf(wish, knowledge, (decided) => {
+    let verdict: PlacementDecision | undefined;
+    const candidate = createPendingRequest(wish, knowledge, (decided) => {
       verdict = decided;
     });
     scheduler.submit(candidate, now);
@@ -80,11 +80,11 @@
   // out of date, so the caller is given a part of its patience before it is told to
   // come back.
   const patience = 2_000;
-  t.is(callerPatience(ROUTE, ROUTE.timeout), patience);
-  const { usefulUntil } = startBounds({
+  t.is(firstByteTimeout(ROUTE, ROUTE.timeout), patience);
+  const { usefulUntil } = computeStartBounds({
     arrivedAt: 0,
     target: ROUTE.target,
-    patience,
+    firstByteTimeout: patience,
     latency: SLOW_MS,
   });
   t.true(usefulUntil >= patience / 4);
--- a/packages/admission/tests/loadShedding.test.ts
+++ b/packages/admission/tests/loadShedding.test.ts
@@ -7,8 +7,8 @@
 } from "@wasabivane/common";
 import {
   ConnectionBacklog,
-  HostLag,
-  LoadShedding,
+  EventLoopLag,
+  LoadShedder,
 } from "@wasabivane/admission";
 import test from "ava";
 
@@ -50,8 +50,8 @@
   const timer = new VirtualTimer();
   const random = new SeededRandom(7);
   const processor = new Processor(timer);
-  const lag = new HostLag();
-  const shedding = new LoadShedding({ lag, random });
+  const lag = new EventLoopLag();
+  const shedding = new LoadShedder({ lag, random });
   const good = new Map<Tier, number>([[FIRST, 0], [LAST, 0]]);
   const look = (): void => {
     const dueAt = timer.now() + LOOK_MS;
@@ -112,23 +112,23 @@
 
 test("a single stall is no backlog", (t) => {
   // Guards against refusals by a machine whose share of a tenth of a second was used up.
-  const lag = new HostLag();
+  const lag = new EventLoopLag();
   for (let at = 0; at < 2_000; at += 100) {
     lag.observe(80, at);
     for (const later of [10, 20, 30]) lag.observe(0, at + later);
   }
-  t.is(lag.standing, 0);
+  t.is(lag.sustained, 0);
   t.true(lag.peak(1_930) > 60);
   // Code that is loaded at a start, before anything else runs.
-  const starting = new HostLag();
+  const starting = new EventLoopLag();
   for (const at of [400, 410]) starting.observe(300, at);
-  t.is(starting.standing, 0);
+  t.is(starting.sustained, 0);
 });
 
 test("a host that has been idle since takes what comes", (t) => {
   // Guards against a share that only arrivals let shrink: the first after a pause was refused.
-  const lag = new HostLag();
-  const shedding = new LoadShedding({ lag, random: new SeededRandom(1) });
+  const lag = new EventLoopLag();
+  const shedding = new LoadShedder({ lag, random: new SeededRandom(1) });
   for (let at = 0; at < 2_000; at += 50) {
     lag.observe(200, at);
     shedding.shouldShed(LAST, at);
@@ -143,13 +143,13 @@
   // Guards against requests that lay unread for seconds and are sent on for callers who left.
   const backlog = new ConnectionBacklog();
   const standing = [1, 2, 3, 4, 5].map(() => {
-    backlog.noteTaken();
-    const { isStanding } = backlog;
-    backlog.endTurn();
+    backlog.recordAccept();
+    const { hasBacklog: isStanding } = backlog;
+    backlog.endIteration();
     return isStanding;
   });
   t.deepEqual(standing, [false, false, false, true, true]);
-  t.false(backlog.endTurn());
-  backlog.noteTaken();
-  t.false(backlog.isStanding);
+  t.false(backlog.endIteration());
+  backlog.recordAccept();
+  t.false(backlog.hasBacklog);
 });
--- a/packages/admission/tests/placeScheduler.test.ts
+++ b/packages/admission/tests/placeScheduler.test.ts
@@ -43,13 +43,16 @@
 test("work of peers counts toward what an upstream runs", (t) => {
   const { scheduler, directory } = createScheduler({ upstreams: 1 });
   const [only] = directory.of(PLANS);
-  scheduler.load.hear(asId<HostId>("peer"), {
-    inFlight: new Map([[only!.upstream, { requests: 1, unreadTokens: 0 }]]),
+  scheduler.load.setPeerLoad(asId<HostId>("peer"), {
+    inFlight: new Map([[only!.upstream, {
+      requests: 1,
+      pendingPrefillTokens: 0,
+    }]]),
   }, 0);
   const candidate = buildCandidate("a");
   scheduler.submit(candidate, 0);
   t.is(candidate.verdict, undefined);
-  t.true(scheduler.load.expire(3_000));
+  t.true(scheduler.load.expirePeers(3_000));
   scheduler.review(3_000 - 1_500);
   t.is(candidate.verdict?.kind, "place");
 });
@@ -64,8 +67,11 @@
   });
   const [only] = directory.of(PLANS);
   const peer = asId<HostId>("peer");
-  scheduler.load.hear(peer, {
-    inFlight: new Map([[only!.upstream, { requests: 2, unreadTokens: 0 }]]),
+  scheduler.load.setPeerLoad(peer, {
+    inFlight: new Map([[only!.upstream, {
+      requests: 2,
+      pendingPrefillTokens: 0,
+    }]]),
   }, 0);
   const placed: string[] = [];
   const failing = {
@@ -85,7 +91,7 @@
   };
   scheduler.submit(failing, 0);
   scheduler.submit(second, 0);
-  scheduler.load.hear(peer, { inFlight: new Map() }, 1);
+  scheduler.load.setPeerLoad(peer, { inFlight: new Map() }, 1);
   scheduler.review(1);
   t.deepEqual(placed, ["failing", "second"]);
 });
--- a/packages/admission/tests/placesForWork.test.ts
+++ b/packages/admission/tests/placesForWork.test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import { asId, type UpstreamId } from "@wasabivane/common";
-import { UpstreamPauses, UpstreamSpeed } from "@wasabivane/admission";
+import { PauseRiskModel, UpstreamSpeed } from "@wasabivane/admission";
 import {
   buildCandidate,
   buildScheduler,
@@ -44,8 +44,14 @@
   const bench = createScheduler();
   const { scheduler } = bench;
   fill(bench, FAST);
-  const long = buildCandidate("long", { answering: 4_000, deadline: 6_000 });
-  const short = buildCandidate("short", { answering: 100, deadline: 6_000 });
+  const long = buildCandidate("long", {
+    responseDuration: 4_000,
+    deadline: 6_000,
+  });
+  const short = buildCandidate("short", {
+    responseDuration: 100,
+    deadline: 6_000,
+  });
   scheduler.submit(long, 0);
   scheduler.submit(short, 0);
   t.is(long.verdict, undefined);
@@ -70,7 +76,7 @@
 
 test("the longer a stream runs at an engine that pauses, the likelier it is late", (t) => {
   const speed = new UpstreamSpeed();
-  const pauses = new UpstreamPauses(speed);
+  const pauses = new PauseRiskModel(speed);
   for (let index = 0; index < 50; index++) {
     const sample = { service: PLANS, duration: 1_000 };
     pauses.observe({ ...sample, upstream: FAST, latePauses: 0 });
--- a/packages/admission/tests/prompts.test.ts
+++ b/packages/admission/tests/prompts.test.ts
@@ -1,12 +1,12 @@
 import { asId, type FailureDomain, type UpstreamId } from "@wasabivane/common";
 import test from "ava";
 import {
-  type Candidate,
-  type PlaceScheduler,
-  PromptMemory,
+  type PendingRequest,
+  type PlacementDecision,
+  PrefixCacheIndex,
   type PromptPart,
-  type UpstreamKnowledge,
-  type Verdict,
+  type RequestScheduler,
+  type UpstreamStats,
 } from "@wasabivane/admission";
 import {
   buildCandidate,
@@ -19,7 +19,7 @@
 const UPSTREAMS = 13;
 const OWN_TOKENS = 600;
 
-function createScheduler(seed: number): PlaceScheduler {
+function createScheduler(seed: number): RequestScheduler {
   const upstreams = Array.from(
     { length: UPSTREAMS },
     (_, index) => buildUpstream(index, { slots: 8 }),
@@ -37,7 +37,7 @@
 
 /** Name of the upstream that a prompt is sent to. */
 function placeOf(
-  scheduler: PlaceScheduler,
+  scheduler: RequestScheduler,
   parts: readonly PromptPart[],
   now = 0,
 ): string {
@@ -104,21 +104,23 @@
 test("upstreams that have left are forgotten, however many there were", (t) => {
   // Engines restart thousands of times a day, each time under another id. A keeper that
   // remembered what each of them had read would run out of memory within days.
-  const memory = new PromptMemory();
+  const memory = new PrefixCacheIndex();
   const parts = [{ part: "document", tokens: 100 }];
   const ids = Array.from(
     { length: 2_000 },
     (_, index) => asId<UpstreamId>(`u${index}`),
   );
-  for (const [index, id] of ids.entries()) memory.note(id, parts, index);
-  t.is(memory.held(ids[0]!, parts, 2_000), 0);
-  t.is(memory.held(ids.at(-1)!, parts, 2_000), 100);
-  t.true(memory.holdersOf(parts).size <= 256);
+  for (const [index, id] of ids.entries()) {
+    memory.recordPrompt(id, parts, index);
+  }
+  t.is(memory.cachedTokens(ids[0]!, parts, 2_000), 0);
+  t.is(memory.cachedTokens(ids.at(-1)!, parts, 2_000), 100);
+  t.true(memory.upstreamsCaching(parts).size <= 256);
 });
 
 /** An upstream was seen to read 50 tokens a millisecond. */
 function learnReading(
-  { firstEvents }: UpstreamKnowledge,
+  { firstEvents }: UpstreamStats,
   upstream: UpstreamId,
 ): void {
   for (let promptTokens = 0; promptTokens <= 6_000; promptTokens += 300) {
@@ -138,8 +140,8 @@
     { part: "document", tokens: 5_000 },
     { part: own, tokens: 100 },
   ];
-  const submit = (name: string, now: number): Candidate & {
-    verdict: Verdict | undefined;
+  const submit = (name: string, now: number): PendingRequest & {
+    verdict: PlacementDecision | undefined;
   } => {
     const candidate = buildCandidate(name, {
       parts: prompt(name),
--- a/packages/admission/tests/restarts.test.ts
+++ b/packages/admission/tests/restarts.test.ts
@@ -1,10 +1,10 @@
 import test from "ava";
-import { UpstreamDirectory, upstreamLife } from "@wasabivane/admission";
+import { createUpstreamId, UpstreamDirectory } from "@wasabivane/admission";
 import { buildUpstream, PLANS } from "./helpers/build.ts";
 
 /** A life of the upstream that the platform calls `u0`. */
 function life(bornAt: number, changes = {}): ReturnType<typeof buildUpstream> {
-  const upstream = upstreamLife("u0", bornAt);
+  const upstream = createUpstreamId("u0", bornAt);
   return buildUpstream(0, { upstream, bornAt, ...changes });
 }
 
@@ -14,7 +14,7 @@
   // may keep work from it, and the former life gets none any more.
   const directory = new UpstreamDirectory();
   directory.set(life(1_000));
-  directory.leave(life(1_000).upstream);
+  directory.markLeaving(life(1_000).upstream);
   t.is(directory.set(life(2_000)), undefined);
   t.deepEqual(directory.of(PLANS), [life(2_000)]);
   t.deepEqual(directory.set(life(3_000)), life(2_000));
@@ -24,11 +24,11 @@
 test("a peer that still speaks of a former life does no harm to the new one", (t) => {
   const directory = new UpstreamDirectory();
   directory.set(life(2_000));
-  directory.leave(life(1_000).upstream);
+  directory.markLeaving(life(1_000).upstream);
   directory.set(life(1_000));
   directory.set(life(1_000, { isLeaving: true }));
   t.deepEqual(directory.of(PLANS), [life(2_000)]);
-  t.is(directory.named("u0"), directory.of(PLANS)[0]);
+  t.is(directory.findByName("u0"), directory.of(PLANS)[0]);
 });
 
 test("a full reading replaces former lives and says which are over", (t) => {
@@ -43,6 +43,6 @@
 });
 
 test("an upstream that does not tell its birth keeps its name as its id", (t) => {
-  t.is(upstreamLife("i-1", 0) as string, "i-1");
-  t.not(upstreamLife("i-1", 1), upstreamLife("i-1", 2));
+  t.is(createUpstreamId("i-1", 0) as string, "i-1");
+  t.not(createUpstreamId("i-1", 1), createUpstreamId("i-1", 2));
 });
--- a/packages/admission/tests/silence.test.ts
+++ b/packages/admission/tests/silence.test.ts
@@ -6,14 +6,18 @@
   type UpstreamId,
 } from "@wasabivane/common";
 import {
-  bearablePause,
+  type PauseContext,
+  pauseTimeout,
   type Route,
-  SignsOfLife,
-  type SilentUpstream,
+  UpstreamActivity,
 } from "@wasabivane/admission";
 
 const U0 = asId<UpstreamId>("u0");
-const IDLE: SilentUpstream = { reading: 0, movedFor: 0, isEjected: false };
+const IDLE: PauseContext = {
+  prefillTime: 0,
+  otherProgressTime: 0,
+  isEjected: false,
+};
 
 function streamRoute(changes: Partial<Route> = {}): Route {
   return {
@@ -38,17 +42,17 @@
   // pause for more than a second, then go on; cut as silent, each would begin anew
   // elsewhere or break off, with most of its answer delivered.
   const route = streamRoute();
-  t.is(bearablePause(route, IDLE), 1_000);
-  t.is(bearablePause(route, { ...IDLE, reading: 300 }), 1_600);
+  t.is(pauseTimeout(route, IDLE), 1_000);
+  t.is(pauseTimeout(route, { ...IDLE, prefillTime: 300 }), 1_600);
 });
 
 test("no reading is an excuse for longer than callers bear", (t) => {
   // Callers of this route leave after a gap of 4 s; there must be time for another
   // upstream to go on before.
   const route = streamRoute();
-  t.is(bearablePause(route, { ...IDLE, reading: 60_000 }), 2_000);
+  t.is(pauseTimeout(route, { ...IDLE, prefillTime: 60_000 }), 2_000);
   const short = streamRoute({ pauseTarget: 100, target: 100 });
-  t.is(bearablePause(short, { ...IDLE, reading: 60_000 }), 1_000);
+  t.is(pauseTimeout(short, { ...IDLE, prefillTime: 60_000 }), 1_000);
 });
 
 test("an engine that hangs on one request is left at the usual time", (t) => {
@@ -56,21 +60,31 @@
   // reading of prompts that keeps it.
   const route = streamRoute();
   const reading = 5_000;
-  t.is(bearablePause(route, { ...IDLE, reading, movedFor: 800 }), 1_000);
-  t.is(bearablePause(route, { ...IDLE, reading, isEjected: true }), 1_000);
-  t.is(bearablePause(streamRoute({ pauseTarget: 0 }), IDLE), undefined);
+  t.is(
+    pauseTimeout(route, {
+      ...IDLE,
+      prefillTime: reading,
+      otherProgressTime: 800,
+    }),
+    1_000,
+  );
+  t.is(
+    pauseTimeout(route, { ...IDLE, prefillTime: reading, isEjected: true }),
+    1_000,
+  );
+  t.is(pauseTimeout(streamRoute({ pauseTarget: 0 }), IDLE), undefined);
 });
 
 test("signs of life of a request are told from those of the others", (t) => {
-  const signs = new SignsOfLife();
+  const signs = new UpstreamActivity();
   const [own, other] = [asId<RequestId>("q1"), asId<RequestId>("q2")];
-  signs.note(U0, own, 100);
-  t.is(signs.besides(U0, own), undefined);
-  signs.note(U0, other, 110);
-  signs.note(U0, own, 120);
-  signs.note(U0, own, 130);
-  t.is(signs.besides(U0, own), 110);
-  t.is(signs.besides(U0, other), 130);
+  signs.recordEvent(U0, own, 100);
+  t.is(signs.lastEventOfOthers(U0, own), undefined);
+  signs.recordEvent(U0, other, 110);
+  signs.recordEvent(U0, own, 120);
+  signs.recordEvent(U0, own, 130);
+  t.is(signs.lastEventOfOthers(U0, own), 110);
+  t.is(signs.lastEventOfOthers(U0, other), 130);
   signs.forget(U0);
-  t.is(signs.besides(U0, other), undefined);
+  t.is(signs.lastEventOfOthers(U0, other), undefined);
 });
--- a/packages/admission/tests/untoldLoad.test.ts
+++ b/packages/admission/tests/untoldLoad.test.ts
@@ -11,11 +11,14 @@
   { told, reported }: { told: number; reported: (index: number) => number },
 ): FleetLoad {
   const load = new FleetLoad();
-  const inFlight = new Map([[ENGINE, { requests: told, unreadTokens: 0 }]]);
+  const inFlight = new Map([[ENGINE, {
+    requests: told,
+    pendingPrefillTokens: 0,
+  }]]);
   for (let index = 0; index < 25; index++) {
     const now = index * REPORT_EVERY_MS;
-    load.hear(HOST, { inFlight }, now);
-    load.report(ENGINE, reported(index), now);
+    load.setPeerLoad(HOST, { inFlight }, now);
+    load.recordReport(ENGINE, reported(index), now);
   }
   return load;
 }
@@ -37,8 +40,8 @@
 
 test("what was reported fades when the engine says nothing more", (t) => {
   const load = reportedLoad({ told: 2, reported: () => 9 });
-  load.expire(500);
+  load.expirePeers(500);
   t.true(load.total(ENGINE) > 5);
-  load.hear(HOST, { inFlight: new Map() }, 20_000);
+  load.setPeerLoad(HOST, { inFlight: new Map() }, 20_000);
   t.is(load.total(ENGINE), 0);
 });
--- a/packages/admission/tests/waitingLine.test.ts
+++ b/packages/admission/tests/waitingLine.test.ts
@@ -1,5 +1,5 @@
 import { asId, asTier, type RequestId } from "@wasabivane/common";
-import { type Waiter, WaitingLine } from "@wasabivane/admission";
+import { type QueuedRequest, RequestQueue } from "@wasabivane/admission";
 import test from "ava";
 import fc from "fast-check";
 
@@ -7,17 +7,20 @@
 const ON_TIME = 1;
 const LATE = 2;
 
-function placeOf(item: Waiter, now: number): number {
+function placeOf(item: QueuedRequest, now: number): number {
   if (item.isContinuation === true) return BEGUN;
   return item.onTimeUntil <= now ? LATE : ON_TIME;
 }
 
-function turnOf(item: Waiter, now: number): number {
+function turnOf(item: QueuedRequest, now: number): number {
   return placeOf(item, now) === ON_TIME ? item.onTimeUntil : item.since;
 }
 
 /** The order of the line, worked out anew each time. */
-function sortedAnew(items: readonly Waiter[], now: number): Waiter[] {
+function sortedAnew(
+  items: readonly QueuedRequest[],
+  now: number,
+): QueuedRequest[] {
   return items.toSorted((left, right) =>
     left.tier - right.tier ||
     placeOf(left, now) - placeOf(right, now) ||
@@ -26,7 +29,11 @@
 }
 
 /** Whether another one of its tier starts before it; of late ones, only late ones count. */
-function isAhead(other: Waiter, item: Waiter, now: number): boolean {
+function isAhead(
+  other: QueuedRequest,
+  item: QueuedRequest,
+  now: number,
+): boolean {
   if (item.tier !== other.tier) return false;
   const place = placeOf(item, now);
   if (placeOf(other, now) !== place) {
@@ -57,8 +64,8 @@
 test("the line stands as if it were sorted anew at each look", (t) => {
   fc.assert(
     fc.property(steps, (taken) => {
-      const line = new WaitingLine<Waiter>();
-      let items: Waiter[] = [];
+      const line = new RequestQueue<QueuedRequest>();
+      let items: QueuedRequest[] = [];
       let now = 0;
       for (const [index, { after, pushed, takenOut }] of taken.entries()) {
         now += after;
@@ -78,7 +85,7 @@
           const ahead = items.filter((other) =>
             other !== item && isAhead(other, item, now)
           );
-          t.is(line.outlook(item, now).ahead, ahead.length);
+          t.is(line.estimate(item, now).ahead, ahead.length);
         }
       }
     }),
--- a/packages/admission/tests/watchWait.test.ts
+++ b/packages/admission/tests/watchWait.test.ts
@@ -1,22 +1,22 @@
 import { SeededRandom } from "@wasabivane/common";
 import {
-  Freshness,
-  type WatchSituation,
-  watchWait,
+  drawWatchDuration,
+  PolicyFreshness,
+  type WatchContext,
 } from "@wasabivane/admission";
 import test from "ava";
 
-const CALM: WatchSituation = {
+const CALM: WatchContext = {
   revocationBound: 5_000,
   readingPeers: 7,
   hasJustChanged: false,
 };
 
-function waits(changes: Partial<WatchSituation> = {}): number[] {
+function waits(changes: Partial<WatchContext> = {}): number[] {
   const random = new SeededRandom(5);
   return Array.from(
     { length: 200 },
-    () => watchWait({ ...CALM, ...changes }, random),
+    () => drawWatchDuration({ ...CALM, ...changes }, random),
   );
 }
 
@@ -24,21 +24,26 @@
   // A host whose watch waits longer than its lease would refuse callers with valid
   // keys although the store answers.
   for (const revocationBound of [500, 3_000, 5_000, 60_000]) {
-    const freshness = new Freshness({ revocationBound, applyBound: 2_000 });
-    freshness.prove(0);
-    t.true(freshness.mayTrustKeys(Math.max(...waits({ revocationBound }))));
+    const freshness = new PolicyFreshness({
+      revocationBound,
+      applyBound: 2_000,
+    });
+    freshness.confirm(0);
+    t.true(freshness.isKeyTrusted(Math.max(...waits({ revocationBound }))));
   }
 });
 
 test("the first watch after a change proves freshness soon", (t) => {
   // A change answers the watches of all hosts at once, with proofs as old as the
   // watches. Unknown keys cannot be denied until the next proof.
-  const freshness = new Freshness({
+  const freshness = new PolicyFreshness({
     revocationBound: 5_000,
     applyBound: 2_000,
   });
-  freshness.prove(0);
-  t.true(freshness.mayDeny(Math.max(...waits({ hasJustChanged: true }))));
+  freshness.confirm(0);
+  t.true(
+    freshness.isDenialAllowed(Math.max(...waits({ hasJustChanged: true }))),
+  );
   t.true(Math.max(...waits()) > 2_000);
 });
 
--- a/packages/gateway/src/attemptObservations.ts
+++ b/packages/gateway/src/attemptObservations.ts
@@ -1,5 +1,8 @@
 import type { Digest, Milliseconds, UpstreamId } from "@wasabivane/common";
-import type { AnswerTimes, AttemptObservation } from "@wasabivane/admission";
+import type {
+  AttemptObservation,
+  ResponseTimings,
+} from "@wasabivane/admission";
 import type { Attempt, AttemptEnd } from "./attempt.ts";
 import { expectedTokensOf, promptTokensOf } from "./attemptPlan.ts";
 import type { GatewayParts } from "./gatewayParts.ts";
@@ -24,7 +27,7 @@
   const now = parts.timer.now();
   const residence = now - attempt.startedAt;
   if (outcome === "broken" && wasSent) {
-    parts.crashes.noteBroken({ fingerprint, upstream, at: now });
+    parts.crashes.recordBrokenResponse({ fingerprint, upstream, at: now });
   }
   if (outcome === "replaced") parts.dropReplaced(upstream);
   if (outcome === "unreachable") confirmCrashes(upstream, parts);
@@ -35,7 +38,7 @@
     residence,
     ...outcome === "whole" && { times: timesOf(attempt, admitted, residence) },
   };
-  if (parts.knowledge.learn(observation, now)) {
+  if (parts.knowledge.record(observation, now)) {
     parts.metrics.count("upstream_ejected");
     parts.log.write("upstream_ejected", { upstream, outcome, service });
   }
@@ -46,7 +49,7 @@
   { startedAt, firstEventAt, eventCount, latePauses, promptTokens }: Attempt,
   admitted: Admitted,
   residence: Milliseconds,
-): AnswerTimes {
+): ResponseTimings {
   return {
     route: admitted.route.route,
     expectedTokens: expectedTokensOf(admitted),
@@ -62,7 +65,7 @@
   upstream: UpstreamId,
   { crashes, log, tellCrash, timer }: GatewayParts,
 ): void {
-  for (const crash of crashes.noteDown(upstream, timer.now())) {
+  for (const crash of crashes.confirmCrashes(upstream, timer.now())) {
     log.write("crash_confirmed", { upstream, fingerprint: crash.fingerprint });
     tellCrash(crash);
   }
--- a/packages/gateway/src/attemptPlan.ts
+++ b/packages/gateway/src/attemptPlan.ts
@@ -6,8 +6,8 @@
   UpstreamId,
 } from "@wasabivane/common";
 import {
-  callerPatience,
-  type PlaceWish,
+  firstByteTimeout,
+  type PlacementRequest,
   type Upstream,
 } from "@wasabivane/admission";
 import type { AttemptListener, AttemptOptions } from "./attempt.ts";
@@ -55,7 +55,7 @@
     /** An upstream may have begun with it. */
     isContinuation: boolean;
   },
-): PlaceWish {
+): PlacementRequest {
   const { route, service, says, account, arrivedAt, deadline } = admitted;
   return {
     request: says.attempt,
@@ -66,7 +66,7 @@
     arrivedAt,
     target: route.target,
     deadline,
-    patience: callerPatience(route, deadline - arrivedAt),
+    firstByteTimeout: firstByteTimeout(route, deadline - arrivedAt),
     promptTokens: promptTokensOf(admitted),
     expectedTokens: expectedTokensOf(admitted),
     pauseTarget: route.pauseTarget,
@@ -101,7 +101,7 @@
     promptTokens,
     patience: silencePatience({ ...send, promptTokens }),
     onLoad: (requests) =>
-      parts.places.noteLoad(upstream, requests, timer.now()),
+      parts.places.recordUpstreamLoad(upstream, requests, timer.now()),
     onPace: (duration) =>
       knowledge.speed.observe({
         service,
--- a/packages/gateway/src/callerFront.ts
+++ b/packages/gateway/src/callerFront.ts
@@ -116,13 +116,14 @@
 
   #noteTaken(socket: Socket): void {
     const { lag, timer } = this.#parts;
-    this.#backlog.noteTaken();
-    const hasWaited = this.#backlog.isStanding && lag.hadLongTurns(timer.now());
+    this.#backlog.recordAccept();
+    const hasWaited = this.#backlog.hasBacklog &&
+      lag.hasRecentLongIteration(timer.now());
     if (hasWaited) this.#waited.add(socket);
     if (this.#isWatchingTurns) return;
     this.#isWatchingTurns = true;
     const endTurn = (): void => {
-      this.#isWatchingTurns = this.#backlog.endTurn();
+      this.#isWatchingTurns = this.#backlog.endIteration();
       if (this.#isWatchingTurns) setImmediate(endTurn);
     };
     setImmediate(endTurn);
@@ -210,7 +211,7 @@
     const refusal = {
       status: 503,
       reason: "host-behind",
-      retryAfter: shedding.returnAfter(timer.now()),
+      retryAfter: shedding.computeRetryDelay(timer.now()),
     } as const;
     if (this.#shedCount++ % SHED_BY_LINE === 0) {
       return this.#refuse(request, answer, refusal);
@@ -231,7 +232,7 @@
       dialect,
       random,
       // It came while this host was busy with others; its caller's time runs since then.
-      now: timer.now() - lag.standing,
+      now: timer.now() - lag.sustained,
       elapsedNow: elapsed.now(),
       readingDelay: TURNS_TO_READ * lag.peak(timer.now()),
     });
@@ -264,7 +265,9 @@
     const method = request.method ?? "GET";
     const path = request.url ?? "/";
     const fingerprint = fingerprintOf(admitted, { method, path, body });
-    if (this.#parts.crashes.isConvicted(fingerprint, this.#parts.timer.now())) {
+    if (
+      this.#parts.crashes.isQuarantined(fingerprint, this.#parts.timer.now())
+    ) {
       this.#giveBack(admitted);
       const refusal = { status: 503, reason: "convicted" } as const;
       return this.#refuse(request, answer, refusal);
@@ -292,7 +295,7 @@
 
   #giveBack({ account, says }: Admitted): void {
     if (account?.quota === undefined) return;
-    this.#parts.quotas.giveBack(account.account, unitsOf(account, says));
+    this.#parts.quotas.refund(account.account, unitsOf(account, says));
   }
 
   #refuse(
--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -1,11 +1,11 @@
 import type { Buffer } from "node:buffer";
 import type { Milliseconds, Tier, TimerSubscription } from "@wasabivane/common";
 import {
-  type Outlook,
-  returnAfter,
+  computeRetryDelay,
+  type PlacementDecision,
+  type QueueEstimate,
   type Upstream,
   type UpstreamOutcome,
-  type Verdict,
 } from "@wasabivane/admission";
 import {
   type AnswerHead,
@@ -32,7 +32,7 @@
 /** A host that is less behind than this sends at once. */
 const LAG_BEFORE_LOOK_MS: Milliseconds = 20;
 
-type Place = Extract<Verdict, { kind: "place" }>;
+type Place = Extract<PlacementDecision, { kind: "place" }>;
 
 /** What an {@link Exchange} is about. */
 export interface ExchangeOptions {
@@ -110,7 +110,7 @@
     this.#times.noteEvents(now);
     const upstream = this.#attempt?.upstream.upstream;
     if (upstream !== undefined) {
-      parts.signs.note(upstream, admitted.says.attempt, now);
+      parts.signs.recordEvent(upstream, admitted.says.attempt, now);
     }
     if (lastEvent !== undefined) this.#lastEvent = lastEvent;
     if (answer.write(bytes)) return;
@@ -150,14 +150,14 @@
     );
   }
 
-  #onVerdict(verdict: Verdict): void {
+  #onVerdict(verdict: PlacementDecision): void {
     if (this.#isOver) return;
     // On a busy host the timer of the deadline may run later than this.
     if (this.#now() >= this.#options.admitted.deadline) {
       return this.#passDeadline();
     }
     if (verdict.kind === "place") return this.#sendInTurn(verdict);
-    const { outlook, reason } = verdict;
+    const { estimate: outlook, reason } = verdict;
     if (this.#options.answer.hasStarted) {
       return this.#cut(reason, { excluded: this.#sends.excluded.size });
     }
@@ -184,7 +184,7 @@
    */
   #sendInTurn(place: Place): void {
     const { parts: { timer, lag } } = this.#options;
-    if (lag.standing < LAG_BEFORE_LOOK_MS) return this.#send(place);
+    if (lag.sustained < LAG_BEFORE_LOOK_MS) return this.#send(place);
     timer.after(0, () =>
       timer.after(0, () => {
         if (this.#now() >= this.#options.admitted.deadline) {
@@ -194,7 +194,9 @@
       }));
   }
 
-  #send({ upstream, inFlight, unreadTokens }: Place): void {
+  #send(
+    { upstream, inFlight, pendingPrefillTokens: unreadTokens }: Place,
+  ): void {
     const { parts, admitted, request } = this.#options;
     const now = this.#now();
     if (this.#sends.count === 0) this.#times.notePlace(now);
@@ -241,7 +243,7 @@
     const upstream = this.#readingAt;
     this.#readingAt = undefined;
     const tokens = promptTokensOf(admitted);
-    parts.places.endReading(upstream, tokens, this.#now());
+    parts.places.endPrefill(upstream, tokens, this.#now());
   }
 
   /** Passes on the whole answer, or the end of the stream. */
@@ -262,7 +264,10 @@
     const isAgain = this.#sends.takeNext(upstream, {
       outcome,
       hasStarted: answer.hasStarted,
-      isConvicted: parts.crashes.isConvicted(request.fingerprint, this.#now()),
+      isConvicted: parts.crashes.isQuarantined(
+        request.fingerprint,
+        this.#now(),
+      ),
     });
     if (!isAgain) return this.#giveUp(end, upstream);
     if (outcome !== "unreachable") {
@@ -297,10 +302,10 @@
     this.#refuse({ status, reason: "deadline" });
   }
 
-  #comeBack(reason: Refusal["reason"], { wait }: Outlook): Refusal {
+  #comeBack(reason: Refusal["reason"], { wait }: QueueEstimate): Refusal {
     const { parts, admitted } = this.#options;
     const timeLeft = admitted.deadline - this.#now();
-    const retryAfter = returnAfter(
+    const retryAfter = computeRetryDelay(
       { wait, timeLeft },
       parts.random,
     );
--- a/packages/gateway/src/fleetTalk.ts
+++ b/packages/gateway/src/fleetTalk.ts
@@ -165,11 +165,11 @@
   ): void {
     const { parts: { directory, crashes }, onLeft, onSilent } = this.#options;
     for (const upstream of left) {
-      if (directory.listed(upstream) !== undefined) onLeft(upstream);
+      if (directory.findListed(upstream) !== undefined) onLeft(upstream);
     }
     for (const [fingerprint, upstream, age] of told) {
       const crash = { fingerprint, upstream, at: now - age };
-      if (crashes.hear(crash)) this.tellCrash(crash);
+      if (crashes.recordCrash(crash)) this.tellCrash(crash);
     }
     for (const [host, span] of silent) {
       if (this.#silent.has(host)) continue;
@@ -195,7 +195,7 @@
     const isSame = policyVersion === policies.version &&
       word.listRevision === this.#options.listRevision();
     if (!isSame || proofAge === undefined) return;
-    policies.freshness.prove(elapsed.now() - proofAge - TRANSIT_MS);
+    policies.freshness.confirm(elapsed.now() - proofAge - TRANSIT_MS);
     this.#noteProof(parts.timer.now());
   }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -4,17 +4,17 @@
   type Milliseconds,
 } from "@wasabivane/common";
 import {
-  CrashBook,
-  HostLag,
-  type KeeperCandidate,
-  LoadShedding,
-  PlaceSeeker,
-  QuotaBook,
+  type CoordinatorCandidate,
+  EventLoopLag,
+  LoadShedder,
+  PlacementClient,
+  PoisonRequestDetector,
+  QuotaLimiter,
   RetryBudget,
-  SignsOfLife,
   type Upstream,
+  UpstreamActivity,
   UpstreamDirectory,
-  UpstreamKnowledge,
+  UpstreamStats,
 } from "@wasabivane/admission";
 import { err, type Result } from "neverthrow";
 import { CallerFront } from "./callerFront.ts";
@@ -133,7 +133,7 @@
   get isReady(): boolean {
     const { policies, directory, elapsed } = this.parts;
     return !this.#isStopping && policies.index !== undefined &&
-      directory.size > 0 && policies.freshness.mayTrustKeys(elapsed.now());
+      directory.size > 0 && policies.freshness.isKeyTrusted(elapsed.now());
   }
 
   /** Opens the ports, the callers' one first. */
@@ -181,7 +181,7 @@
 
   /** What is known of the store is the newest as of a moment of the elapsed clock. */
   provePolicy(provenAt: Milliseconds): void {
-    this.parts.policies.freshness.prove(provenAt);
+    this.parts.policies.freshness.confirm(provenAt);
   }
 
   setSeeds(seeds: readonly string[]): void {
@@ -232,8 +232,8 @@
     const { host, failureDomain, timer, random, dialect, output, lowestLag } =
       this.#options;
     const directory = new UpstreamDirectory();
-    const lag = new HostLag();
-    const knowledge = new UpstreamKnowledge();
+    const lag = new EventLoopLag();
+    const knowledge = new UpstreamStats();
     const hostCount = (): number => this.#book.aliveCount + 1;
     const policies = new PolicyState({
       dialect,
@@ -251,14 +251,14 @@
       policies,
       directory,
       knowledge,
-      signs: new SignsOfLife(),
+      signs: new UpstreamActivity(),
       places: this.#createSeeker(directory, knowledge),
       coldStartsOf: (upstream) => this.#coldStartsOf(upstream),
-      quotas: new QuotaBook(this.#options.quotaTolerance),
+      quotas: new QuotaLimiter(this.#options.quotaTolerance),
       retries: new RetryBudget(this.#options.retryBudget),
-      crashes: new CrashBook(),
+      crashes: new PoisonRequestDetector(),
       lag,
-      shedding: new LoadShedding({
+      shedding: new LoadShedder({
         lag,
         random,
         ...lowestLag !== undefined && { lowestLag },
@@ -284,15 +284,15 @@
 
   #createSeeker(
     directory: UpstreamDirectory,
-    knowledge: UpstreamKnowledge,
-  ): PlaceSeeker {
+    knowledge: UpstreamStats,
+  ): PlacementClient {
     const { host, incarnation, failureDomain, random, timer } = this.#options;
-    return new PlaceSeeker({
+    return new PlacementClient({
       host,
       incarnation,
       failureDomain,
       directory,
-      knowledge,
+      stats: knowledge,
       random,
       candidates: () => this.#candidates(),
       coldStartsOf: (upstream) => this.#coldStartsOf(upstream),
@@ -300,14 +300,14 @@
         this.#desk.ask(keeper, ask);
         this.#looks.plan();
       },
-      onTelling: () => this.#looks.plan(),
-      onKeeper: (change) => {
+      onSendScheduled: () => this.#looks.plan(),
+      onCoordinatorChange: (change) => {
         this.parts.metrics.count(`keeper_${change.kind}`);
         this.parts.log.write("keeper_passed_over", keeperChangeOf(change));
-        const { keeper } = change;
+        const { coordinator: keeper } = change;
         if (change.kind !== "silent" || keeper === undefined) return;
-        const until = this.parts.places.keepers
-          .passedOver(timer.now()).get(keeper);
+        const until = this.parts.places.coordinators
+          .skipped(timer.now()).get(keeper);
         if (until !== undefined) this.#talk.tellSilent(keeper, until);
       },
     });
@@ -343,7 +343,7 @@
       onChange: (change) => this.takeChange(change),
       onLeft: (upstream) => this.upstreams.takeLeft(upstream),
       onSilent: (host, until) =>
-        this.parts.places.keepers.hearSilent(host, until),
+        this.parts.places.coordinators.skipUntil(host, until),
       listRevision: () => this.sharing.listRevision,
       canRead: () => this.sharing.canRead,
     });
@@ -376,7 +376,7 @@
   }
 
   /** The hosts that may keep a cell or add up usage. */
-  #candidates(): readonly KeeperCandidate[] {
+  #candidates(): readonly CoordinatorCandidate[] {
     return this.#book.candidates({
       isLeaving: this.#isStopping,
       now: this.#options.timer.now(),
@@ -396,7 +396,7 @@
         upstreams: this.sharing.listRevision > known.listRevision
           ? directory.all()
           : [],
-        kept: directory.kept(this.parts.timer.now()),
+        kept: directory.lapsed(this.parts.timer.now()),
         evacuated: [...directory.evacuated],
         listRevision: this.sharing.listRevision,
       }),
@@ -434,7 +434,7 @@
     log.write("requests_shed", {
       requests,
       share: Math.round(shedding.share * 100) / 100,
-      lag: Math.round(lag.standing),
+      lag: Math.round(lag.sustained),
     });
   }
 
--- a/packages/gateway/src/gatewayOptions.ts
+++ b/packages/gateway/src/gatewayOptions.ts
@@ -7,7 +7,7 @@
   Timer,
 } from "@wasabivane/common";
 import type {
-  FreshnessOptions,
+  PolicyFreshnessOptions,
   QuotaTolerance,
   RetryBudgetOptions,
 } from "@wasabivane/admission";
@@ -36,7 +36,7 @@
   /** Processor cores that this host may use, also a fraction of one. */
   readonly cores: number;
   readonly readyPath: string;
-  readonly freshness: FreshnessOptions;
+  readonly freshness: PolicyFreshnessOptions;
   readonly retryBudget: RetryBudgetOptions;
   /** By how much all hosts together may exceed a quota. */
   readonly quotaTolerance: QuotaTolerance;
--- a/packages/gateway/src/gatewayParts.ts
+++ b/packages/gateway/src/gatewayParts.ts
@@ -9,16 +9,16 @@
 } from "@wasabivane/common";
 import type {
   Crash,
-  CrashBook,
-  HostLag,
-  LoadShedding,
-  PlaceSeeker,
-  QuotaBook,
+  EventLoopLag,
+  LoadShedder,
+  PlacementClient,
+  PoisonRequestDetector,
+  QuotaLimiter,
   RetryBudget,
-  SignsOfLife,
   Upstream,
+  UpstreamActivity,
   UpstreamDirectory,
-  UpstreamKnowledge,
+  UpstreamStats,
 } from "@wasabivane/admission";
 import type { DecisionLog } from "./decisionLog.ts";
 import type { Dialect } from "./dialect.ts";
@@ -39,19 +39,19 @@
   readonly policies: PolicyState;
   readonly directory: UpstreamDirectory;
   /** What is known of the upstreams from how they served. */
-  readonly knowledge: UpstreamKnowledge;
+  readonly knowledge: UpstreamStats;
   /** When streams of this host moved last. */
-  readonly signs: SignsOfLife;
+  readonly signs: UpstreamActivity;
   /** Where requests of this host seek their places. */
-  readonly places: PlaceSeeker;
+  readonly places: PlacementClient;
   /** Starts in one second that a cold upstream bears over all hosts; `undefined` for any. */
   readonly coldStartsOf: (upstream: Upstream) => number | undefined;
-  readonly quotas: QuotaBook;
+  readonly quotas: QuotaLimiter;
   readonly retries: RetryBudget;
-  readonly crashes: CrashBook;
+  readonly crashes: PoisonRequestDetector;
   /** How far this host is behind its own work. */
-  readonly lag: HostLag;
-  readonly shedding: LoadShedding;
+  readonly lag: EventLoopLag;
+  readonly shedding: LoadShedder;
   readonly connections: UpstreamConnections;
   /** Tells the peers that a request crashed an upstream. */
   readonly tellCrash: (crash: Crash) => void;
--- a/packages/gateway/src/intake.ts
+++ b/packages/gateway/src/intake.ts
@@ -6,7 +6,7 @@
 } from "@wasabivane/common";
 import type {
   ClientAccount,
-  PlaceRefusal,
+  PlacementRefusal,
   PolicyIndex,
   Route,
   RouteTarget,
@@ -29,7 +29,7 @@
   | "over-quota"
   | "host-behind"
   | "convicted"
-  | PlaceRefusal
+  | PlacementRefusal
   | "not-run-upstream"
   | "unreachable-upstream"
   | "deadline"
@@ -153,7 +153,7 @@
     return ok(undefined);
   }
   const { freshness } = options.policies;
-  if (!freshness.mayTrustKeys(options.elapsedNow)) {
+  if (!freshness.isKeyTrusted(options.elapsedNow)) {
     return err(notNow("policy-behind", options));
   }
   const account = says.apiKey === undefined
@@ -169,7 +169,7 @@
   options: IntakeOptions,
 ): Refusal {
   const { policies, elapsedNow } = options;
-  return policies.freshness.mayDeny(elapsedNow)
+  return policies.freshness.isDenialAllowed(elapsedNow)
     ? { status, reason }
     : notNow("policy-behind", options);
 }
--- a/packages/gateway/src/looks.ts
+++ b/packages/gateway/src/looks.ts
@@ -3,7 +3,7 @@
   Timer,
   TimerSubscription,
 } from "@wasabivane/common";
-import type { HostLag } from "@wasabivane/admission";
+import type { EventLoopLag } from "@wasabivane/admission";
 import type { PlaceDesk } from "./placeDesk.ts";
 
 /** How often peers, usage and grace times are looked at, */
@@ -17,7 +17,7 @@
   readonly timer: Timer;
   readonly desk: PlaceDesk;
   /** Told how late the looks come. */
-  readonly lag: HostLag;
+  readonly lag: EventLoopLag;
   /** Other hosts that live. */
   readonly hosts: () => number;
   /** Looks at all that changes slowly. */
--- a/packages/gateway/src/operatorPages.ts
+++ b/packages/gateway/src/operatorPages.ts
@@ -1,6 +1,6 @@
 import { Pool } from "undici";
 import type { FailureDomain, Milliseconds } from "@wasabivane/common";
-import type { KeptUpstream, Upstream } from "@wasabivane/admission";
+import type { LapsedUpstream, Upstream } from "@wasabivane/admission";
 import { Packr } from "msgpackr";
 import { err, ok, type Result } from "neverthrow";
 import type { Page } from "./pages.ts";
@@ -27,7 +27,7 @@
   /** None where the asking host knows them all. */
   readonly upstreams: readonly Upstream[];
   /** Those of them whose entries lapsed and that are gone unless they come back. */
-  readonly kept: readonly KeptUpstream[];
+  readonly kept: readonly LapsedUpstream[];
   /** Evacuated failure domains as of that revision. */
   readonly evacuated: readonly FailureDomain[];
   /** Revision of the store up to which these are all. */
--- a/packages/gateway/src/peerBook.ts
+++ b/packages/gateway/src/peerBook.ts
@@ -6,7 +6,7 @@
   type Random,
   rendezvousWeight,
 } from "@wasabivane/common";
-import type { KeeperCandidate } from "@wasabivane/admission";
+import type { CoordinatorCandidate } from "@wasabivane/admission";
 import type { PeerMention } from "./peerWord.ts";
 
 /** A peer of whom nobody heard for so long is taken for lost in a small fleet. */
@@ -76,7 +76,7 @@
   readonly #seeds = new Map<string, Milliseconds>();
   readonly #changes: PeerChange[] = [];
   #mentionOffset = 0;
-  #candidates: readonly KeeperCandidate[] = [];
+  #candidates: readonly CoordinatorCandidate[] = [];
   #candidatesAt: Milliseconds = -Infinity;
   #hasYoung = true;
   #isLeaving = false;
@@ -199,7 +199,7 @@
   /** The hosts that may keep a cell; the same list until something changes. */
   candidates(
     { isLeaving, now }: { isLeaving: boolean; now: Milliseconds },
-  ): readonly KeeperCandidate[] {
+  ): readonly CoordinatorCandidate[] {
     const isFresh = !this.#hasYoung || now - this.#candidatesAt < CANDIDATES_MS;
     const isSame = Number.isFinite(this.#candidatesAt) &&
       isLeaving === this.#isLeaving;
@@ -207,7 +207,7 @@
     this.#candidatesAt = now;
     this.#isLeaving = isLeaving;
     const { host, failureDomain, startedAt, cores } = this.#options;
-    const candidates: KeeperCandidate[] = isLeaving
+    const candidates: CoordinatorCandidate[] = isLeaving
       ? []
       : [{ host, failureDomain, age: now - startedAt, cores }];
     for (const [peer, { failureDomain, startedAt, ...rest }] of this.#peers) {
