--- a/packages/gateway/src/peerMessage.ts
+++ b/packages/gateway/src/peerMessage.ts
@@ -12,9 +12,9 @@
 } from "@wasabivane/common";
 import type {
   Cell,
+  CellReply,
   CellSnapshot,
-  PlaceAnswer,
-  PlaceAsk,
+  CellUpdate,
   UsageReport,
 } from "@wasabivane/admission";
 import { err, ok, type Result } from "neverthrow";
@@ -66,8 +66,8 @@
 /** A datagram, by its kind. */
 export type PeerMessage =
   | { readonly kind: "word"; readonly word: PeerWord }
-  | { readonly kind: "ask"; readonly ask: PlaceAsk }
-  | { readonly kind: "answer"; readonly answer: PlaceAnswer }
+  | { readonly kind: "ask"; readonly ask: CellUpdate }
+  | { readonly kind: "answer"; readonly answer: CellReply }
   | { readonly kind: "call"; readonly call: KeeperCall }
   | { readonly kind: "snapshots"; readonly snapshots: readonly CellSnapshot[] }
   | { readonly kind: "usage"; readonly usage: UsageReport }
@@ -124,25 +124,27 @@
   },
 };
 
-const ASK: Codec<PlaceAsk> = {
+const ASK: Codec<CellUpdate> = {
   pack: (ask, now) => [
     ask.host,
     ask.incarnation,
     packCell(ask.cell),
     ask.sequence,
-    [...ask.inFlight].map(([upstream, { requests, unreadTokens }]) => [
+    [...ask.inFlight].map((
+      [upstream, { requests, pendingPrefillTokens: unreadTokens }],
+    ) => [
       upstream,
       requests,
       unreadTokens,
     ]),
-    ask.wishes.map((wish) => packWish(wish, now)),
+    ask.requests.map((wish) => packWish(wish, now)),
     ask.observations.map(packObservation),
-    ask.observationsFrom,
-    ask.verdictsSeen,
-    ask.wantsAnswer,
+    ask.firstObservation,
+    ask.decisionsSeen,
+    ask.wantsReply,
     ask.withdrawn,
     ask.reports,
-    Math.round(ask.answerTime),
+    Math.round(ask.replyTime),
     ...ask.waiting === undefined ? [] : [ask.waiting],
   ],
   read: (row, now) => {
@@ -157,52 +159,52 @@
           asId<UpstreamId>(textOf(upstream)),
           {
             requests: numberOf(requests),
-            unreadTokens: numberOf(unreadTokens),
+            pendingPrefillTokens: numberOf(unreadTokens),
           },
         ]),
       ),
-      wishes: rowsOf(row[5]).map((wish) => readWish(wish, cell.service, now)),
+      requests: rowsOf(row[5]).map((wish) => readWish(wish, cell.service, now)),
       observations: rowsOf(row[6]).map((observation) =>
         readObservation(observation, cell.service)
       ),
-      observationsFrom: numberOf(row[7]),
-      verdictsSeen: numberOf(row[8]),
-      wantsAnswer: row[9] === true,
+      firstObservation: numberOf(row[7]),
+      decisionsSeen: numberOf(row[8]),
+      wantsReply: row[9] === true,
       withdrawn: textsOf<RequestId>(row[10]),
       reports: rowsOf(row[11]).map(([upstream, requests]) => [
         asId<UpstreamId>(textOf(upstream)),
         numberOf(requests),
       ]),
-      answerTime: numberOf(row[12]),
+      replyTime: numberOf(row[12]),
       ...row[13] !== undefined && { waiting: textsOf<RequestId>(row[13]) },
     };
   },
 };
 
-const ANSWER: Codec<PlaceAnswer> = {
+const ANSWER: Codec<CellReply> = {
   pack: (answer, now) => [
     answer.host,
     answer.incarnation,
     packCell(answer.cell),
-    answer.to,
+    answer.toIncarnation,
     answer.sequence,
     answer.observationsSeen,
-    answer.verdicts.map(packVerdict),
+    answer.decisions.map(packVerdict),
     answer.snapshots.map((snapshot) => packSnapshot(snapshot, now)),
     answer.isLeaving,
-    answer.unknown,
+    answer.unknownRequests,
   ],
   read: (row, now) => ({
     host: asId<HostId>(textOf(row[0])),
     incarnation: asId<Incarnation>(textOf(row[1])),
     cell: readCell(row[2]),
-    to: asId<Incarnation>(textOf(row[3])),
+    toIncarnation: asId<Incarnation>(textOf(row[3])),
     sequence: numberOf(row[4]),
     observationsSeen: numberOf(row[5]),
-    verdicts: rowsOf(row[6]).map(readVerdict),
+    decisions: rowsOf(row[6]).map(readVerdict),
     snapshots: rowsOf(row[7]).map((snapshot) => readSnapshot(snapshot, now)),
     isLeaving: row[8] === true,
-    unknown: textsOf<RequestId>(row[9]),
+    unknownRequests: textsOf<RequestId>(row[9]),
   }),
 };
 
--- a/packages/gateway/src/placeDesk.ts
+++ b/packages/gateway/src/placeDesk.ts
@@ -1,14 +1,14 @@
 import type { HostId, Incarnation, Milliseconds } from "@wasabivane/common";
 import {
   type Cell,
-  CellKeeper,
+  CellCoordinator,
   type CellKey,
   cellKeyOf,
+  type CellReply,
   type CellSnapshot,
-  type KeeperChange,
-  type PlaceAnswer,
-  type PlaceAsk,
-  PlaceSeeker,
+  type CellUpdate,
+  type CoordinatorChange,
+  PlacementClient,
 } from "@wasabivane/admission";
 import type { GatewayParts } from "./gatewayParts.ts";
 import type { KeeperCall, PeerMessage } from "./peerMessage.ts";
@@ -30,7 +30,7 @@
 export interface PlaceDeskOptions {
   readonly parts: () => GatewayParts;
   readonly incarnation: Incarnation;
-  readonly seeker: PlaceSeeker;
+  readonly seeker: PlacementClient;
   readonly send: (to: HostId, message: PeerMessage) => void;
   readonly sendToAll: (message: PeerMessage) => void;
 }
@@ -41,7 +41,7 @@
  */
 export class PlaceDesk {
   readonly #options: PlaceDeskOptions;
-  readonly #keepers = new Map<CellKey, CellKeeper>();
+  readonly #keepers = new Map<CellKey, CellCoordinator>();
   readonly #snapshots = new Map<CellKey, CellSnapshot>();
   /** Words of this host to itself, taken one after the other. */
   readonly #own: (() => void)[] = [];
@@ -62,37 +62,39 @@
     const { seeker } = this.#options;
     if (seeker.isBusy || this.#hasLine()) return BUSY_LOOK_MS;
     const idle = this.#keepers.size > 0 ? KEEPER_LOOK_MS : IDLE_LOOK_MS;
-    return Math.min(idle, Math.max(BUSY_LOOK_MS, seeker.tellAt - now));
+    return Math.min(idle, Math.max(BUSY_LOOK_MS, seeker.sendAt - now));
   }
 
   #hasLine(): boolean {
-    for (const { isWaiting } of this.#keepers.values()) {
+    for (const { hasWaiting: isWaiting } of this.#keepers.values()) {
       if (isWaiting) return true;
     }
     return false;
   }
 
   /** Sends an ask to whoever keeps the cell. */
-  ask(keeper: HostId, ask: PlaceAsk): void {
+  ask(keeper: HostId, ask: CellUpdate): void {
     if (keeper === this.#host) this.#takeOwn(() => this.hearAsk(ask));
     else this.#options.send(keeper, { kind: "ask", ask });
   }
 
   /** Takes in an ask; whoever is asked keeps the cell. */
-  hearAsk(ask: PlaceAsk): void {
-    this.#keeperOf(ask.cell).hear(ask, this.#now());
+  hearAsk(ask: CellUpdate): void {
+    this.#keeperOf(ask.cell).receive(ask, this.#now());
   }
 
   /** Takes in a keeper's answer. */
-  hearAnswer(answer: PlaceAnswer): void {
-    this.#options.seeker.hear(answer, this.#now());
+  hearAnswer(answer: CellReply): void {
+    this.#options.seeker.receive(answer, this.#now());
   }
 
   /** A host has begun to keep a cell. */
   hearCall({ host, cell }: KeeperCall): void {
     const { seeker } = this.#options;
     const now = this.#now();
-    if (seeker.keepers.keeperOf(cell, now) === host) seeker.report(cell, now);
+    if (seeker.coordinators.coordinatorOf(cell, now) === host) {
+      seeker.resync(cell, now);
+    }
   }
 
   /** Takes in how full other cells are. */
@@ -122,7 +124,7 @@
     this.#options.seeker.review(now);
   }
 
-  #keeperOf(cell: Cell): CellKeeper {
+  #keeperOf(cell: Cell): CellCoordinator {
     const key = cellKeyOf(cell);
     const known = this.#keepers.get(key);
     if (known !== undefined) return known;
@@ -132,19 +134,19 @@
   }
 
   /** Begins to keep a cell, and asks all hosts for what they do there. */
-  #begin(cell: Cell): CellKeeper {
+  #begin(cell: Cell): CellCoordinator {
     const { incarnation, sendToAll } = this.#options;
     const { host, directory, knowledge, random, coldStartsOf, ...parts } = this
       .#options.parts();
     const key = cellKeyOf(cell);
     parts.log.write("cell_kept", { cell: key });
     sendToAll({ kind: "call", call: { host, cell } });
-    return new CellKeeper({
+    return new CellCoordinator({
       host,
       incarnation,
       cell,
       upstreams: directory,
-      knowledge,
+      stats: knowledge,
       random,
       coldStartsOf,
       hostCount: parts.hostCount,
@@ -156,7 +158,7 @@
     }, this.#now());
   }
 
-  #answer(to: HostId, answer: PlaceAnswer): void {
+  #answer(to: HostId, answer: CellReply): void {
     if (to === this.#host) this.#takeOwn(() => this.hearAnswer(answer));
     else this.#options.send(to, { kind: "answer", answer });
   }
@@ -179,14 +181,14 @@
     ).map(([, snapshot]) => snapshot);
   }
 
-  #tellSnapshot(keeper: CellKeeper, now: Milliseconds): void {
+  #tellSnapshot(keeper: CellCoordinator, now: Milliseconds): void {
     const { seeker, send } = this.#options;
     const snapshot = keeper.snapshot(now);
     const key = cellKeyOf(keeper.cell);
     this.#snapshots.set(key, snapshot);
     const others = seeker.cellsOf(keeper.cell.service)
       .filter((cell) => cellKeyOf(cell) !== key)
-      .map((cell) => seeker.keepers.keeperOf(cell, now));
+      .map((cell) => seeker.coordinators.coordinatorOf(cell, now));
     for (const host of this.#draw(others)) {
       send(host, { kind: "snapshots", snapshots: [snapshot] });
     }
@@ -212,7 +214,7 @@
 
 /** What is logged of a change of keeper. */
 export function keeperChangeOf(
-  { cell, kind, keeper }: KeeperChange,
+  { cell, kind, coordinator: keeper }: CoordinatorChange,
 ): Readonly<Record<string, string | undefined>> {
   return { cell, why: kind, keeper };
 }
--- a/packages/gateway/src/placeRows.ts
+++ b/packages/gateway/src/placeRows.ts
@@ -11,11 +11,11 @@
 import type {
   AttemptObservation,
   Cell,
+  CellDecision,
   CellSnapshot,
-  PlaceDecision,
-  PlaceRefusal,
-  PlaceVerdict,
-  PlaceWish,
+  NumberedDecision,
+  PlacementRefusal,
+  PlacementRequest,
   RouteId,
   UpstreamOutcome,
 } from "@wasabivane/admission";
@@ -46,7 +46,7 @@
 }
 
 /** A waiting request; its times cross as spans. */
-export function packWish(wish: PlaceWish, now: Milliseconds): Row {
+export function packWish(wish: PlacementRequest, now: Milliseconds): Row {
   return [
     wish.request,
     wish.route,
@@ -54,7 +54,7 @@
     Math.round(now - wish.arrivedAt),
     wish.target,
     Math.round(wish.deadline - now),
-    Math.round(wish.patience),
+    Math.round(wish.firstByteTimeout),
     wish.promptTokens,
     wish.expectedTokens,
     wish.pauseTarget,
@@ -70,7 +70,7 @@
   row: Row,
   service: ServiceId,
   now: Milliseconds,
-): PlaceWish {
+): PlacementRequest {
   return {
     request: asId<RequestId>(textOf(row[0])),
     service,
@@ -79,7 +79,7 @@
     arrivedAt: now - numberOf(row[3]),
     target: numberOf(row[4]),
     deadline: now + numberOf(row[5]),
-    patience: numberOf(row[6]),
+    firstByteTimeout: numberOf(row[6]),
     promptTokens: numberOf(row[7]),
     expectedTokens: numberOf(row[8]),
     pauseTarget: numberOf(row[9]),
@@ -136,17 +136,19 @@
 }
 
 /** A decision; a place has an empty reason. */
-export function packVerdict({ number, request, decision }: PlaceVerdict): Row {
+export function packVerdict(
+  { number, request, decision }: NumberedDecision,
+): Row {
   if (decision.kind === "place") {
-    const { upstream, inFlight, unreadTokens } = decision;
+    const { upstream, inFlight, pendingPrefillTokens: unreadTokens } = decision;
     return [number, request, "", upstream, inFlight, unreadTokens];
   }
-  const { reason, outlook: { ahead, startsPerSecond, wait } } = decision;
+  const { reason, estimate: { ahead, startsPerSecond, wait } } = decision;
   return [number, request, reason, ahead, startsPerSecond ?? -1, wait];
 }
 
 /** Reads what {@link packVerdict} made. */
-export function readVerdict(row: Row): PlaceVerdict {
+export function readVerdict(row: Row): NumberedDecision {
   return {
     number: numberOf(row[0]),
     request: asId<RequestId>(textOf(row[1])),
@@ -154,20 +156,20 @@
   };
 }
 
-function readDecision(reason: string, row: Row): PlaceDecision {
+function readDecision(reason: string, row: Row): CellDecision {
   if (reason === "") {
     return {
       kind: "place",
       upstream: asId<UpstreamId>(textOf(row[3])),
       inFlight: numberOf(row[4]),
-      unreadTokens: numberOf(row[5]),
+      pendingPrefillTokens: numberOf(row[5]),
     };
   }
   const pace = numberOf(row[4]);
   return {
     kind: "refuse",
-    reason: reason as PlaceRefusal,
-    outlook: {
+    reason: reason as PlacementRefusal,
+    estimate: {
       ahead: numberOf(row[3]),
       startsPerSecond: pace < 0 ? undefined : pace,
       wait: numberOf(row[5]),
@@ -177,7 +179,7 @@
 
 /** How full a cell was; its time crosses as an age. */
 export function packSnapshot(
-  { cell, places, free, waiting, at }: CellSnapshot,
+  { cell, capacity: places, free, waiting, at }: CellSnapshot,
   now: Milliseconds,
 ): Row {
   return [packCell(cell), places, free, waiting, Math.round(now - at)];
@@ -187,7 +189,7 @@
 export function readSnapshot(row: Row, now: Milliseconds): CellSnapshot {
   return {
     cell: readCell(row[0]),
-    places: numberOf(row[1]),
+    capacity: numberOf(row[1]),
     free: numberOf(row[2]),
     waiting: numberOf(row[3]),
     at: now - numberOf(row[4]),
--- a/packages/gateway/src/policyState.ts
+++ b/packages/gateway/src/policyState.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from "@wasabivane/common";
 import {
-  Freshness,
-  type FreshnessOptions,
+  PolicyFreshness,
+  type PolicyFreshnessOptions,
   PolicyIndex,
 } from "@wasabivane/admission";
 import { ok, type Result } from "neverthrow";
@@ -18,17 +18,17 @@
  * known to be the newest. Versions only grow while the process lives.
  */
 export class PolicyState {
-  readonly freshness: Freshness;
+  readonly freshness: PolicyFreshness;
   readonly #dialect: Dialect;
   readonly #listeners: PolicyListener[] = [];
   #index: PolicyIndex | undefined;
   #bytes: Uint8Array = new Uint8Array();
 
   constructor(
-    { dialect, bounds }: { dialect: Dialect; bounds: FreshnessOptions },
+    { dialect, bounds }: { dialect: Dialect; bounds: PolicyFreshnessOptions },
   ) {
     this.#dialect = dialect;
-    this.freshness = new Freshness(bounds);
+    this.freshness = new PolicyFreshness(bounds);
   }
 
   /** The policy in force; `undefined` until the first one was read. */
@@ -57,7 +57,7 @@
   ): Result<Adoption, PolicyError> {
     return this.#dialect.decodePolicy(bytes).andThen((policy) => {
       if (policy.version < this.version) return ok("older" as const);
-      this.freshness.prove(provenAt);
+      this.freshness.confirm(provenAt);
       if (policy.version === this.version) return ok("same" as const);
       this.#index = new PolicyIndex(policy);
       this.#bytes = bytes;
--- a/packages/gateway/src/requestSends.ts
+++ b/packages/gateway/src/requestSends.ts
@@ -42,7 +42,7 @@
 
   noteSend(now: Milliseconds): void {
     if (this.#count === 0) {
-      this.#parts.retries.countFirst(this.#admitted.service, now);
+      this.#parts.retries.countInitial(this.#admitted.service, now);
     }
     this.#count++;
   }
@@ -58,8 +58,8 @@
     const { service } = this.#admitted;
     const now = timer.now();
     const excluded = new Set([...this.excluded, upstream]);
-    return places.hasOther(service, { excluded, now }) &&
-      retries.hasFurther(service, { hosts: hostCount(), now });
+    return places.hasAlternative(service, { excluded, now }) &&
+      retries.hasRetry(service, { hosts: hostCount(), now });
   }
 
   /** An attempt did not end whole; true when the request is to be sent again. */
@@ -83,7 +83,7 @@
     if (!hasNotRun && !this.#isRepeatable(hasStarted)) return false;
     if (!this.#hasAttemptsLeft() || isConvicted) return false;
     const { retries, timer, hostCount } = this.#parts;
-    return retries.takeFurther(this.#admitted.service, {
+    return retries.takeRetry(this.#admitted.service, {
       hosts: hostCount(),
       now: timer.now(),
     });
--- a/packages/gateway/src/silencePatience.ts
+++ b/packages/gateway/src/silencePatience.ts
@@ -1,4 +1,4 @@
-import { bearablePause, bearableWait } from "@wasabivane/admission";
+import { firstEventTimeout, pauseTimeout } from "@wasabivane/admission";
 import type { Milliseconds } from "@wasabivane/common";
 import type { SilencePatience } from "./attempt.ts";
 import type { PlannedSend } from "./attemptPlan.ts";
@@ -40,7 +40,8 @@
     return timer.now() - since + LOOK_AGAIN_MS;
   };
   return {
-    first: (since) => whileAlone(since, bearableWait(admitted.route, latency)),
+    first: (since) =>
+      whileAlone(since, firstEventTimeout(admitted.route, latency)),
     pause: (since) => whileAlone(since, pauseSince(since, inputs)),
   };
 }
@@ -51,10 +52,13 @@
 ): Milliseconds | undefined {
   const { route, service, says } = admitted;
   const { knowledge, signs, timer } = parts;
-  const moved = signs.besides(upstream, says.attempt);
-  return bearablePause(route, {
-    reading: knowledge.firstEvents.reading(service, { upstream, promptTokens }),
-    movedFor: moved === undefined ? 0 : moved - since,
+  const moved = signs.lastEventOfOthers(upstream, says.attempt);
+  return pauseTimeout(route, {
+    prefillTime: knowledge.firstEvents.prefillTime(service, {
+      upstream,
+      promptTokens,
+    }),
+    otherProgressTime: moved === undefined ? 0 : moved - since,
     isEjected: knowledge.health.isEjected(upstream, timer.now()),
   });
 }
--- a/packages/gateway/src/upstreamNews.ts
+++ b/packages/gateway/src/upstreamNews.ts
@@ -27,12 +27,12 @@
   /** Takes in what the store says of one upstream. */
   take(upstream: Upstream): void {
     const { directory, log, reviewPlaces } = this.#parts;
-    const known = directory.listed(upstream.upstream);
+    const known = directory.findListed(upstream.upstream);
     if (upstream.isLeaving) this.#leave(upstream.upstream);
     const former = directory.set(upstream);
     this.#hearWarmth(upstream);
     if (former !== undefined) this.#forget(former, "started again");
-    const isListed = directory.listed(upstream.upstream) !== undefined;
+    const isListed = directory.findListed(upstream.upstream) !== undefined;
     if (known === undefined && isListed) {
       log.write("upstream_listed", {
         upstream: upstream.upstream,
@@ -69,7 +69,7 @@
   /** The store holds an upstream no more; after an outage it is kept for a while. */
   drop(name: string, keepUntil?: Milliseconds): void {
     const { directory, log } = this.#parts;
-    const known = directory.named(name);
+    const known = directory.findByName(name);
     if (known === undefined) return;
     if (directory.remove(known.upstream, keepUntil)) {
       return this.#forget(known, "removed");
@@ -109,7 +109,7 @@
   /** Ends the time for which entries were kept that did not come back. */
   expire(): void {
     const { directory, timer, reviewPlaces } = this.#parts;
-    const gone = directory.expire(timer.now());
+    const gone = directory.expireLapsed(timer.now());
     for (const upstream of gone) this.#forget(upstream, "did not come back");
     if (gone.length > 0) reviewPlaces();
   }
@@ -120,12 +120,12 @@
 
   #hearWarmth({ upstream, coldFor }: Upstream): void {
     const { knowledge, timer } = this.#parts;
-    knowledge.warmth.hear(upstream, { coldFor, now: timer.now() });
+    knowledge.warmth.update(upstream, { coldFor, now: timer.now() });
   }
 
   #leave(upstream: UpstreamId, why = "announced"): void {
-    const known = this.#parts.directory.listed(upstream);
-    if (!this.#parts.directory.leave(upstream)) return;
+    const known = this.#parts.directory.findListed(upstream);
+    if (!this.#parts.directory.markLeaving(upstream)) return;
     this.#tellLeft(upstream);
     if (known !== undefined) this.#forget(known, why);
   }
--- a/packages/gateway/src/usageDesk.ts
+++ b/packages/gateway/src/usageDesk.ts
@@ -6,9 +6,9 @@
 } from "@wasabivane/common";
 import {
   type Cell,
-  type KeeperCandidate,
-  keeperOrder,
-  type QuotaBook,
+  type CoordinatorCandidate,
+  type QuotaLimiter,
+  rankCoordinators,
   UsageLedger,
   type UsageReport,
 } from "@wasabivane/admission";
@@ -38,8 +38,8 @@
 export interface UsageDeskOptions {
   readonly host: HostId;
   readonly incarnation: Incarnation;
-  readonly quotas: QuotaBook;
-  readonly candidates: () => readonly KeeperCandidate[];
+  readonly quotas: QuotaLimiter;
+  readonly candidates: () => readonly CoordinatorCandidate[];
   readonly sendReport: (to: HostId, usage: UsageReport) => void;
   readonly sendSums: (to: HostId, sums: UsageSums) => void;
 }
@@ -81,8 +81,8 @@
   /** Takes in a host's report and tells it what the others did. */
   hearReport(report: UsageReport, now: Milliseconds): void {
     const { host, incarnation, sendSums } = this.#options;
-    this.#ledger.hear(report, now);
-    const others = this.#ledger.othersOf(report.host, now);
+    this.#ledger.applyUsage(report, now);
+    const others = this.#ledger.usageOfOthers(report.host, now);
     const sums = { host, incarnation, others };
     if (report.host === host) this.hearSums(sums, now);
     else sendSums(report.host, sums);
@@ -92,7 +92,7 @@
   hearSums({ host, incarnation, others }: UsageSums, now: Milliseconds): void {
     if (host !== this.#source) return;
     this.#unanswered = 0;
-    this.#options.quotas.hear({
+    this.#options.quotas.applyUsage({
       host: OTHERS,
       incarnation: asId<Incarnation>(`${host} ${incarnation}`),
       used: others,
@@ -100,10 +100,10 @@
   }
 
   #chooseSource(
-    hosts: readonly KeeperCandidate[],
+    hosts: readonly CoordinatorCandidate[],
     now: Milliseconds,
   ): HostId {
-    const order = keeperOrder(LEDGER, hosts);
+    const order = rankCoordinators(LEDGER, hosts);
     if (this.#unanswered >= UNANSWERED && this.#source !== undefined) {
       this.#passedOver = { host: this.#source, until: now + PASSED_OVER_MS };
       this.#unanswered = 0;
--- a/packages/gateway/tests/fleetTalk.test.ts
+++ b/packages/gateway/tests/fleetTalk.test.ts
@@ -10,7 +10,10 @@
   type UpstreamId,
   VirtualTimer,
 } from "@wasabivane/common";
-import { CrashBook, UpstreamDirectory } from "@wasabivane/admission";
+import {
+  PoisonRequestDetector,
+  UpstreamDirectory,
+} from "@wasabivane/admission";
 import {
   decodeMessage,
   encodeMessage,
@@ -92,7 +95,7 @@
     elapsed: new ElapsedClock(timer),
     random: new SeededRandom(seed + Number(name.slice(1))),
     directory,
-    crashes: new CrashBook(),
+    crashes: new PoisonRequestDetector(),
     policies: new PolicyState({ dialect: new PlainDialect(), bounds: BOUNDS }),
     isStopping: () => false,
   } as unknown as GatewayParts;
@@ -129,7 +132,7 @@
         talker.talk.tellChange(change);
       },
       onLeft: (upstream) => {
-        directory.leave(upstream);
+        directory.markLeaving(upstream);
         talker.left.add(upstream);
         talker.talk.tellLeft(upstream);
       },
@@ -202,7 +205,7 @@
   for (const [index, { parts }] of talkers.slice(0, 3).entries()) {
     timer.after(index * 333, () => {
       timer.every(1_000, () => {
-        parts.policies.freshness.prove(parts.elapsed.now());
+        parts.policies.freshness.confirm(parts.elapsed.now());
       });
     });
   }
@@ -222,7 +225,7 @@
     for (const talker of talkers) talker.heard = talker.bytes = 0;
     timer.every(400, () => {
       const { policies, elapsed } = talkers[0]!.parts;
-      policies.freshness.prove(elapsed.now());
+      policies.freshness.confirm(elapsed.now());
     });
     timer.advance(5_000);
     let words = 0;
--- a/packages/gateway/tests/peers.test.ts
+++ b/packages/gateway/tests/peers.test.ts
@@ -172,9 +172,9 @@
       cell: CELL,
       sequence: 9,
       inFlight: new Map([
-        [asId<UpstreamId>("u1"), { requests: 2, unreadTokens: 900 }],
+        [asId<UpstreamId>("u1"), { requests: 2, pendingPrefillTokens: 900 }],
       ]),
-      wishes: [{
+      requests: [{
         request: asId<RequestId>("q"),
         service: CELL.service,
         failureDomain: WEST,
@@ -183,7 +183,7 @@
         arrivedAt: NOW - 30,
         target: 400,
         deadline: NOW + 4_000,
-        patience: 2_000,
+        firstByteTimeout: 2_000,
         promptTokens: 2_890,
         expectedTokens: 80,
         pauseTarget: 250,
@@ -214,10 +214,10 @@
           residence: 1,
         },
       ],
-      observationsFrom: 3,
-      verdictsSeen: 5,
-      wantsAnswer: true,
-      answerTime: 12,
+      firstObservation: 3,
+      decisionsSeen: 5,
+      wantsReply: true,
+      replyTime: 12,
       withdrawn: [asId<RequestId>("gone")],
       reports: [[asId<UpstreamId>("u1"), 4]],
       waiting: [asId<RequestId>("q"), asId<RequestId>("other")],
@@ -229,10 +229,10 @@
       host: asId<HostId>("k"),
       incarnation: asId<Incarnation>("2"),
       cell: { ...CELL, failureDomain: undefined },
-      to: asId<Incarnation>("1"),
+      toIncarnation: asId<Incarnation>("1"),
       sequence: 9,
       observationsSeen: 4,
-      verdicts: [
+      decisions: [
         {
           number: 6,
           request: asId<RequestId>("q"),
@@ -240,7 +240,7 @@
             kind: "place",
             upstream: asId<UpstreamId>("u1"),
             inFlight: 3,
-            unreadTokens: 70,
+            pendingPrefillTokens: 70,
           },
         },
         {
@@ -249,25 +249,25 @@
           decision: {
             kind: "refuse",
             reason: "waited-out",
-            outlook: { ahead: 2, startsPerSecond: undefined, wait: 40 },
+            estimate: { ahead: 2, startsPerSecond: undefined, wait: 40 },
           },
         },
       ],
       snapshots: [{
         cell: CELL,
-        places: 40,
+        capacity: 40,
         free: 3,
         waiting: 0,
         at: NOW - 20,
       }],
-      unknown: [asId<RequestId>("other")],
+      unknownRequests: [asId<RequestId>("other")],
       isLeaving: false,
     },
   },
   { kind: "call", call: { host: asId<HostId>("k"), cell: CELL } },
   {
     kind: "snapshots",
-    snapshots: [{ cell: CELL, places: 40, free: 0, waiting: 9, at: NOW }],
+    snapshots: [{ cell: CELL, capacity: 40, free: 0, waiting: 9, at: NOW }],
   },
   {
     kind: "usage",
