--- a/apps/ctl/tests/explainRuns.test.ts
+++ b/apps/ctl/tests/explainRuns.test.ts
@@ -1,9 +1,9 @@
 import test from "ava";
 import { explainRequest, parseLogLines } from "@wasabivane/ctl";
 import {
-  ask,
-  type Received,
+  type ReceivedRequest,
   type RunningGateway,
+  sendRequest,
   startGateway,
   startUpstream,
 } from "../../../packages/gateway/tests/helpers/fleet.ts";
@@ -23,11 +23,14 @@
     slots: 1,
     route: { repeatability: "at-most-once", timeout: 1_000 },
   });
-  const first = ask(fleet.url, { headers: { id: "hangs" } });
+  const first = sendRequest(fleet.url, { headers: { id: "hangs" } });
   while (upstream.received.length === 0) {
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
-  t.is((await ask(fleet.url, { headers: { id: "waits" } })).status, 503);
+  t.is(
+    (await sendRequest(fleet.url, { headers: { id: "waits" } })).status,
+    503,
+  );
   t.regex(
     causeOf(fleet, "waits")!,
     /Refused with 503: it waited \d+ ms for a place/,
@@ -38,14 +41,14 @@
 });
 
 test("a request that is unknown after an upstream's failure is explained by its logs", async (t) => {
-  const upstream = await startUpstream(({ socket }: Received) =>
+  const upstream = await startUpstream(({ socket }: ReceivedRequest) =>
     void socket.resetAndDestroy()
   );
   const fleet = await startGateway({
     upstreams: [upstream],
     route: { repeatability: "at-most-once" },
   });
-  t.is((await ask(fleet.url, { headers: { id: "lost" } })).status, 502);
+  t.is((await sendRequest(fleet.url, { headers: { id: "lost" } })).status, 502);
   t.regex(
     causeOf(fleet, "lost")!,
     /Refused with 502: the upstream's answer broke off.*was broken/,
@@ -60,12 +63,15 @@
     upstreams: [upstream],
     revocationBound: 1,
   });
-  fleet.gateway.sharing.setReading(true, "answered");
-  fleet.gateway.sharing.setReading(false, "refused with 503");
+  fleet.gateway.storeSharing.reportStoreRead(true, "answered");
+  fleet.gateway.storeSharing.reportStoreRead(false, "refused with 503");
   while (fleet.gateway.isReady) {
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
-  t.is((await ask(fleet.url, { headers: { id: "behind" } })).status, 503);
+  t.is(
+    (await sendRequest(fleet.url, { headers: { id: "behind" } })).status,
+    503,
+  );
   t.regex(
     causeOf(fleet, "behind")!,
     /could not prove.*the store was lost: refused with 503/,
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -7,7 +7,7 @@
 import type { Upstream, UpstreamOutcome } from "@wasabivane/admission";
 import type { Dialect } from "./dialect.ts";
 import { EventFrames } from "./eventFrames.ts";
-import type { FieldValues } from "./fields.ts";
+import type { HeaderValues } from "./headers.ts";
 import type {
   RunningCall,
   UpstreamCall,
@@ -25,7 +25,7 @@
 /** Head of an answer that may be passed on. */
 export interface AnswerHead {
   readonly status: number;
-  readonly fields: FieldValues;
+  readonly fields: HeaderValues;
 }
 
 /** How an attempt ended. */
@@ -156,17 +156,17 @@
     this.#wasSent = true;
   }
 
-  head(status: number, fields: FieldValues): void {
+  head(status: number, fields: HeaderValues): void {
     if (this.#isOver) return;
-    const says = this.#options.dialect.readAnswer(status, fields);
+    const says = this.#options.dialect.parseResponse(status, fields);
     if (says.load !== undefined) this.#options.onLoad(says.load);
     if (status === MISDIRECTED) {
       return this.#end({ outcome: "replaced", detail: `status ${status}` });
     }
-    if (says.isNotRun) {
+    if (says.hasNotRun) {
       return this.#end({ outcome: "not-run", detail: `status ${status}` });
     }
-    if (says.attempt !== this.#options.attempt) {
+    if (says.requestId !== this.#options.attempt) {
       return this.#end({ outcome: "broken", detail: "foreign answer" });
     }
     if (isSuccess(status) && !says.isSealed) {
--- a/packages/gateway/src/attemptObservations.ts
+++ b/packages/gateway/src/attemptObservations.ts
@@ -5,12 +5,12 @@
 } from "@wasabivane/admission";
 import type { Attempt, AttemptEnd } from "./attempt.ts";
 import { expectedTokensOf, promptTokensOf } from "./attemptPlan.ts";
-import type { GatewayParts } from "./gatewayParts.ts";
+import type { GatewayContext } from "./gatewayContext.ts";
 import type { Admitted } from "./intake.ts";
 
 /** What an attempt was about. */
 export interface ObservationContext {
-  readonly parts: GatewayParts;
+  readonly parts: GatewayContext;
   readonly admitted: Admitted;
   readonly fingerprint: Digest;
   readonly end: AttemptEnd;
@@ -63,7 +63,7 @@
 
 function confirmCrashes(
   upstream: UpstreamId,
-  { crashes, log, tellCrash, timer }: GatewayParts,
+  { crashes, log, tellCrash, timer }: GatewayContext,
 ): void {
   for (const crash of crashes.confirmCrashes(upstream, timer.now())) {
     log.write("crash_confirmed", { upstream, fingerprint: crash.fingerprint });
--- a/packages/gateway/src/attemptPlan.ts
+++ b/packages/gateway/src/attemptPlan.ts
@@ -11,8 +11,8 @@
   type Upstream,
 } from "@wasabivane/admission";
 import type { AttemptListener, AttemptOptions } from "./attempt.ts";
-import { endToEndFields, type FieldLine } from "./fields.ts";
-import type { GatewayParts } from "./gatewayParts.ts";
+import { endToEndFields, type HeaderLine } from "./headers.ts";
+import type { GatewayContext } from "./gatewayContext.ts";
 import type { Admitted } from "./intake.ts";
 import { silencePatience } from "./silencePatience.ts";
 
@@ -20,14 +20,14 @@
 export interface ReadRequest {
   readonly method: string;
   readonly path: string;
-  readonly lines: readonly FieldLine[];
+  readonly lines: readonly HeaderLine[];
   readonly body: Buffer;
   readonly fingerprint: Digest;
 }
 
 /** What an attempt is planned from. */
 export interface PlannedSend {
-  readonly parts: GatewayParts;
+  readonly parts: GatewayContext;
   readonly admitted: Admitted;
   readonly request: ReadRequest;
   readonly upstream: Upstream;
@@ -58,7 +58,7 @@
 ): PlacementRequest {
   const { route, service, says, account, arrivedAt, deadline } = admitted;
   return {
-    request: says.attempt,
+    request: says.requestId,
     service,
     failureDomain,
     route: route.route,
@@ -70,7 +70,7 @@
     promptTokens: promptTokensOf(admitted),
     expectedTokens: expectedTokensOf(admitted),
     pauseTarget: route.pauseTarget,
-    parts: says.parts.slice(0, MAXIMUM_PARTS),
+    parts: says.promptParts.slice(0, MAXIMUM_PARTS),
     excluded: new Set(excluded),
     isContinuation,
   };
@@ -95,7 +95,7 @@
     dialect,
     timer,
     deadline: admitted.deadline,
-    attempt: says.attempt,
+    attempt: says.requestId,
     isStreaming: route.isStreaming,
     pauseTarget: route.pauseTarget,
     promptTokens,
@@ -124,12 +124,12 @@
 
 function fieldsOf(
   { parts, admitted, request, upstream, now, lastEvent }: PlannedSend,
-): FieldLine[] {
+): HeaderLine[] {
   const { account, deadline } = admitted;
-  return parts.dialect.sendingFields(endToEndFields(request.lines), {
+  return parts.dialect.buildUpstreamHeaders(endToEndFields(request.lines), {
     upstream: upstream.name,
     account: account?.account,
     timeLeft: Math.max(1, Math.floor(deadline - now)),
-    lastEvent,
+    lastEventId: lastEvent,
   });
 }
--- a/packages/gateway/src/callerAnswer.ts
+++ b/packages/gateway/src/callerAnswer.ts
@@ -1,7 +1,7 @@
 import type { Buffer } from "node:buffer";
 import type { ServerResponse } from "node:http";
 import type { Milliseconds } from "@wasabivane/common";
-import { endToEndFields, type FieldValues, linesOfValues } from "./fields.ts";
+import { endToEndFields, type HeaderValues, linesOfValues } from "./headers.ts";
 import type { Refusal } from "./intake.ts";
 
 /**
@@ -27,7 +27,7 @@
   }
 
   /** Sends the upstream's head. */
-  start(status: number, fields: FieldValues): void {
+  start(status: number, fields: HeaderValues): void {
     const lines = endToEndFields(linesOfValues(fields));
     if (this.#isStopping()) lines.push(["connection", "close"]);
     this.#response.writeHead(status, lines.flat());
@@ -49,7 +49,7 @@
   }
 
   /** Sends the upstream's whole answer; one that ended with its connection gets a length. */
-  whole(status: number, fields: FieldValues, body: Buffer): void {
+  whole(status: number, fields: HeaderValues, body: Buffer): void {
     const lines = endToEndFields(linesOfValues(fields));
     const hasLength = lines.some(([name]) => name === "content-length");
     if (!hasLength && body.length > 0) {
--- a/packages/gateway/src/callerFront.ts
+++ b/packages/gateway/src/callerFront.ts
@@ -16,8 +16,8 @@
 import { CallerAnswer } from "./callerAnswer.ts";
 import type { LogValues } from "./decisionLog.ts";
 import { Exchange } from "./exchange.ts";
-import { fieldLines } from "./fields.ts";
-import type { GatewayParts } from "./gatewayParts.ts";
+import { fieldLines } from "./headers.ts";
+import type { GatewayContext } from "./gatewayContext.ts";
 import {
   accountName,
   admit,
@@ -46,7 +46,7 @@
 
 /** Takes requests of callers and gives each its one answer. */
 export class CallerFront {
-  readonly #parts: GatewayParts;
+  readonly #parts: GatewayContext;
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
   readonly #busy = new Set<Socket>();
@@ -58,7 +58,7 @@
   #isWatchingTurns = false;
   #shedCount = 0;
 
-  constructor(parts: GatewayParts) {
+  constructor(parts: GatewayContext) {
     this.#parts = parts;
     this.#server = createServer({
       maxHeaderSize: MAXIMUM_FIELD_BYTES,
@@ -307,7 +307,7 @@
     const { log, metrics, policies, elapsed, dialect } = this.#parts;
     metrics.count(`refused_${refusal.reason}`);
     log.write("request_refused", {
-      id: dialect.readRequest(request.headers)?.attempt,
+      id: dialect.parseRequest(request.headers)?.requestId,
       path: pathOf(request.url ?? ""),
       status: refusal.status,
       reason: refusal.reason,
--- a/packages/gateway/src/decisionLog.ts
+++ b/packages/gateway/src/decisionLog.ts
@@ -60,7 +60,7 @@
 export interface LogOutput {
   write(line: string): void;
   /** Bytes that were written and not yet taken. */
-  readonly behind: number;
+  readonly pendingBytes: number;
 }
 
 /**
@@ -101,7 +101,7 @@
   }
 
   #isOverBudget(event: LogEvent): boolean {
-    if (this.#output.behind > MAXIMUM_BEHIND_BYTES) return true;
+    if (this.#output.pendingBytes > MAXIMUM_BEHIND_BYTES) return true;
     return ROUTINE_EVENTS.has(event)
       ? ++this.#routine > ROUTINE_LINES
       : ++this.#important > IMPORTANT_LINES;
--- a/packages/gateway/src/dialect.ts
+++ b/packages/gateway/src/dialect.ts
@@ -1,11 +1,11 @@
 import type { RequestId } from "@wasabivane/common";
 import type { Policy, PromptPart } from "@wasabivane/admission";
 import type { Result } from "neverthrow";
-import type { FieldLine, FieldValues } from "./fields.ts";
+import type { HeaderLine, HeaderValues } from "./headers.ts";
 
 /** What a caller says of its request in header fields. */
-export interface CallerSays {
-  readonly attempt: RequestId;
+export interface RequestMetadata {
+  readonly requestId: RequestId;
   readonly apiKey: string | undefined;
   /** Time that the caller will wait, in milliseconds. */
   readonly timeLeft: number | undefined;
@@ -15,27 +15,27 @@
     | undefined;
   /** Tokens that the caller expects in the answer; right in the median, often far off. */
   readonly expectedTokens: number | undefined;
-  readonly parts: readonly PromptPart[];
+  readonly promptParts: readonly PromptPart[];
   /** The caller has the events up to this one already. */
-  readonly lastEvent: number | undefined;
+  readonly lastEventId: number | undefined;
 }
 
 /** What a host tells the upstream along with the request. */
-export interface SendingSays {
+export interface UpstreamRequestMetadata {
   /** Name of the upstream that is meant; another one at its address must not run the request. */
   readonly upstream: string;
   readonly account: string | undefined;
   readonly timeLeft: number;
   /** Continue a stream after this event. */
-  readonly lastEvent: number | undefined;
+  readonly lastEventId: number | undefined;
 }
 
 /** What the head of an answer says. */
-export interface AnswerSays {
+export interface ResponseMetadata {
   /** The request that the answer belongs to. */
-  readonly attempt: string | undefined;
+  readonly requestId: string | undefined;
   /** The upstream states that it did not run the request. */
-  readonly isNotRun: boolean;
+  readonly hasNotRun: boolean;
   /** The answer bears the upstream's own mark. */
   readonly isSealed: boolean;
   /** Requests that the upstream has, running and waiting; `undefined` where it does not say. */
@@ -53,12 +53,15 @@
  * they mean; an adapter knows the names.
  */
 export abstract class Dialect {
-  abstract readRequest(fields: FieldValues): CallerSays | undefined;
+  abstract parseRequest(fields: HeaderValues): RequestMetadata | undefined;
   /** The caller's fields without those that the system sets, and these as set. */
-  abstract sendingFields(
-    callerFields: readonly FieldLine[],
-    says: SendingSays,
-  ): FieldLine[];
-  abstract readAnswer(status: number, fields: FieldValues): AnswerSays;
+  abstract buildUpstreamHeaders(
+    callerFields: readonly HeaderLine[],
+    says: UpstreamRequestMetadata,
+  ): HeaderLine[];
+  abstract parseResponse(
+    status: number,
+    fields: HeaderValues,
+  ): ResponseMetadata;
   abstract decodePolicy(bytes: Uint8Array): Result<Policy, PolicyError>;
 }
--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -22,7 +22,7 @@
 import type { CallerAnswer } from "./callerAnswer.ts";
 import type { LogEvent, LogValues } from "./decisionLog.ts";
 import { learnFrom } from "./attemptObservations.ts";
-import type { GatewayParts } from "./gatewayParts.ts";
+import type { GatewayContext } from "./gatewayContext.ts";
 import { accountName, type Admitted, type Refusal } from "./intake.ts";
 import { isNotRun, RequestSends } from "./requestSends.ts";
 import { RequestTimes } from "./requestTimes.ts";
@@ -36,7 +36,7 @@
 
 /** What an {@link Exchange} is about. */
 export interface ExchangeOptions {
-  readonly parts: GatewayParts;
+  readonly parts: GatewayContext;
   readonly admitted: Admitted;
   readonly request: ReadRequest;
   readonly answer: CallerAnswer;
@@ -69,7 +69,7 @@
       arrivedAt: options.admitted.arrivedAt,
       queuedAt: options.parts.timer.now(),
     });
-    this.#lastEvent = options.admitted.says.lastEvent;
+    this.#lastEvent = options.admitted.says.lastEventId;
   }
 
   start(): void {
@@ -110,7 +110,7 @@
     this.#times.noteEvents(now);
     const upstream = this.#attempt?.upstream.upstream;
     if (upstream !== undefined) {
-      parts.signs.recordEvent(upstream, admitted.says.attempt, now);
+      parts.signs.recordEvent(upstream, admitted.says.requestId, now);
     }
     if (lastEvent !== undefined) this.#lastEvent = lastEvent;
     if (answer.write(bytes)) return;
@@ -341,7 +341,7 @@
 
   #stopWork(detail: string): void {
     const { parts, admitted } = this.#options;
-    const { attempt: request } = admitted.says;
+    const { requestId: request } = admitted.says;
     parts.places.withdraw(admitted.service, request, this.#now());
     const attempt = this.#attempt;
     if (attempt === undefined) return;
@@ -375,7 +375,7 @@
   #log(event: LogEvent, values: LogValues): void {
     const { parts, admitted } = this.#options;
     parts.log.write(event, {
-      id: admitted.says.attempt,
+      id: admitted.says.requestId,
       route: admitted.route.route,
       policy: admitted.policyVersion,
       ...values,
--- a/packages/gateway/src/fleetTalk.ts
+++ b/packages/gateway/src/fleetTalk.ts
@@ -6,9 +6,9 @@
   UpstreamId,
 } from "@wasabivane/common";
 import type { Crash } from "@wasabivane/admission";
-import type { GatewayParts } from "./gatewayParts.ts";
+import type { GatewayContext } from "./gatewayContext.ts";
 import type { PeerBook, PeerChange } from "./peerBook.ts";
-import type { ListChange, PeerMention, PeerWord } from "./peerWord.ts";
+import type { PeerMention, PeerWord, UpstreamListChange } from "./peerWord.ts";
 
 /** Peers that one word goes to: news that each passes on once reaches 98 in 100 hosts. */
 const FANOUT = 4;
@@ -43,7 +43,7 @@
 
 /** What a {@link FleetTalk} needs besides the shared parts. */
 export interface FleetTalkOptions {
-  readonly parts: GatewayParts;
+  readonly parts: GatewayContext;
   readonly book: PeerBook;
   readonly incarnation: Incarnation;
   /** `ip:port` of this host's datagram port. */
@@ -57,7 +57,7 @@
   /** A peer tells up to which revision of the store it knows all upstreams. */
   readonly onListRevision: (peer: HostId, listRevision: number) => void;
   /** A peer tells of a change of the list that begins where this host's list stands. */
-  readonly onChange: (change: ListChange) => void;
+  readonly onChange: (change: UpstreamListChange) => void;
   readonly onLeft: (upstream: UpstreamId) => void;
   /** A peer tells of one that was asked in vain. */
   readonly onSilent: (host: HostId, until: Milliseconds) => void;
@@ -85,7 +85,7 @@
   #isClosed = false;
   #left: News<UpstreamId>[] = [];
   #crashes: News<Crash>[] = [];
-  #changes: News<ListChange>[] = [];
+  #changes: News<UpstreamListChange>[] = [];
   readonly #silent = new Map<HostId, Milliseconds>();
   #provenAt: Milliseconds = -Infinity;
 
@@ -111,7 +111,7 @@
   }
 
   /** The list of upstreams changed. */
-  tellChange(change: ListChange): void {
+  tellChange(change: UpstreamListChange): void {
     if (change.upstreams.length + change.removed.length > MAXIMUM_CHANGED) {
       return this.touch();
     }
@@ -286,8 +286,8 @@
   }
 
   /** The last changes that fit, oldest first. */
-  #newestChanges(): ListChange[] {
-    const newest: ListChange[] = [];
+  #newestChanges(): UpstreamListChange[] {
+    const newest: UpstreamListChange[] = [];
     let count = 0;
     for (const { value } of this.#changes.toReversed()) {
       count += value.upstreams.length + value.removed.length;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -22,7 +22,7 @@
 import { FleetTalk } from "./fleetTalk.ts";
 import { GatewayMetrics } from "./gatewayMetrics.ts";
 import type { GatewayOptions } from "./gatewayOptions.ts";
-import type { GatewayParts } from "./gatewayParts.ts";
+import type { GatewayContext } from "./gatewayContext.ts";
 import type { Shown } from "./operatorPages.ts";
 import { OperatorPorts } from "./operatorPorts.ts";
 import type { ListenError } from "./listenError.ts";
@@ -31,13 +31,13 @@
 import { type ChannelError, PeerChannel } from "./peerChannel.ts";
 import { PeerLog } from "./peerLog.ts";
 import type { PeerMessage } from "./peerMessage.ts";
-import type { ListChange } from "./peerWord.ts";
+import type { UpstreamListChange } from "./peerWord.ts";
 import { keeperChangeOf, PlaceDesk } from "./placeDesk.ts";
 import { PolicyState } from "./policyState.ts";
 import { StoreSharing } from "./storeSharing.ts";
 import { connectionShare } from "./connectionShare.ts";
 import { UpstreamConnections } from "./upstreamConnections.ts";
-import { UpstreamNews } from "./upstreamNews.ts";
+import { UpstreamUpdates } from "./upstreamUpdates.ts";
 import { UsageDesk } from "./usageDesk.ts";
 
 /** The balancer asks every second and gives up after two misses. */
@@ -54,11 +54,11 @@
  * Whoever reads the platform hands in policies and upstreams.
  */
 export class Gateway {
-  readonly parts: GatewayParts;
+  readonly context: GatewayContext;
   /** What is known of upstreams; whoever reads the platform hands it in here. */
-  readonly upstreams: UpstreamNews;
+  readonly upstreamUpdates: UpstreamUpdates;
   /** Who reads the store, and what the others hear of it. */
-  readonly sharing: StoreSharing;
+  readonly storeSharing: StoreSharing;
   readonly #options: GatewayOptions;
   readonly #front: CallerFront;
   readonly #talk: FleetTalk;
@@ -84,19 +84,19 @@
       cores,
       seeds,
     });
-    this.parts = this.#createParts();
-    this.#peerLog = new PeerLog(this.parts);
-    this.#front = new CallerFront(this.parts);
+    this.context = this.#createParts();
+    this.#peerLog = new PeerLog(this.context);
+    this.#front = new CallerFront(this.context);
     this.#operatorPorts = new OperatorPorts({
       shown: this.#shown(),
       addresses: options.addresses,
-      readyPath: options.readyPath,
+      readyPath: options.readinessPath,
     });
     this.#channel = this.#createChannel();
     this.#desk = new PlaceDesk({
-      parts: () => this.parts,
+      parts: () => this.context,
       incarnation,
-      seeker: this.parts.places,
+      seeker: this.context.places,
       send: (to, message) => this.#sendTo(to, message),
       sendToAll: (message) =>
         this.#channel.send(message, this.#book.aliveAddresses()),
@@ -104,7 +104,7 @@
     this.#usage = new UsageDesk({
       host,
       incarnation,
-      quotas: this.parts.quotas,
+      quotas: this.context.quotas,
       candidates: () => this.#candidates(),
       sendReport: (to, usage) => this.#sendTo(to, { kind: "usage", usage }),
       sendSums: (to, sums) => this.#sendTo(to, { kind: "sums", sums }),
@@ -112,26 +112,26 @@
     this.#looks = new Looks({
       timer,
       desk: this.#desk,
-      lag: this.parts.lag,
+      lag: this.context.lag,
       hosts: () => this.#book.aliveCount,
       review: (now) => this.#review(now),
     });
     this.#talk = this.#createTalk();
-    this.upstreams = new UpstreamNews(this.parts, {
+    this.upstreamUpdates = new UpstreamUpdates(this.context, {
       tellLeft: (upstream) => this.#talk.tellLeft(upstream),
     });
-    this.sharing = new StoreSharing({
-      parts: this.parts,
+    this.storeSharing = new StoreSharing({
+      parts: this.context,
       book: this.#book,
-      upstreams: this.upstreams,
+      upstreams: this.upstreamUpdates,
       applyBound: options.freshness.applyBound,
-      takePolicy: (bytes, provenAt) => this.takePolicy(bytes, provenAt),
+      adoptPolicy: (bytes, provenAt) => this.adoptPolicy(bytes, provenAt),
     });
   }
 
   /** Whether callers may be sent here. */
   get isReady(): boolean {
-    const { policies, directory, elapsed } = this.parts;
+    const { policies, directory, elapsed } = this.context;
     return !this.#isStopping && policies.index !== undefined &&
       directory.size > 0 && policies.freshness.isKeyTrusted(elapsed.now());
   }
@@ -144,13 +144,13 @@
     const listening = await this.#front.listen(addresses.callers);
     if (listening.isErr()) return err(listening.error);
     this.#looks.start();
-    this.parts.log.write("started", { peers: addresses.peers });
+    this.context.log.write("started", { peers: addresses.peers });
     return await this.#operatorPorts.open();
   }
 
   /** Takes in the newest policy, as the store held it at `provenAt` of the elapsed clock. */
-  takePolicy(bytes: Uint8Array, provenAt: Milliseconds): void {
-    const { policies, log } = this.parts;
+  adoptPolicy(bytes: Uint8Array, provenAt: Milliseconds): void {
+    const { policies, log } = this.context;
     const former = policies.version;
     policies.adopt(bytes, provenAt).match(
       (adoption) => {
@@ -166,27 +166,27 @@
    * Takes in what the store says has changed in the list of upstreams. Entries that
    * vanish are kept until `keepUntil` where they may have lapsed with the store.
    */
-  takeChange(change: ListChange, keepUntil?: Milliseconds): void {
+  applyListChange(change: UpstreamListChange, keepUntil?: Milliseconds): void {
     const { upstreams, removed, evacuated, to } = change;
-    for (const upstream of upstreams) this.upstreams.take(upstream);
-    for (const name of removed) this.upstreams.drop(name, keepUntil);
+    for (const upstream of upstreams) this.upstreamUpdates.apply(upstream);
+    for (const name of removed) this.upstreamUpdates.drop(name, keepUntil);
     if (evacuated !== undefined) {
-      this.upstreams.takeEvacuated(new Set(evacuated));
+      this.upstreamUpdates.applyEvacuation(new Set(evacuated));
     }
-    this.sharing.noteListRevision(to);
+    this.storeSharing.advanceListRevision(to);
     const isTold = keepUntil === undefined || removed.length === 0;
     if (isTold) this.#talk.tellChange(change);
     else this.#talk.touch();
   }
 
   /** What is known of the store is the newest as of a moment of the elapsed clock. */
-  provePolicy(provenAt: Milliseconds): void {
-    this.parts.policies.freshness.confirm(provenAt);
+  confirmPolicy(provenAt: Milliseconds): void {
+    this.context.policies.freshness.confirm(provenAt);
   }
 
   setSeeds(seeds: readonly string[]): void {
     this.#book.setSeeds(seeds);
-    this.parts.log.write("settings_reloaded", { seeds: seeds.join(",") });
+    this.context.log.write("settings_reloaded", { seeds: seeds.join(",") });
   }
 
   /**
@@ -196,11 +196,11 @@
    */
   async stop(): Promise<void> {
     if (this.#isStopping) return;
-    const { timer, log } = this.parts;
-    const end = timer.now() + this.#options.stopGrace - STOP_MARGIN_MS;
+    const { timer, log } = this.context;
+    const end = timer.now() + this.#options.shutdownGrace - STOP_MARGIN_MS;
     this.#stopsAt = end;
     log.write("stopping", { open: this.#front.openRequests });
-    const spread = UNREADY_SHARE * this.#options.stopGrace;
+    const spread = UNREADY_SHARE * this.#options.shutdownGrace;
     await this.#sleep(Math.min(UNREADY_SPREAD_MS, spread));
     this.#front.stopListening();
     this.#front.closeIdle();
@@ -218,9 +218,9 @@
     this.#front.closeAll();
     this.#looks.close();
     this.#operatorPorts.close();
-    this.upstreams.close();
+    this.upstreamUpdates.close();
     this.#talk.close();
-    await this.parts.connections.close();
+    await this.context.connections.close();
     this.#channel.close();
   }
 
@@ -228,7 +228,7 @@
     return this.#stopsAt !== Infinity;
   }
 
-  #createParts(): GatewayParts {
+  #createParts(): GatewayContext {
     const { host, failureDomain, timer, random, dialect, output, lowestLag } =
       this.#options;
     const directory = new UpstreamDirectory();
@@ -267,7 +267,7 @@
         connectionShare(policies, hostCount())
       ),
       tellCrash: (crash) => this.#talk.tellCrash(crash),
-      dropReplaced: (upstream) => this.upstreams.dropReplaced(upstream),
+      dropReplaced: (upstream) => this.upstreamUpdates.removeReplaced(upstream),
       reviewPlaces: () => this.#desk.review(timer.now()),
       hostCount,
       isStopping: () => this.#isStopping,
@@ -276,8 +276,8 @@
   }
 
   #coldStartsOf({ service }: Upstream): number | undefined {
-    const { coldTolerance: { factor, slack } } = this.#options;
-    const index = this.parts.policies.index;
+    const { warmupTolerance: { factor, slack } } = this.#options;
+    const index = this.context.policies.index;
     const perSecond = index?.service(service)?.coldStartsPerSecond;
     return perSecond === undefined ? undefined : perSecond * factor + slack;
   }
@@ -302,11 +302,11 @@
       },
       onSendScheduled: () => this.#looks.plan(),
       onCoordinatorChange: (change) => {
-        this.parts.metrics.count(`keeper_${change.kind}`);
-        this.parts.log.write("keeper_passed_over", keeperChangeOf(change));
+        this.context.metrics.count(`keeper_${change.kind}`);
+        this.context.log.write("keeper_passed_over", keeperChangeOf(change));
         const { coordinator: keeper } = change;
         if (change.kind !== "silent" || keeper === undefined) return;
-        const until = this.parts.places.coordinators
+        const until = this.context.places.coordinators
           .skipped(timer.now()).get(keeper);
         if (until !== undefined) this.#talk.tellSilent(keeper, until);
       },
@@ -318,10 +318,10 @@
     return new PeerChannel({
       now: () => timer.now(),
       onMessage: (message) => this.#hear(message),
-      onMalformed: () => this.parts.metrics.count("peer_words_malformed"),
+      onMalformed: () => this.context.metrics.count("peer_words_malformed"),
       onTraffic: (direction, bytes) => {
-        this.parts.metrics.count(`peer_words_${direction}`);
-        this.parts.metrics.count(`peer_bytes_${direction}`, bytes);
+        this.context.metrics.count(`peer_words_${direction}`);
+        this.context.metrics.count(`peer_bytes_${direction}`, bytes);
       },
     });
   }
@@ -329,7 +329,7 @@
   #createTalk(): FleetTalk {
     const { incarnation, addresses, cores, timer } = this.#options;
     return new FleetTalk({
-      parts: this.parts,
+      parts: this.context,
       book: this.#book,
       incarnation,
       address: addresses.peers,
@@ -337,15 +337,15 @@
       cores,
       send: (word, targets) =>
         this.#channel.send({ kind: "word", word }, targets),
-      onNewerPolicy: (peer) => void this.sharing.askPeer(peer),
+      onNewerPolicy: (peer) => void this.storeSharing.askPeer(peer),
       onListRevision: (peer, listRevision) =>
-        this.sharing.hearOf(peer, { listRevision, now: timer.now() }),
-      onChange: (change) => this.takeChange(change),
-      onLeft: (upstream) => this.upstreams.takeLeft(upstream),
+        this.storeSharing.hearOf(peer, { listRevision, now: timer.now() }),
+      onChange: (change) => this.applyListChange(change),
+      onLeft: (upstream) => this.upstreamUpdates.takeLeft(upstream),
       onSilent: (host, until) =>
-        this.parts.places.coordinators.skipUntil(host, until),
-      listRevision: () => this.sharing.listRevision,
-      canRead: () => this.sharing.canRead,
+        this.context.places.coordinators.skipUntil(host, until),
+      listRevision: () => this.storeSharing.listRevision,
+      canRead: () => this.storeSharing.canRead,
     });
   }
 
@@ -384,7 +384,7 @@
   }
 
   #shown(): Shown {
-    const { policies, elapsed, directory } = this.parts;
+    const { policies, elapsed, directory } = this.context;
     return {
       isReady: () => this.isReady,
       metricsText: () => this.#metricsText(),
@@ -393,18 +393,18 @@
           ? policies.bytes
           : new Uint8Array(),
         proofAge: policies.freshness.age(elapsed.now()),
-        upstreams: this.sharing.listRevision > known.listRevision
+        upstreams: this.storeSharing.listRevision > known.listRevision
           ? directory.all()
           : [],
-        kept: directory.lapsed(this.parts.timer.now()),
+        kept: directory.lapsed(this.context.timer.now()),
         evacuated: [...directory.evacuated],
-        listRevision: this.sharing.listRevision,
+        listRevision: this.storeSharing.listRevision,
       }),
     };
   }
 
   #metricsText(): Promise<string> {
-    const { metrics, policies, directory, places, elapsed } = this.parts;
+    const { metrics, policies, directory, places, elapsed } = this.context;
     metrics.set("policy_version", policies.version);
     metrics.set("policy_proof_age_ms", policies.freshness.age(elapsed.now()));
     metrics.set("upstreams", directory.size);
@@ -416,8 +416,8 @@
   }
 
   #review(now: Milliseconds): void {
-    this.upstreams.expire();
-    this.sharing.tick(now);
+    this.upstreamUpdates.expire();
+    this.storeSharing.tick(now);
     this.#usage.tick(now);
     this.#noteShed(now);
     this.#peerLog.note(this.#talk.tick(), this.#book.aliveCount);
@@ -427,7 +427,7 @@
   #noteShed(now: Milliseconds): void {
     if (now - this.#shedNotedAt < SHED_NOTE_MS) return;
     this.#shedNotedAt = now;
-    const { shedding, lag, log, metrics } = this.parts;
+    const { shedding, lag, log, metrics } = this.context;
     const requests = shedding.takeCount();
     metrics.set("lag_ms", Math.round(lag.peak(now)));
     if (requests === 0) return;
@@ -440,7 +440,7 @@
 
   #sleep(span: Milliseconds): Promise<void> {
     return new Promise((resolve) => {
-      this.parts.timer.after(span, resolve);
+      this.context.timer.after(span, resolve);
     });
   }
 }
--- a/packages/gateway/src/gatewayParts.ts
+++ b/packages/gateway/src/gatewayContext.ts
@@ -27,7 +27,7 @@
 import type { UpstreamConnections } from "./upstreamConnections.ts";
 
 /** What the parts of one process share. */
-export interface GatewayParts {
+export interface GatewayContext {
   readonly host: HostId;
   readonly failureDomain: FailureDomain;
   readonly timer: Timer;
--- a/packages/gateway/src/gatewayOptions.ts
+++ b/packages/gateway/src/gatewayOptions.ts
@@ -21,7 +21,7 @@
 }
 
 /** Starts in a second: so many times those that the policy names, and so many more. */
-export interface ColdTolerance {
+export interface WarmupTolerance {
   readonly factor: number;
   readonly slack: number;
 }
@@ -35,17 +35,17 @@
   readonly seeds: readonly string[];
   /** Processor cores that this host may use, also a fraction of one. */
   readonly cores: number;
-  readonly readyPath: string;
+  readonly readinessPath: string;
   readonly freshness: PolicyFreshnessOptions;
   readonly retryBudget: RetryBudgetOptions;
   /** By how much all hosts together may exceed a quota. */
   readonly quotaTolerance: QuotaTolerance;
   /** By how much all hosts together may exceed the starts that a cold upstream bears. */
-  readonly coldTolerance: ColdTolerance;
+  readonly warmupTolerance: WarmupTolerance;
   /** A host that is less behind its own work takes every request. */
   readonly lowestLag?: Milliseconds;
   /** From the order to stop to the kill. */
-  readonly stopGrace: Milliseconds;
+  readonly shutdownGrace: Milliseconds;
   readonly dialect: Dialect;
   readonly timer: Timer;
   readonly random: Random;
--- a/packages/gateway/src/fields.ts
+++ b/packages/gateway/src/headers.ts
@@ -1,8 +1,8 @@
 /** One header field as it stood in the message. */
-export type FieldLine = readonly [name: string, value: string];
+export type HeaderLine = readonly [name: string, value: string];
 
 /** Header fields by their names in lower case. */
-export type FieldValues = Readonly<
+export type HeaderValues = Readonly<
   Record<string, string | string[] | undefined>
 >;
 
@@ -21,14 +21,17 @@
 ]);
 
 /** The first value of a field. */
-export function fieldOf(fields: FieldValues, name: string): string | undefined {
+export function headerValue(
+  fields: HeaderValues,
+  name: string,
+): string | undefined {
   const value = fields[name];
   return Array.isArray(value) ? value[0] : value;
 }
 
 /** Pairs names and values of a raw list as Node.js gives it. */
-export function fieldLines(raw: readonly string[]): FieldLine[] {
-  const lines: FieldLine[] = [];
+export function fieldLines(raw: readonly string[]): HeaderLine[] {
+  const lines: HeaderLine[] = [];
   for (let index = 0; index + 1 < raw.length; index += 2) {
     lines.push([raw[index]!, raw[index + 1]!]);
   }
@@ -36,7 +39,7 @@
 }
 
 /** Leaves out the fields that concern one connection, named ones included. */
-export function endToEndFields(lines: readonly FieldLine[]): FieldLine[] {
+export function endToEndFields(lines: readonly HeaderLine[]): HeaderLine[] {
   const named = new Set<string>();
   for (const [name, value] of lines) {
     if (name.toLowerCase() !== "connection") continue;
@@ -51,8 +54,8 @@
 }
 
 /** Field lines of parsed values, one line for each value. */
-export function linesOfValues(fields: FieldValues): FieldLine[] {
-  const lines: FieldLine[] = [];
+export function linesOfValues(fields: HeaderValues): HeaderLine[] {
+  const lines: HeaderLine[] = [];
   for (const [name, value] of Object.entries(fields)) {
     if (value === undefined) continue;
     if (Array.isArray(value)) {
--- a/packages/gateway/src/intake.ts
+++ b/packages/gateway/src/intake.ts
@@ -12,8 +12,8 @@
   RouteTarget,
 } from "@wasabivane/admission";
 import { err, ok, type Result } from "neverthrow";
-import type { CallerSays, Dialect } from "./dialect.ts";
-import { type FieldLine, fieldOf, type FieldValues } from "./fields.ts";
+import type { Dialect, RequestMetadata } from "./dialect.ts";
+import { type HeaderLine, headerValue, type HeaderValues } from "./headers.ts";
 import type { PolicyState } from "./policyState.ts";
 
 /** Why a request was not taken in. */
@@ -50,7 +50,7 @@
   readonly route: Route;
   readonly service: ServiceId;
   readonly account: ClientAccount | undefined;
-  readonly says: CallerSays;
+  readonly says: RequestMetadata;
   readonly arrivedAt: Milliseconds;
   /** When the last byte of the answer must have left. */
   readonly deadline: Milliseconds;
@@ -60,8 +60,8 @@
 /** The head of a request. */
 export interface RequestHead {
   readonly path: string;
-  readonly fields: FieldValues;
-  readonly lines: readonly FieldLine[];
+  readonly fields: HeaderValues;
+  readonly lines: readonly HeaderLine[];
 }
 
 /** What {@link admit} reads. */
@@ -98,9 +98,9 @@
   if (sizeOf(head.lines) > index.policy.limits.maximumHeaderBytes) {
     return err({ status: 431, reason: "fields-too-large" });
   }
-  const route = index.route(fieldOf(head.fields, "host") ?? "", head.path);
+  const route = index.route(headerValue(head.fields, "host") ?? "", head.path);
   if (route === undefined) return err(deny(404, "no-route", options));
-  const says = dialect.readRequest(head.fields);
+  const says = dialect.parseRequest(head.fields);
   if (says === undefined) return err({ status: 400, reason: "malformed" });
   return findAccount(says, { index, route, options }).map((account) => ({
     route,
@@ -126,7 +126,7 @@
 }
 
 /** Tokens or requests that a request takes of its account's quota. */
-export function unitsOf(account: ClientAccount, says: CallerSays): number {
+export function unitsOf(account: ClientAccount, says: RequestMetadata): number {
   if (account.quota?.unit !== "tokens") return 1;
   const { tokens } = says;
   return tokens === undefined
@@ -142,7 +142,7 @@
 }
 
 function findAccount(
-  says: CallerSays,
+  says: RequestMetadata,
   { index, route, options }: {
     index: PolicyIndex;
     route: Route;
@@ -194,7 +194,7 @@
 }
 
 /** Bytes of the fields as they stood on the wire, about. */
-function sizeOf(lines: readonly FieldLine[]): number {
+function sizeOf(lines: readonly HeaderLine[]): number {
   let bytes = 0;
   for (const [name, value] of lines) bytes += name.length + value.length + 4;
   return bytes;
--- a/packages/gateway/src/peerLog.ts
+++ b/packages/gateway/src/peerLog.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from "@wasabivane/common";
-import type { GatewayParts } from "./gatewayParts.ts";
+import type { GatewayContext } from "./gatewayContext.ts";
 import type { PeerChange } from "./peerBook.ts";
 
 /** Peers that come and go are logged together so often. */
@@ -9,11 +9,11 @@
 
 /** Logs which peers come and go: one line a second at most, however many do together. */
 export class PeerLog {
-  readonly #parts: Pick<GatewayParts, "log" | "timer">;
+  readonly #parts: Pick<GatewayContext, "log" | "timer">;
   #changes: PeerChange[] = [];
   #writtenAt: Milliseconds = -Infinity;
 
-  constructor(parts: Pick<GatewayParts, "log" | "timer">) {
+  constructor(parts: Pick<GatewayContext, "log" | "timer">) {
     this.#parts = parts;
   }
 
--- a/packages/gateway/src/peerWord.ts
+++ b/packages/gateway/src/peerWord.ts
@@ -29,7 +29,7 @@
 }
 
 /** Changes of the list of upstreams between two revisions of the store. */
-export interface ListChange {
+export interface UpstreamListChange {
   readonly from: number;
   readonly to: number;
   readonly upstreams: readonly Upstream[];
@@ -54,7 +54,7 @@
   readonly left: readonly UpstreamId[];
   readonly crashes: readonly (readonly [Digest, UpstreamId, Milliseconds])[];
   /** The last changes of the list, the oldest first. */
-  readonly changes: readonly ListChange[];
+  readonly changes: readonly UpstreamListChange[];
   /** Hosts that were asked in vain, and for how long they are passed over. */
   readonly silent: readonly (readonly [HostId, Milliseconds])[];
   /** Peers that live, as far as the speaker knows. */
--- a/packages/gateway/src/placeDesk.ts
+++ b/packages/gateway/src/placeDesk.ts
@@ -10,7 +10,7 @@
   type CoordinatorChange,
   PlacementClient,
 } from "@wasabivane/admission";
-import type { GatewayParts } from "./gatewayParts.ts";
+import type { GatewayContext } from "./gatewayContext.ts";
 import type { KeeperCall, PeerMessage } from "./peerMessage.ts";
 
 /** How often lines and asks are looked at while something waits, */
@@ -28,7 +28,7 @@
 
 /** What a {@link PlaceDesk} needs besides the shared parts. */
 export interface PlaceDeskOptions {
-  readonly parts: () => GatewayParts;
+  readonly parts: () => GatewayContext;
   readonly incarnation: Incarnation;
   readonly seeker: PlacementClient;
   readonly send: (to: HostId, message: PeerMessage) => void;
--- a/packages/gateway/src/requestSends.ts
+++ b/packages/gateway/src/requestSends.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds, UpstreamId } from "@wasabivane/common";
 import type { UpstreamOutcome } from "@wasabivane/admission";
-import type { GatewayParts } from "./gatewayParts.ts";
+import type { GatewayContext } from "./gatewayContext.ts";
 import type { Admitted } from "./intake.ts";
 
 /** Unreachable upstreams cost a request no send; after so many it is refused. */
@@ -12,14 +12,14 @@
  */
 export class RequestSends {
   readonly excluded = new Set<UpstreamId>();
-  readonly #parts: GatewayParts;
+  readonly #parts: GatewayContext;
   readonly #admitted: Admitted;
   #count = 0;
   #unreachable = 0;
   #mayHaveRun = false;
 
   constructor(
-    { parts, admitted }: { parts: GatewayParts; admitted: Admitted },
+    { parts, admitted }: { parts: GatewayContext; admitted: Admitted },
   ) {
     this.#parts = parts;
     this.#admitted = admitted;
--- a/packages/gateway/src/silencePatience.ts
+++ b/packages/gateway/src/silencePatience.ts
@@ -52,7 +52,7 @@
 ): Milliseconds | undefined {
   const { route, service, says } = admitted;
   const { knowledge, signs, timer } = parts;
-  const moved = signs.lastEventOfOthers(upstream, says.attempt);
+  const moved = signs.lastEventOfOthers(upstream, says.requestId);
   return pauseTimeout(route, {
     prefillTime: knowledge.firstEvents.prefillTime(service, {
       upstream,
--- a/packages/gateway/src/standardOutput.ts
+++ b/packages/gateway/src/standardOutput.ts
@@ -11,7 +11,7 @@
     stream.on("error", () => {});
   }
 
-  get behind(): number {
+  get pendingBytes(): number {
     return this.#stream.writableLength;
   }
 
--- a/packages/gateway/src/storeSharing.ts
+++ b/packages/gateway/src/storeSharing.ts
@@ -1,6 +1,6 @@
 import type { HostId, Milliseconds } from "@wasabivane/common";
 import type { Result } from "neverthrow";
-import type { GatewayParts } from "./gatewayParts.ts";
+import type { GatewayContext } from "./gatewayContext.ts";
 import {
   askBelief,
   type Belief,
@@ -8,7 +8,7 @@
   type KnownBelief,
 } from "./operatorPages.ts";
 import type { PeerBook } from "./peerBook.ts";
-import type { UpstreamNews } from "./upstreamNews.ts";
+import type { UpstreamUpdates } from "./upstreamUpdates.ts";
 
 /** Hosts that read the store for all; with one of them lost there are two still. */
 const STORE_READERS = 3;
@@ -40,13 +40,13 @@
 
 /** What a {@link StoreSharing} needs. */
 export interface StoreSharingOptions {
-  readonly parts: GatewayParts;
+  readonly parts: GatewayContext;
   readonly book: PeerBook;
-  readonly upstreams: UpstreamNews;
+  readonly upstreams: UpstreamUpdates;
   /** Within this time of being published, a policy must be in force. */
   readonly applyBound: Milliseconds;
   /** Takes a policy in that was the newest at a moment of the elapsed clock. */
-  readonly takePolicy: (bytes: Uint8Array, provenAt: Milliseconds) => void;
+  readonly adoptPolicy: (bytes: Uint8Array, provenAt: Milliseconds) => void;
   /** Fetches what the peer at `ip:port` believes beyond what is known. */
   readonly ask?: (
     address: string,
@@ -92,7 +92,7 @@
   }
 
   /** Whether this host should read the store. */
-  get shouldRead(): boolean {
+  get shouldReadStore(): boolean {
     const { book, applyBound, parts } = this.#options;
     const { policies, elapsed, timer } = parts;
     if (this.#listRevision === 0) return true;
@@ -107,7 +107,7 @@
   }
 
   /** Peers that read the store themselves and pass on that nothing changed. */
-  get readingPeers(): number {
+  get storeReaderCount(): number {
     return this.#options.book.readingCount;
   }
 
@@ -117,7 +117,7 @@
   }
 
   /** All upstreams are known up to this revision of the store. */
-  noteListRevision(revision: number): void {
+  advanceListRevision(revision: number): void {
     if (revision <= this.#listRevision) return;
     this.#listRevision = revision;
     this.#isBehindSince = undefined;
@@ -136,7 +136,7 @@
   }
 
   /** Whether the store can be read, for the peers and the log. */
-  setReading(isReading: boolean, detail: string): void {
+  reportStoreRead(isReading: boolean, detail: string): void {
     this.#isReading = isReading;
     this.#isResting = false;
     if (isReading !== this.#isStoreLost) return;
@@ -146,7 +146,7 @@
   }
 
   /** Enough peers read the store; this host lives on what they tell. */
-  rest(): void {
+  followReaders(): void {
     this.#isReading = false;
     this.#isResting = true;
   }
@@ -188,17 +188,17 @@
     { policy, proofAge, upstreams, kept, evacuated, listRevision }: Belief,
     askedAt: Milliseconds,
   ): void {
-    const { takePolicy, upstreams: news, parts } = this.#options;
+    const { adoptPolicy, upstreams: news, parts } = this.#options;
     if (listRevision > this.#listRevision) {
-      news.takeEvacuated(new Set(evacuated));
-      news.takeAll(upstreams);
+      news.applyEvacuation(new Set(evacuated));
+      news.applyAll(upstreams);
       const now = parts.timer.now();
       for (const { name, left } of kept) news.drop(name, now + left);
-      this.noteListRevision(listRevision);
+      this.advanceListRevision(listRevision);
     }
     // The peer's proof speaks of its policy and list together; it serves a host that holds both.
     if (policy.length === 0) return;
     const isWhole = listRevision >= this.#listRevision;
-    takePolicy(policy, isWhole ? askedAt - proofAge : -Infinity);
+    adoptPolicy(policy, isWhole ? askedAt - proofAge : -Infinity);
   }
 }
--- a/packages/gateway/src/upstreamConnections.ts
+++ b/packages/gateway/src/upstreamConnections.ts
@@ -1,7 +1,7 @@
 import type { Buffer } from "node:buffer";
 import type { Milliseconds } from "@wasabivane/common";
 import { type Dispatcher, Pool } from "undici";
-import type { FieldLine, FieldValues } from "./fields.ts";
+import type { HeaderLine, HeaderValues } from "./headers.ts";
 import { SocketResets } from "./socketResets.ts";
 
 /** Idle connections are kept for so long where the upstream names no time. */
@@ -18,7 +18,7 @@
   readonly method: string;
   /** Path and query as the caller wrote them. */
   readonly path: string;
-  readonly fields: readonly FieldLine[];
+  readonly fields: readonly HeaderLine[];
   readonly body: Buffer | undefined;
 }
 
@@ -28,7 +28,7 @@
   isWanted(): boolean;
   /** Bytes of the request may have left from now on. */
   sent(): void;
-  head(status: number, fields: FieldValues): void;
+  head(status: number, fields: HeaderValues): void;
   data(chunk: Buffer): void;
   ended(): void;
   failed(detail: string): void;
@@ -135,7 +135,7 @@
   onResponseStart(
     _controller: Dispatcher.DispatchController,
     status: number,
-    fields: FieldValues,
+    fields: HeaderValues,
   ): void {
     if (status < 200 || this.#isAborted) return;
     this.#listener.head(status, fields);
--- a/packages/gateway/src/upstreamNews.ts
+++ b/packages/gateway/src/upstreamUpdates.ts
@@ -5,19 +5,19 @@
   UpstreamId,
 } from "@wasabivane/common";
 import type { Upstream } from "@wasabivane/admission";
-import type { GatewayParts } from "./gatewayParts.ts";
+import type { GatewayContext } from "./gatewayContext.ts";
 
 /** Connections of upstreams that are gone are closed so long after; answers may still come on them. */
 const CONNECTION_GRACE_MS: Milliseconds = 30_000;
 
 /** Takes in what the store and peers say of upstreams, and logs what it changes. */
-export class UpstreamNews {
-  readonly #parts: GatewayParts;
+export class UpstreamUpdates {
+  readonly #parts: GatewayContext;
   readonly #tellLeft: (upstream: UpstreamId) => void;
   readonly #graces = new Set<TimerSubscription>();
 
   constructor(
-    parts: GatewayParts,
+    parts: GatewayContext,
     { tellLeft }: { tellLeft: (upstream: UpstreamId) => void },
   ) {
     this.#parts = parts;
@@ -25,7 +25,7 @@
   }
 
   /** Takes in what the store says of one upstream. */
-  take(upstream: Upstream): void {
+  apply(upstream: Upstream): void {
     const { directory, log, reviewPlaces } = this.#parts;
     const known = directory.findListed(upstream.upstream);
     if (upstream.isLeaving) this.#leave(upstream.upstream);
@@ -44,7 +44,7 @@
   }
 
   /** An entry of the list that names no upstream to use; the others hold. */
-  takeMalformed(name: string, detail: string): void {
+  rejectEntry(name: string, detail: string): void {
     const { metrics, log } = this.#parts;
     metrics.count("upstream_entries_malformed");
     log.write("upstream_malformed", { upstream: name, detail });
@@ -56,7 +56,7 @@
    * returns, whatever the store still says; one that starts again is another life.
    * Listed for seconds more, it would refuse request after request at once.
    */
-  dropReplaced(upstream: UpstreamId): void {
+  removeReplaced(upstream: UpstreamId): void {
     this.#leave(upstream, "replaced");
   }
 
@@ -78,7 +78,7 @@
   }
 
   /** Takes in a full reading of all upstreams. */
-  takeAll(upstreams: readonly Upstream[], keepUntil?: Milliseconds): void {
+  applyAll(upstreams: readonly Upstream[], keepUntil?: Milliseconds): void {
     const { directory, reviewPlaces, log } = this.#parts;
     for (const { upstream, isLeaving } of upstreams) {
       if (isLeaving) this.#leave(upstream);
@@ -99,7 +99,7 @@
    * Takes in which failure domains are evacuated. Requests that wait look for places
    * elsewhere at once; what runs there ends in peace.
    */
-  takeEvacuated(domains: ReadonlySet<FailureDomain>): void {
+  applyEvacuation(domains: ReadonlySet<FailureDomain>): void {
     const { directory, log, reviewPlaces } = this.#parts;
     if (!directory.evacuate(domains)) return;
     log.write("domains_evacuated", { domains: [...domains].join(",") });
--- a/packages/gateway/src/wordRows.ts
+++ b/packages/gateway/src/wordRows.ts
@@ -9,7 +9,7 @@
 } from "@wasabivane/common";
 import type { Upstream } from "@wasabivane/admission";
 import { listOf, numberOf, type Row, rowsOf, textOf } from "./messageFields.ts";
-import type { ListChange, PeerMention } from "./peerWord.ts";
+import type { PeerMention, UpstreamListChange } from "./peerWord.ts";
 
 /** A host, as another tells of it, in the order of its fields. */
 export function packMention(mention: PeerMention): Row {
@@ -43,7 +43,7 @@
 
 /** A change of the list of upstreams. */
 export function packChange(
-  { from, to, upstreams, removed, evacuated }: ListChange,
+  { from, to, upstreams, removed, evacuated }: UpstreamListChange,
 ): Row {
   const rows = upstreams.map((upstream) => [
     upstream.upstream,
@@ -63,7 +63,7 @@
 /** Reads what {@link packChange} made. */
 export function readChange(
   [from, to, upstreams, removed, evacuated]: Row,
-): ListChange {
+): UpstreamListChange {
   return {
     from: numberOf(from),
     to: numberOf(to),
--- a/packages/gateway/tests/brokenAnswers.test.ts
+++ b/packages/gateway/tests/brokenAnswers.test.ts
@@ -1,5 +1,10 @@
 import test from "ava";
-import { ask, goodHead, startGateway, startUpstream } from "./helpers/fleet.ts";
+import {
+  goodHead,
+  sendRequest,
+  startGateway,
+  startUpstream,
+} from "./helpers/fleet.ts";
 
 test("an answer without a length that is reset is not passed on as whole", async (t) => {
   // The upstream answers without a length, so that the answer ends with its
@@ -16,13 +21,13 @@
     );
   });
   const fleet = await startGateway({ upstreams: [crashing] });
-  const alone = await ask(fleet.url);
+  const alone = await sendRequest(fleet.url);
   t.is(alone.status, 502);
   t.notRegex(alone.body, /half/);
   await fleet.close();
 
   const both = await startGateway({ upstreams: [sound] });
-  const seen = await ask(both.url);
+  const seen = await sendRequest(both.url);
   t.deepEqual([seen.status, seen.body], [200, "whole"]);
   await both.close();
 });
@@ -39,7 +44,7 @@
     route: { repeatability: "at-most-once" },
   });
   for (const id of ["q1", "q2", "q3", "q4", "q5"]) {
-    const seen = await ask(fleet.url, { headers: { id } });
+    const seen = await sendRequest(fleet.url, { headers: { id } });
     t.is(seen.status, 502);
     t.notRegex(seen.body, /half/);
   }
@@ -51,7 +56,7 @@
     received.socket.end(goodHead(received, { connection: "close" }) + "all");
   });
   const fleet = await startGateway({ upstreams: [upstream] });
-  const seen = await ask(fleet.url);
+  const seen = await sendRequest(fleet.url);
   t.deepEqual([seen.status, seen.body, seen.isWhole], [200, "all", true]);
   await fleet.close();
 });
@@ -67,7 +72,7 @@
     upstreams: [upstream],
     route: { repeatability: "at-most-once" },
   });
-  const seen = await ask(fleet.url);
+  const seen = await sendRequest(fleet.url);
   t.is(seen.status, 502);
   t.notRegex(seen.body, /stranger/);
   t.is(upstream.received.length, 1);
@@ -84,7 +89,7 @@
     upstreams: [upstream],
     route: { repeatability: "at-most-once", maximumAttempts: 1 },
   });
-  const seen = await ask(fleet.url);
+  const seen = await sendRequest(fleet.url);
   t.is(seen.status, 503);
   t.truthy(seen.headers["retry-after"]);
   await fleet.close();
--- a/packages/gateway/tests/busyHost.test.ts
+++ b/packages/gateway/tests/busyHost.test.ts
@@ -1,5 +1,10 @@
 import test from "ava";
-import { ask, goodHead, startGateway, startUpstream } from "./helpers/fleet.ts";
+import {
+  goodHead,
+  sendRequest,
+  startGateway,
+  startUpstream,
+} from "./helpers/fleet.ts";
 
 /** So long that it counts for seconds yet, however slow the machine is that tests run on. */
 const STALL_MS = Number.MAX_SAFE_INTEGER;
@@ -16,11 +21,11 @@
     upstreams: [upstream],
     route: { timeout: TIME_LEFT_MS },
   });
-  const { lag, timer } = fleet.gateway.parts;
+  const { lag, timer } = fleet.gateway.context;
   const headers = { "time-left": String(TIME_LEFT_MS) };
-  await ask(fleet.url, { headers });
+  await sendRequest(fleet.url, { headers });
   lag.observe(STALL_MS, timer.now());
-  await ask(fleet.url, { headers });
+  await sendRequest(fleet.url, { headers });
   const [before, after] = upstream.received.map((received) =>
     Number(received.field("time-left"))
   );
@@ -35,9 +40,9 @@
     received.socket.write(goodHead(received, { "content-length": 2 }) + "ok");
   });
   const fleet = await startGateway({ upstreams: [upstream] });
-  const { lag, timer } = fleet.gateway.parts;
+  const { lag, timer } = fleet.gateway.context;
   lag.observe(LAG_MS, timer.now());
-  const asked = Array.from({ length: 12 }, () => ask(fleet.url));
+  const asked = Array.from({ length: 12 }, () => sendRequest(fleet.url));
   // All of them connect while the host stands still.
   await new Promise((resolve) => setTimeout(resolve, 0));
   const until = timer.now() + LAG_MS;
@@ -48,7 +53,7 @@
   t.is(served.length + refused.length, seen.length);
   t.true(refused.length > 0);
   t.is(upstream.received.length, served.length);
-  t.is((await ask(fleet.url)).status, 200);
+  t.is((await sendRequest(fleet.url)).status, 200);
   await fleet.close();
 });
 
@@ -58,13 +63,15 @@
     received.socket.write(goodHead(received, { "content-length": 2 }) + "ok");
   });
   const fleet = await startGateway({ upstreams: [upstream], lowestLag: 15 });
-  const { lag, timer } = fleet.gateway.parts;
+  const { lag, timer } = fleet.gateway.context;
   const now = timer.now();
   for (const at of [0, 60, 120, 180]) lag.observe(LAG_MS, now + at);
   // The host's own timers are on time here and would show no lag.
   Object.assign(lag, { observe: () => {} });
   const seen = [];
-  for (let index = 0; index < 8; index++) seen.push(await ask(fleet.url));
+  for (let index = 0; index < 8; index++) {
+    seen.push(await sendRequest(fleet.url));
+  }
   const refused = seen.filter(({ status }) => status === 503);
   t.true(refused.length > 0);
   t.is(upstream.received.length, seen.length - refused.length);
--- a/packages/gateway/tests/decisionLog.test.ts
+++ b/packages/gateway/tests/decisionLog.test.ts
@@ -3,14 +3,14 @@
 import test from "ava";
 
 interface Lines extends LogOutput {
-  behind: number;
+  pendingBytes: number;
   readonly events: string[];
 }
 
 function createLines(): Lines {
   const events: string[] = [];
   return {
-    behind: 0,
+    pendingBytes: 0,
     events,
     write: (line) => events.push(JSON.parse(line).event),
   };
@@ -39,7 +39,7 @@
     host: "h",
   });
   log.write("store_lost");
-  output.behind = 1_024 * 1_024;
+  output.pendingBytes = 1_024 * 1_024;
   for (let index = 0; index < 100; index++) log.write("request_refused");
   t.deepEqual(output.events, ["store_lost"]);
 });
--- a/packages/gateway/tests/fleetTalk.test.ts
+++ b/packages/gateway/tests/fleetTalk.test.ts
@@ -18,10 +18,10 @@
   decodeMessage,
   encodeMessage,
   FleetTalk,
-  type GatewayParts,
-  type ListChange,
+  type GatewayContext,
   PeerBook,
   PolicyState,
+  type UpstreamListChange,
 } from "@wasabivane/gateway";
 import test from "ava";
 import { PlainDialect } from "./helpers/plainDialect.ts";
@@ -37,7 +37,7 @@
   readonly name: string;
   readonly book: PeerBook;
   readonly talk: FleetTalk;
-  readonly parts: GatewayParts;
+  readonly parts: GatewayContext;
   readonly left: Set<string>;
   listRevision: number;
   heard: number;
@@ -98,7 +98,7 @@
     crashes: new PoisonRequestDetector(),
     policies: new PolicyState({ dialect: new PlainDialect(), bounds: BOUNDS }),
     isStopping: () => false,
-  } as unknown as GatewayParts;
+  } as unknown as GatewayContext;
   const book = new PeerBook({
     host,
     failureDomain: DOMAIN,
@@ -177,7 +177,7 @@
   // must send nothing there after two seconds, though some words are lost.
   const { talkers, timer } = startTalkers(120, { loss: 0.025 });
   timer.runUntil(7_000);
-  const change: ListChange = {
+  const change: UpstreamListChange = {
     from: 1,
     to: 2,
     upstreams: [],
--- a/packages/gateway/tests/forwarding.test.ts
+++ b/packages/gateway/tests/forwarding.test.ts
@@ -3,23 +3,23 @@
 import test from "ava";
 import { asId, type UpstreamId } from "@wasabivane/common";
 import {
-  ask,
   buildPolicy,
   buildRoute,
   goodHead,
-  type Received,
+  type ReceivedRequest,
+  sendRequest,
   startGateway,
   startUpstream,
 } from "./helpers/fleet.ts";
 
-function answerWhole(received: Received): void {
+function answerWhole(received: ReceivedRequest): void {
   received.socket.write(goodHead(received, { "content-length": 2 }) + "ok");
 }
 
 test("method, path, query, fields and body reach the upstream unchanged", async (t) => {
   const upstream = await startUpstream(answerWhole);
   const fleet = await startGateway({ upstreams: [upstream] });
-  const seen = await ask(fleet.url, {
+  const seen = await sendRequest(fleet.url, {
     path: "/a/b%20c/?x=1&y=%2F",
     body: "{ }",
     headers: { "x-other": "kept", connection: "close" },
@@ -40,7 +40,7 @@
     received.socket.write(goodHead(received, { "content-length": 42 }));
   });
   const fleet = await startGateway({ upstreams: [upstream] });
-  const seen = await ask(fleet.url, { method: "HEAD" });
+  const seen = await sendRequest(fleet.url, { method: "HEAD" });
   t.deepEqual([seen.status, seen.headers["content-length"]], [200, "42"]);
   await fleet.close();
 });
@@ -56,7 +56,7 @@
     route: { repeatability: "at-most-once", maximumAttempts: 1 },
   });
   for (const id of ["q1", "q2", "q3"]) {
-    const seen = await ask(fleet.url, { headers: { id } });
+    const seen = await sendRequest(fleet.url, { headers: { id } });
     t.is(seen.status, 200);
   }
   t.is(sound.received.length, 3);
@@ -66,14 +66,14 @@
 test("a request that may run only once is not sent again after a failure", async (t) => {
   // The upstream runs the request and its answer is lost with the connection. A
   // second upstream would run it twice; "not run" would be untrue.
-  const losing = (received: Received): void =>
+  const losing = (received: ReceivedRequest): void =>
     void received.socket.resetAndDestroy();
   const upstreams = [await startUpstream(losing), await startUpstream(losing)];
   const fleet = await startGateway({
     upstreams,
     route: { repeatability: "at-most-once", maximumAttempts: 2 },
   });
-  const seen = await ask(fleet.url);
+  const seen = await sendRequest(fleet.url);
   t.is(seen.status, 502);
   t.is(seen.headers["retry-after"], undefined);
   const runs = upstreams.map(({ received }) => received.length);
@@ -91,7 +91,7 @@
   const sound = await startUpstream(answerWhole);
   const fleet = await startGateway({ upstreams: [failing, sound] });
   for (const id of ["q1", "q2", "q3", "q4"]) {
-    t.is((await ask(fleet.url, { headers: { id } })).status, 200);
+    t.is((await sendRequest(fleet.url, { headers: { id } })).status, 200);
   }
   t.is(failing.received.length + sound.received.length > 4, true);
   await fleet.close();
@@ -100,8 +100,11 @@
 test("a route or key that the policy does not hold is denied, without a policy nothing is", async (t) => {
   const upstream = await startUpstream(answerWhole);
   const fleet = await startGateway({ upstreams: [upstream] });
-  t.is((await ask(fleet.url, { path: "/none/" })).status, 404);
-  t.is((await ask(fleet.url, { headers: { key: "stolen" } })).status, 401);
+  t.is((await sendRequest(fleet.url, { path: "/none/" })).status, 404);
+  t.is(
+    (await sendRequest(fleet.url, { headers: { key: "stolen" } })).status,
+    401,
+  );
   t.is(upstream.received.length, 0);
   await fleet.close();
 });
@@ -113,9 +116,9 @@
     new TextEncoder().encode(JSON.stringify(
       buildPolicy({ version, routes: [buildRoute({ prefix })] }),
     ));
-  gateway.takePolicy(bytesOf(5, "/new/"), 0);
-  gateway.takePolicy(bytesOf(4, "/old/"), 0);
-  const { index } = gateway.parts.policies;
+  gateway.adoptPolicy(bytesOf(5, "/new/"), 0);
+  gateway.adoptPolicy(bytesOf(4, "/old/"), 0);
+  const { index } = gateway.context.policies;
   t.truthy(index!.route("plans.example", "/new/x"));
   t.is(index!.route("plans.example", "/old/x"), undefined);
   await fleet.close();
@@ -124,7 +127,7 @@
 test("a body above the bound is refused and its rest is not taken for a request", async (t) => {
   const upstream = await startUpstream(answerWhole);
   const fleet = await startGateway({ upstreams: [upstream] });
-  const seen = await ask(fleet.url, { body: "x".repeat(100_001) });
+  const seen = await sendRequest(fleet.url, { body: "x".repeat(100_001) });
   t.is(seen.status, 413);
   t.is(seen.headers.connection, "close");
   t.is(upstream.received.length, 0);
@@ -137,7 +140,7 @@
   const upstream = await startUpstream(answerWhole);
   const fleet = await startGateway({ upstreams: [upstream], stopGrace: 2_000 });
   const stopped = fleet.gateway.stop();
-  const seen = await ask(fleet.url);
+  const seen = await sendRequest(fleet.url);
   t.is(seen.status, 503);
   t.regex(seen.body, /stopping/);
   t.is(upstream.received.length, 0);
@@ -207,7 +210,7 @@
   t.false(fleet.gateway.isReady);
   const [first] = await once(caller, "data");
   t.regex(String(first), /^HTTP\/1.1 200/);
-  const late = await ask(fleet.url, { headers: { id: "q2" } });
+  const late = await sendRequest(fleet.url, { headers: { id: "q2" } });
   t.is(late.status, 200);
   t.is(late.headers.connection, "close");
   await stopped;
@@ -218,7 +221,7 @@
   // A stopping host closes an idle connection while a request is on its way. The
   // caller sees the close, takes the request for unread and sends it elsewhere; run
   // here as well, it would run twice or its answer be lost.
-  const waiting: Received[] = [];
+  const waiting: ReceivedRequest[] = [];
   const upstream = await startUpstream((received) => {
     if (received.field("id") === "q1") waiting.push(received);
     else answerWhole(received);
@@ -230,7 +233,7 @@
   });
   const { port, hostname } = new URL(fleet.url);
   // A request under way keeps the host from ending before the crossing one is there.
-  const first = ask(fleet.url, { headers: { id: "q1" } });
+  const first = sendRequest(fleet.url, { headers: { id: "q1" } });
   const idle = connect({
     port: Number(port),
     host: hostname,
@@ -261,11 +264,13 @@
 test("an upstream that announced its leaving gets no further request", async (t) => {
   const leaving = await startUpstream(answerWhole);
   const fleet = await startGateway({ upstreams: [leaving] });
-  fleet.gateway.upstreams.take({
-    ...fleet.gateway.parts.directory.get(asId<UpstreamId>("u0"))!,
+  fleet.gateway.upstreamUpdates.apply({
+    ...fleet.gateway.context.directory.get(asId<UpstreamId>("u0"))!,
     isLeaving: true,
   });
-  const seen = await ask(fleet.url, { headers: { "time-left": "300" } });
+  const seen = await sendRequest(fleet.url, {
+    headers: { "time-left": "300" },
+  });
   t.is(seen.status, 503);
   t.is(leaving.received.length, 0);
   await fleet.close();
--- a/packages/gateway/tests/helpers/fleet.ts
+++ b/packages/gateway/tests/helpers/fleet.ts
@@ -21,7 +21,7 @@
 const SERVICE = asId<ServiceId>("plans");
 
 /** What a stand-in upstream got on one connection. */
-export interface Received {
+export interface ReceivedRequest {
   readonly head: string;
   readonly body: string;
   readonly socket: Socket;
@@ -32,15 +32,15 @@
 /** An upstream that answers with bytes that a test writes itself. */
 export interface RawUpstream {
   readonly address: string;
-  readonly received: Received[];
+  readonly received: ReceivedRequest[];
   close(): void;
 }
 
 /** Starts an upstream; `answer` is called once for each whole request. */
 export async function startUpstream(
-  answer: (received: Received) => void,
+  answer: (received: ReceivedRequest) => void,
 ): Promise<RawUpstream> {
-  const received: Received[] = [];
+  const received: ReceivedRequest[] = [];
   const sockets = new Set<Socket>();
   const server = createTcpServer((socket) => {
     sockets.add(socket);
@@ -56,7 +56,7 @@
       if (text.length < headEnd + 4 + length) return;
       const body = text.slice(headEnd + 4, headEnd + 4 + length);
       text = "";
-      const request: Received = {
+      const request: ReceivedRequest = {
         head,
         body,
         socket,
@@ -85,7 +85,7 @@
 
 /** Head of a good answer to a request; the body follows. */
 export function goodHead(
-  received: Received,
+  received: ReceivedRequest,
   fields: Readonly<Record<string, string | number>> = {},
 ): string {
   const lines = Object.entries({
@@ -192,7 +192,7 @@
 ): Promise<RunningGateway | undefined> {
   const lines: Record<string, unknown>[] = [];
   const output: LogOutput = {
-    behind: 0,
+    pendingBytes: 0,
     write: (line) => lines.push(JSON.parse(line)),
   };
   const timer = new SystemTimer();
@@ -208,13 +208,13 @@
     },
     seeds,
     cores: 1,
-    readyPath: "/ready",
+    readinessPath: "/ready",
     freshness: { revocationBound, applyBound: 600_000 },
     retryBudget: { ratio: 0.2, slack: 50, window: 10_000 },
     quotaTolerance: { overrun: 0.25, slack: 0, span: 8_000 },
-    coldTolerance: { factor: 1, slack: 0 },
+    warmupTolerance: { factor: 1, slack: 0 },
     lowestLag,
-    stopGrace,
+    shutdownGrace: stopGrace,
     dialect: new PlainDialect(),
     timer,
     random: new SeededRandom(1),
@@ -236,13 +236,13 @@
       for (const upstream of upstreams) upstream.close();
     },
   };
-  gateway.sharing.setReading(isReading, "start");
+  gateway.storeSharing.reportStoreRead(isReading, "start");
   if (!isReading) return result;
   const policy = buildPolicy({ routes: [buildRoute(route)] });
-  const now = gateway.parts.elapsed.now();
-  gateway.takePolicy(Buffer.from(JSON.stringify(policy)), now);
+  const now = gateway.context.elapsed.now();
+  gateway.adoptPolicy(Buffer.from(JSON.stringify(policy)), now);
   for (const [index, { address }] of upstreams.entries()) {
-    gateway.upstreams.take({
+    gateway.upstreamUpdates.apply({
       upstream: asId<UpstreamId>(`u${index}`),
       name: `u${index}`,
       bornAt: 0,
@@ -255,7 +255,7 @@
     });
   }
   // A host that reads says up to which revision of the store it knows all upstreams.
-  gateway.sharing.noteListRevision(1);
+  gateway.storeSharing.advanceListRevision(1);
   return result;
 }
 
@@ -269,7 +269,7 @@
 }
 
 /** Sends a request as a caller would. */
-export async function ask(
+export async function sendRequest(
   url: string,
   { path = "/a/1", method = "POST", headers = {}, body = "hello" }: {
     path?: string;
--- a/packages/gateway/tests/helpers/plainDialect.ts
+++ b/packages/gateway/tests/helpers/plainDialect.ts
@@ -1,39 +1,39 @@
 import { asId, asTier, type RequestId } from "@wasabivane/common";
 import type { Policy } from "@wasabivane/admission";
 import {
-  type AnswerSays,
-  type CallerSays,
   Dialect,
-  type FieldLine,
-  fieldOf,
-  type FieldValues,
+  type HeaderLine,
+  headerValue,
+  type HeaderValues,
   type PolicyError,
-  type SendingSays,
+  type RequestMetadata,
+  type ResponseMetadata,
+  type UpstreamRequestMetadata,
 } from "@wasabivane/gateway";
 import { ok, type Result } from "neverthrow";
 
 /** Header names of the tests' own; a policy is its JSON. */
 export class PlainDialect extends Dialect {
-  override readRequest(fields: FieldValues): CallerSays | undefined {
-    const id = fieldOf(fields, "id");
+  override parseRequest(fields: HeaderValues): RequestMetadata | undefined {
+    const id = headerValue(fields, "id");
     if (id === undefined) return undefined;
-    const timeLeft = fieldOf(fields, "time-left");
-    const lastEvent = fieldOf(fields, "last-event-id");
+    const timeLeft = headerValue(fields, "time-left");
+    const lastEvent = headerValue(fields, "last-event-id");
     return {
-      attempt: asId<RequestId>(id),
-      apiKey: fieldOf(fields, "key"),
+      requestId: asId<RequestId>(id),
+      apiKey: headerValue(fields, "key"),
       timeLeft: timeLeft === undefined ? undefined : Number(timeLeft),
       tokens: undefined,
       expectedTokens: undefined,
-      parts: [],
-      lastEvent: lastEvent === undefined ? undefined : Number(lastEvent),
+      promptParts: [],
+      lastEventId: lastEvent === undefined ? undefined : Number(lastEvent),
     };
   }
 
-  override sendingFields(
-    callerFields: readonly FieldLine[],
-    { upstream, timeLeft, lastEvent }: SendingSays,
-  ): FieldLine[] {
+  override buildUpstreamHeaders(
+    callerFields: readonly HeaderLine[],
+    { upstream, timeLeft, lastEventId: lastEvent }: UpstreamRequestMetadata,
+  ): HeaderLine[] {
     const lines = callerFields.filter(([name]) =>
       !["content-length", "time-left", "key", "last-event-id"].includes(
         name.toLowerCase(),
@@ -46,11 +46,14 @@
     return lines;
   }
 
-  override readAnswer(_status: number, fields: FieldValues): AnswerSays {
+  override parseResponse(
+    _status: number,
+    fields: HeaderValues,
+  ): ResponseMetadata {
     return {
-      attempt: fieldOf(fields, "id"),
-      isNotRun: fieldOf(fields, "not-run") !== undefined,
-      isSealed: fieldOf(fields, "mark") !== undefined,
+      requestId: headerValue(fields, "id"),
+      hasNotRun: headerValue(fields, "not-run") !== undefined,
+      isSealed: headerValue(fields, "mark") !== undefined,
       load: undefined,
     };
   }
--- a/packages/gateway/tests/peers.test.ts
+++ b/packages/gateway/tests/peers.test.ts
@@ -22,8 +22,8 @@
 } from "@wasabivane/gateway";
 import test from "ava";
 import {
-  ask,
   goodHead,
+  sendRequest,
   startGateway,
   startHostPair,
   startUpstream,
@@ -311,7 +311,7 @@
     received.socket.write(goodHead(received, { "content-length": 2 }) + "ok");
   });
   const { refused, close } = await startHostPair([upstream]);
-  const seen = await ask(refused.url);
+  const seen = await sendRequest(refused.url);
   t.deepEqual([seen.status, seen.body], [200, "ok"]);
   await close();
 });
@@ -319,9 +319,9 @@
 test("an upstream's leaving reaches a host that cannot read the store", async (t) => {
   const upstream = await startUpstream(() => {});
   const { reading, refused, close } = await startHostPair([upstream]);
-  const [listed] = reading.gateway.parts.directory.all();
-  reading.gateway.upstreams.take({ ...listed!, isLeaving: true });
-  await until(() => refused.gateway.parts.directory.size === 0);
+  const [listed] = reading.gateway.context.directory.all();
+  reading.gateway.upstreamUpdates.apply({ ...listed!, isLeaving: true });
+  await until(() => refused.gateway.context.directory.size === 0);
   t.pass();
   await close();
 });
@@ -335,8 +335,8 @@
     upstreams: [upstream],
     seeds: ["127.0.0.1:9"],
   });
-  const [listed] = fleet.gateway.parts.directory.all();
-  fleet.gateway.upstreams.take({ ...listed!, isLeaving: true });
+  const [listed] = fleet.gateway.context.directory.all();
+  fleet.gateway.upstreamUpdates.apply({ ...listed!, isLeaving: true });
   await fleet.close();
   await new Promise((resolve) => setTimeout(resolve, 100));
   t.pass();
--- a/packages/gateway/tests/replacedUpstreams.test.ts
+++ b/packages/gateway/tests/replacedUpstreams.test.ts
@@ -1,8 +1,8 @@
 import test from "ava";
 import { asId, type UpstreamId } from "@wasabivane/common";
 import {
-  ask,
   goodHead,
+  sendRequest,
   startGateway,
   startHostPair,
   startUpstream,
@@ -29,13 +29,13 @@
     upstreams: [replaced, sound],
     slots: 2,
   });
-  await ask(fleet.url, { headers: { id: "first" } });
-  await ask(fleet.url, { headers: { id: "second" } });
+  await sendRequest(fleet.url, { headers: { id: "first" } });
+  await sendRequest(fleet.url, { headers: { id: "second" } });
   const before = replaced.received.length;
   const seen = await Promise.all(
     Array.from(
       { length: 20 },
-      (_, index) => ask(fleet.url, { headers: { id: `q${index}` } }),
+      (_, index) => sendRequest(fleet.url, { headers: { id: `q${index}` } }),
     ),
   );
   t.true(seen.every(({ status }) => status === 200));
@@ -50,10 +50,10 @@
     );
   });
   const { reading, refused, close } = await startHostPair([replaced]);
-  const seen = await ask(reading.url);
+  const seen = await sendRequest(reading.url);
   t.is(seen.status, 503);
   await until(() =>
-    refused.gateway.parts.directory.get(REPLACED) === undefined
+    refused.gateway.context.directory.get(REPLACED) === undefined
   );
   t.pass();
   await close();
--- a/packages/gateway/tests/storeSharing.test.ts
+++ b/packages/gateway/tests/storeSharing.test.ts
@@ -66,7 +66,7 @@
   { hasPolicy = true } = {},
 ): Promise<SharingHost> {
   const host = await startGateway({ upstreams: [], isReading: hasPolicy });
-  const { parts, upstreams } = host.gateway;
+  const { context: parts, upstreamUpdates: upstreams } = host.gateway;
   const book = new PeerBook({
     host: parts.host,
     failureDomain: parts.failureDomain,
@@ -94,7 +94,7 @@
     book,
     upstreams,
     applyBound: APPLY_BOUND,
-    takePolicy: (bytes, at) => host.gateway.takePolicy(bytes, at),
+    adoptPolicy: (bytes, at) => host.gateway.adoptPolicy(bytes, at),
     ask: (address) => {
       asked.push(address);
       return answers[address]!;
@@ -116,9 +116,9 @@
   const { host, sharing, names } = await startSharing({
     p0: Promise.resolve(ok(beliefOf(9, ["u1", "u2"]))),
   });
-  sharing.rest();
-  host.gateway.upstreams.takeAll([upstreamNamed("u1")]);
-  sharing.noteListRevision(10);
+  sharing.followReaders();
+  host.gateway.upstreamUpdates.applyAll([upstreamNamed("u1")]);
+  sharing.advanceListRevision(10);
   await sharing.askPeer(peer);
   t.deepEqual(names(), ["u1"]);
   t.is(sharing.listRevision, 10);
@@ -133,10 +133,10 @@
     p0: NEVER,
     p1: Promise.resolve(ok(beliefOf(11, ["u1"]))),
   });
-  sharing.rest();
-  host.gateway.upstreams.takeAll(["u1", "u2"].map(upstreamNamed));
-  sharing.noteListRevision(10);
-  const now = host.gateway.parts.timer.now();
+  sharing.followReaders();
+  host.gateway.upstreamUpdates.applyAll(["u1", "u2"].map(upstreamNamed));
+  sharing.advanceListRevision(10);
+  const now = host.gateway.context.timer.now();
   sharing.hearOf(asId<HostId>("p0"), { listRevision: 11, now });
   sharing.hearOf(asId<HostId>("p1"), { listRevision: 11, now });
   await new Promise((resolve) => setTimeout(resolve, 50));
@@ -153,10 +153,10 @@
     p0: Promise.resolve(ok(beliefOf(11, ["u1"]))),
   });
   const peer = asId<HostId>("p0");
-  sharing.setReading(true, "test");
-  host.gateway.upstreams.takeAll(["u1", "u2"].map(upstreamNamed));
-  sharing.noteListRevision(10);
-  const now = host.gateway.parts.timer.now();
+  sharing.reportStoreRead(true, "test");
+  host.gateway.upstreamUpdates.applyAll(["u1", "u2"].map(upstreamNamed));
+  sharing.advanceListRevision(10);
+  const now = host.gateway.context.timer.now();
   sharing.hearOf(peer, { listRevision: 11, now });
   t.deepEqual(asked, []);
   sharing.hearOf(peer, { listRevision: 11, now: now + OWN_WATCH_MS });
@@ -171,8 +171,8 @@
     p0: Promise.resolve(failed),
   });
   const peer = asId<HostId>("p0");
-  sharing.rest();
-  sharing.noteListRevision(10);
+  sharing.followReaders();
+  sharing.advanceListRevision(10);
   await sharing.askPeer(peer);
   await sharing.askPeer(peer);
   t.deepEqual(asked, ["p0", "p0"]);
@@ -187,21 +187,21 @@
   const { host, sharing } = await startSharing(Object.fromEntries(peers), {
     hasPolicy: false,
   });
-  t.true(sharing.shouldRead);
-  sharing.noteListRevision(1);
-  host.gateway.provePolicy(host.gateway.parts.elapsed.now());
-  t.false(sharing.shouldRead);
+  t.true(sharing.shouldReadStore);
+  sharing.advanceListRevision(1);
+  host.gateway.confirmPolicy(host.gateway.context.elapsed.now());
+  t.false(sharing.shouldReadStore);
   await host.close();
 });
 
 test("a host that has just read everything first learns who else is there", async (t) => {
   // It knows no peer yet and would take itself for one of the few that watch.
   const { host, sharing } = await startSharing({});
-  const { elapsed } = host.gateway.parts;
-  sharing.noteListRevision(1);
-  host.gateway.provePolicy(elapsed.now());
-  t.false(sharing.shouldRead);
+  const { elapsed } = host.gateway.context;
+  sharing.advanceListRevision(1);
+  host.gateway.confirmPolicy(elapsed.now());
+  t.false(sharing.shouldReadStore);
   await new Promise((resolve) => setTimeout(resolve, 700));
-  t.true(sharing.shouldRead);
+  t.true(sharing.shouldReadStore);
   await host.close();
 });
--- a/packages/gateway/tests/streams.test.ts
+++ b/packages/gateway/tests/streams.test.ts
@@ -4,9 +4,9 @@
 import { EventFrames } from "@wasabivane/gateway";
 import { Buffer } from "node:buffer";
 import {
-  ask,
   goodHead,
-  type Received,
+  type ReceivedRequest,
+  sendRequest,
   startGateway,
   startUpstream,
 } from "./helpers/fleet.ts";
@@ -19,7 +19,7 @@
 
 /** A chunked stream of events; `isWhole` closes it properly. */
 function sendStream(
-  received: Received,
+  received: ReceivedRequest,
   { ids, isWhole }: { ids: readonly number[]; isWhole: boolean },
 ): void {
   const head = goodHead(received, {
@@ -37,7 +37,7 @@
 test("a stream that breaks off goes on at another upstream without a gap", async (t) => {
   // The first upstream crashes in the middle of its third event. The caller must
   // see one stream: head and mark of the first, every event once, a proper end.
-  const answer = (received: Received): void => {
+  const answer = (received: ReceivedRequest): void => {
     const last = received.field("last-event-id");
     if (last !== undefined) {
       const ids = [Number(last) + 1, Number(last) + 2];
@@ -52,7 +52,7 @@
     upstreams,
     route: { ...STREAM, repeatability: "resumable" },
   });
-  const seen = await ask(fleet.url);
+  const seen = await sendRequest(fleet.url);
   t.true(seen.isWhole);
   t.is(seen.body, [1, 2, 3, 4].map((id) => event(id)).join(""));
   const [first] =
@@ -74,7 +74,7 @@
     upstreams: [upstream],
     route: { ...STREAM, repeatability: "at-most-once" },
   });
-  const seen = await ask(fleet.url);
+  const seen = await sendRequest(fleet.url);
   t.is(seen.status, 200);
   t.false(seen.isWhole);
   t.is(upstream.received.length, 1);
@@ -87,7 +87,7 @@
   // answers only once the connection of the first is closed.
   let endFirst = (): void => {};
   const firstEnded = new Promise<void>((resolve) => (endFirst = resolve));
-  const answer = (received: Received): void => {
+  const answer = (received: ReceivedRequest): void => {
     if (received.field("last-event-id") === undefined) {
       received.socket.once("close", () => endFirst());
       return sendStream(received, { ids: [1], isWhole: false });
@@ -101,7 +101,7 @@
     upstreams,
     route: { ...STREAM, repeatability: "resumable" },
   });
-  const seen = await ask(fleet.url);
+  const seen = await sendRequest(fleet.url);
   t.is(seen.body, event(1) + event(2));
   t.true(seen.isWhole);
   await fleet.close();
@@ -124,7 +124,7 @@
   const ended = once(upstream.received[0]!.socket, "close");
   caller.destroy();
   await ended;
-  t.is(fleet.gateway.parts.places.inFlightTotal, 0);
+  t.is(fleet.gateway.context.places.inFlightTotal, 0);
   await fleet.close();
 });
 
