--- a/apps/entry/src/exchangeAsk.ts
+++ b/apps/entry/src/exchangeAsk.ts
@@ -1,12 +1,12 @@
 import type { FailureDomain, HostId } from "@wasabivane/common";
-import type { Ask } from "@wasabivane/decisions";
+import type { PlacementRequest } from "@wasabivane/decisions";
 import type { AcceptedRequest } from "./acceptedRequest.ts";
 
 /** What the keeper needs to know of a request of this host. */
 export function askOf(
   request: AcceptedRequest,
   { host, failureDomain }: { host: HostId; failureDomain: FailureDomain },
-): Ask {
+): PlacementRequest {
   return {
     request: request.request,
     origin: host,
--- a/apps/entry/src/hostParts.ts
+++ b/apps/entry/src/hostParts.ts
@@ -33,10 +33,10 @@
   ViewController,
 } from "@wasabivane/coordination";
 import {
+  type PoisonRecord,
   type PoolPolicy,
   PoolScheduler,
   type Scheduler,
-  type Suspicion,
 } from "@wasabivane/decisions";
 import { AnswerRelay } from "./answerRelay.ts";
 import type { EntryHostOptions } from "./entryHostOptions.ts";
@@ -198,7 +198,7 @@
 ): void {
   const known = shared.blackboard.read(SUSPICIONS)
     .filter((suspicion) => suspicion.service === service);
-  scheduler.importSuspicions(known.flatMap(suspicionOf), shared.timer.now());
+  scheduler.importPoisonRecords(known.flatMap(suspicionOf), shared.timer.now());
 }
 
 function policyOf(
@@ -275,17 +275,17 @@
     drain: () =>
       [...keeper.kept()].map(([service, scheduler]) => ({
         service,
-        suspicions: scheduler.drainSuspicions(timer.now()),
+        suspicions: scheduler.drainPoisonRecords(timer.now()),
       })).filter(({ suspicions }) => suspicions.length > 0),
     absorb: ({ service, suspicions }) =>
-      keeper.kept().get(service)?.importSuspicions(suspicions, timer.now()),
+      keeper.kept().get(service)?.importPoisonRecords(suspicions, timer.now()),
   });
 }
 
 /** Ejections concern upstreams; each keeper judges those by its own signals. */
 function suspicionOf(
   { kind, subject, remainingMs }: SharedSuspicion,
-): Suspicion[] {
+): PoisonRecord[] {
   if (kind === "ejected") return [];
   return [{ kind, fingerprint: subject as Digest, remainingMs }];
 }
--- a/examples/accountLimits.ts
+++ b/examples/accountLimits.ts
@@ -9,7 +9,7 @@
   waitingRequests: 8,
 } as unknown as AccountPolicy;
 const limits = new AccountLimits([policy]);
-limits.admit(exampleAsk("first", { tier: 1 }), 600);
+limits.charge(exampleAsk("first", { tier: 1 }), 600);
 
 /** The second request within a second is told when to come back. */
 export const result = limits.check(exampleAsk("second", { tier: 1 }), 250);
--- a/examples/ejection.ts
+++ b/examples/ejection.ts
@@ -1,7 +1,7 @@
 import type { UpstreamId } from "@wasabivane/common";
-import { Ejection } from "@wasabivane/decisions";
+import { OutlierDetector } from "@wasabivane/decisions";
 
-const ejection = new Ejection({ upstreams: 4, maximumEjectedShare: 0.5 });
+const ejection = new OutlierDetector({ upstreamCount: 4, maximumEjectedShare: 0.5 });
 const upstreams = ["u1", "u2", "u3"] as unknown as UpstreamId[];
 
 /** At most half of the four may be ejected, whatever fails. */
--- a/examples/exampleAsk.ts
+++ b/examples/exampleAsk.ts
@@ -1,7 +1,7 @@
-import type { Ask } from "@wasabivane/decisions";
+import type { PlacementRequest } from "@wasabivane/decisions";
 
 /** A request with customary values. */
-export function exampleAsk(request: string, { tier }: { tier: number }): Ask {
+export function exampleAsk(request: string, { tier }: { tier: number }): PlacementRequest {
   return {
     request,
     origin: "host-1",
@@ -14,5 +14,5 @@
     deadline: 20_000,
     prefixDigests: [],
     fingerprint: `print of ${request}`,
-  } as unknown as Ask;
+  } as unknown as PlacementRequest;
 }
--- a/examples/router.ts
+++ b/examples/router.ts
@@ -18,7 +18,7 @@
 
 /** 40 ms of prompt and 100 output tokens of 10 ms. */
 export const result = estimateRoute(candidate, {
-  ask: exampleAsk("draft", { tier: 1 }),
+  placementRequest: exampleAsk("draft", { tier: 1 }),
   meanOutputTokens: 100,
   probabilityWithin: (tokens) => Math.min(1, tokens / 500),
   domainDistanceMs: 1,
--- a/examples/speedEstimate.ts
+++ b/examples/speedEstimate.ts
@@ -1,7 +1,7 @@
 import type { UpstreamId } from "@wasabivane/common";
-import { SpeedEstimate } from "@wasabivane/decisions";
+import { SpeedEstimator } from "@wasabivane/decisions";
 
-const speeds = new SpeedEstimate();
+const speeds = new SpeedEstimator();
 const [seen, fresh] = ["u1", "u2"] as unknown as [UpstreamId, UpstreamId];
 speeds.register(seen, "generation-a");
 speeds.register(fresh, "generation-a");
--- a/examples/upstreamBound.ts
+++ b/examples/upstreamBound.ts
@@ -1,6 +1,6 @@
-import { UpstreamBound } from "@wasabivane/decisions";
+import { AdaptiveConcurrencyLimit } from "@wasabivane/decisions";
 
-const bound = new UpstreamBound({ initialRequests: 8, maximumRequests: 64 });
+const bound = new AdaptiveConcurrencyLimit({ initialRequests: 8, maximumRequests: 64 });
 const sample = {
   backlogTokens: 1_000,
   uncachedTokens: 1_000,
--- a/examples/waitQueue.ts
+++ b/examples/waitQueue.ts
@@ -13,4 +13,4 @@
 queue.push(exampleAsk("live draft", { tier: 1 }), details);
 
 /** The more urgent request leaves first. */
-export const result = queue.take(() => "start")?.ask.request;
+export const result = queue.take(() => "start")?.placementRequest.request;
--- a/packages/coordination/src/poolClient.ts
+++ b/packages/coordination/src/poolClient.ts
@@ -12,7 +12,11 @@
   type Topic,
   type UpstreamId,
 } from "@wasabivane/common";
-import type { Ask, AttemptReport, Decision } from "@wasabivane/decisions";
+import type {
+  AttemptReport,
+  Decision,
+  PlacementRequest,
+} from "@wasabivane/decisions";
 import type { PoolKeeper } from "./poolKeeper.ts";
 import { keeperOf, type PoolMember } from "./poolMembers.ts";
 import {
@@ -49,12 +53,12 @@
 }
 
 interface Waiting {
-  readonly ask: Ask;
+  readonly ask: PlacementRequest;
   readonly decide: (decision: Decision) => void;
 }
 
 interface Running {
-  readonly ask: Ask;
+  readonly ask: PlacementRequest;
   readonly upstream: UpstreamId;
   readonly grantedAt: Milliseconds;
   hasFirstToken: boolean;
@@ -108,7 +112,7 @@
   /** Asks for a place; `decide` is called once unless the ask is withdrawn. */
   submit(
     service: ServiceId,
-    ask: Ask,
+    ask: PlacementRequest,
     { decide }: { decide: (decision: Decision) => void },
   ): void {
     const pool = this.#poolOf(service);
@@ -181,7 +185,7 @@
     const waiting = pool.waiting.get(decision.request);
     if (waiting !== undefined) {
       const { request: _request, ...rest } = decision;
-      this.#follow(service, { ...rest, ask: waiting.ask });
+      this.#follow(service, { ...rest, placementRequest: waiting.ask });
     } else if (decision.kind === "grant") {
       this.#giveBack(pool, service, decision);
     }
@@ -204,7 +208,7 @@
 
   #follow(service: ServiceId, decision: Decision): void {
     const pool = this.#poolOf(service);
-    const { request } = decision.ask;
+    const { request } = decision.placementRequest;
     const waiting = pool.waiting.get(request);
     if (waiting === undefined) {
       if (decision.kind === "grant") {
--- a/packages/coordination/src/poolKeeper.ts
+++ b/packages/coordination/src/poolKeeper.ts
@@ -12,11 +12,11 @@
   type Topic,
 } from "@wasabivane/common";
 import type {
-  Ask,
   AttemptReport,
   CacheEvent,
   Decision,
   LoadReport,
+  PlacementRequest,
   PoolPolicy,
   Scheduler,
 } from "@wasabivane/decisions";
@@ -154,7 +154,7 @@
   }
 
   /** Takes a request of the given origin into the pool of a service. */
-  ask(service: ServiceId, ask: Ask): void {
+  ask(service: ServiceId, ask: PlacementRequest): void {
     const pool = this.#poolOf(service);
     if (pool === undefined) {
       this.#deliver(service, refusalOf(ask));
@@ -166,7 +166,7 @@
       return;
     }
     pool.requests.set(ask.request, { origin: ask.origin });
-    this.#deliverAll(service, pool.scheduler.ask(ask, this.#now()));
+    this.#deliverAll(service, pool.scheduler.submit(ask, this.#now()));
   }
 
   /** Takes back a request that still waits. */
@@ -179,7 +179,7 @@
 
   /** Notes the first token of a running request. */
   firstToken({ service, request }: RequestMessage): void {
-    this.#pools.get(service)?.scheduler.firstToken(request, this.#now());
+    this.#pools.get(service)?.scheduler.recordFirstToken(request, this.#now());
   }
 
   /** Frees the place of a request that ended. */
@@ -206,12 +206,12 @@
   reportLoad(service: ServiceId, report: LoadReport): void {
     const scheduler = this.#pools.get(service)?.scheduler;
     if (scheduler === undefined) return;
-    this.#deliverAll(service, scheduler.reportLoad(report, this.#now()));
+    this.#deliverAll(service, scheduler.applyLoadReport(report, this.#now()));
   }
 
   /** Passes on an engine's cache event. */
   reportCache(service: ServiceId, event: CacheEvent): void {
-    this.#pools.get(service)?.scheduler.reportCache(event, this.#now());
+    this.#pools.get(service)?.scheduler.applyCacheEvent(event, this.#now());
   }
 
   #onSync(from: HostId, body: SyncMessage): void {
@@ -238,13 +238,13 @@
       const ask = this.#askOf(wire, origin);
       const decision: Decision = {
         kind: "grant",
-        ask,
+        placementRequest: ask,
         upstream,
         expectedCachedTokens: 0,
       };
       pool.requests.set(wire.request, { origin, decision });
       pool.scheduler.adopt({
-        ask,
+        placementRequest: ask,
         upstream,
         grantedAt: now - runningFor,
         hasFirstToken,
@@ -308,7 +308,7 @@
         usedAt: now,
       };
       this.#pools.set(service, pool);
-      pool.scheduler.setShare(0, now);
+      pool.scheduler.setCapacityShare(0, now);
       this.#options.metrics.count("pool.keeper_started");
       this.#askForReports(service);
       this.#endRecovery(pool, service);
@@ -350,7 +350,10 @@
   #applyShare(pool: Pool, service: ServiceId): void {
     if (pool.isRecovering) return;
     const share = this.#options.blackboard.read(this.#options.fleetShare);
-    this.#deliverAll(service, pool.scheduler.setShare(share, this.#now()));
+    this.#deliverAll(
+      service,
+      pool.scheduler.setCapacityShare(share, this.#now()),
+    );
   }
 
   /** Applies the policies of a new bundle to the pools that run. */
@@ -387,20 +390,21 @@
   #deliver(service: ServiceId, decision: Decision): void {
     const { link, decideLocally } = this.#options;
     const requests = this.#pools.get(service)?.requests;
-    const tracked = requests?.get(decision.ask.request);
-    if (decision.kind === "refuse") requests?.delete(decision.ask.request);
-    else if (tracked !== undefined) tracked.decision = decision;
-    if (decision.ask.origin === link.self) {
+    const tracked = requests?.get(decision.placementRequest.request);
+    if (decision.kind === "refuse") {
+      requests?.delete(decision.placementRequest.request);
+    } else if (tracked !== undefined) tracked.decision = decision;
+    if (decision.placementRequest.origin === link.self) {
       decideLocally(service, decision);
       return;
     }
     sendMessage(link, POOL_DECISION, {
-      to: decision.ask.origin,
+      to: decision.placementRequest.origin,
       body: { service, decision: toWireDecision(decision) },
     });
   }
 
-  #askOf(wire: WireAsk, origin: HostId): Ask {
+  #askOf(wire: WireAsk, origin: HostId): PlacementRequest {
     return fromWireAsk(wire, { origin, now: this.#now() });
   }
 
@@ -409,17 +413,17 @@
   }
 }
 
-function refusalOf(ask: Ask): Decision {
+function refusalOf(ask: PlacementRequest): Decision {
   return {
     kind: "refuse",
-    ask,
+    placementRequest: ask,
     reason: "no-upstream",
     retryAfter: RECOVERY_MS,
   };
 }
 
 function cancelledAttempt(
-  { ask, upstream }: Extract<Decision, { kind: "grant" }>,
+  { placementRequest: ask, upstream }: Extract<Decision, { kind: "grant" }>,
 ): AttemptReport {
   return {
     request: ask.request,
--- a/packages/coordination/src/poolMessages.ts
+++ b/packages/coordination/src/poolMessages.ts
@@ -10,9 +10,9 @@
   UpstreamId,
 } from "@wasabivane/common";
 import {
-  type Ask,
   ATTEMPT_OUTCOMES,
   type Decision,
+  type PlacementRequest,
   REFUSAL_REASONS,
 } from "@wasabivane/decisions";
 import {
@@ -36,7 +36,7 @@
 const isUpstream = textOf<UpstreamId>();
 
 /**
- * An {@link Ask} as it crosses hosts. Monotonic clocks of two hosts share no
+ * An {@link PlacementRequest} as it crosses hosts. Monotonic clocks of two hosts share no
  * origin, so that the deadline travels as the time that is left.
  */
 const isWireAsk = objectOf({
@@ -165,7 +165,7 @@
 export type SyncMessage = BodyOf<typeof POOL_SYNC>;
 
 /** Prepares an ask for the wire. */
-export function toWireAsk(ask: Ask, now: Milliseconds): WireAsk {
+export function toWireAsk(ask: PlacementRequest, now: Milliseconds): WireAsk {
   const { origin: _origin, deadline, ...rest } = ask;
   return { ...rest, timeLeft: deadline - now };
 }
@@ -174,14 +174,14 @@
 export function fromWireAsk(
   wire: WireAsk,
   { origin, now }: { origin: HostId; now: Milliseconds },
-): Ask {
+): PlacementRequest {
   const { timeLeft, ...rest } = wire;
   return { ...rest, origin, deadline: now + timeLeft };
 }
 
 /** Prepares a decision for the wire. */
 export function toWireDecision(decision: Decision): WireGrant | WireRefusal {
-  const { ask, ...rest } = decision;
+  const { placementRequest: ask, ...rest } = decision;
   return { ...rest, request: ask.request };
 }
 
--- a/packages/coordination/src/suspicionController.ts
+++ b/packages/coordination/src/suspicionController.ts
@@ -14,7 +14,7 @@
   type Topic,
   type UpstreamId,
 } from "@wasabivane/common";
-import type { Suspicion } from "@wasabivane/decisions";
+import type { PoisonRecord } from "@wasabivane/decisions";
 import {
   isBoolean,
   listOf,
@@ -94,7 +94,7 @@
 /** Suspicions of one service, as its scheduler gives and takes them. */
 export interface ServiceSuspicions {
   readonly service: ServiceId;
-  readonly suspicions: readonly Suspicion[];
+  readonly suspicions: readonly PoisonRecord[];
 }
 
 /** What a {@link SuspicionController} needs from its process. */
@@ -257,7 +257,7 @@
 export function byService(
   shared: readonly SharedSuspicion[],
 ): ServiceSuspicions[] {
-  const groups = new Map<ServiceId, Suspicion[]>();
+  const groups = new Map<ServiceId, PoisonRecord[]>();
   for (const { service, subject, kind, remainingMs } of shared) {
     if (kind === "ejected") continue;
     const group = groups.get(service) ?? [];
--- a/packages/coordination/tests/pool.test.ts
+++ b/packages/coordination/tests/pool.test.ts
@@ -20,9 +20,9 @@
   type PoolMember,
 } from "@wasabivane/coordination";
 import {
-  type Ask,
   type Decision,
   LeastOutstandingScheduler,
+  type PlacementRequest,
   type PoolPolicy,
 } from "@wasabivane/decisions";
 
@@ -149,7 +149,7 @@
 function askOf(
   origin: HostId,
   { request, now }: { request: string; now: number },
-): Ask {
+): PlacementRequest {
   return {
     request: asId<RequestId>(request),
     origin,
--- a/packages/coordination/tests/suspicions.test.ts
+++ b/packages/coordination/tests/suspicions.test.ts
@@ -11,7 +11,7 @@
   type ServiceId,
   VirtualTimer,
 } from "@wasabivane/common";
-import type { Suspicion } from "@wasabivane/decisions";
+import type { PoisonRecord } from "@wasabivane/decisions";
 import {
   MemoryNetwork,
   type ServiceSuspicions,
@@ -27,7 +27,7 @@
 const POISON = asId<Digest>("poison");
 
 interface Host {
-  readonly learned: Suspicion[];
+  readonly learned: PoisonRecord[];
   readonly absorbed: ServiceSuspicions[];
   readonly metrics: MemoryMetrics;
 }
@@ -71,7 +71,7 @@
   return { timer, network, hosts };
 }
 
-function knows(host: Host, kind: Suspicion["kind"]): boolean {
+function knows(host: Host, kind: PoisonRecord["kind"]): boolean {
   return host.absorbed.some(({ suspicions }) =>
     suspicions.some((suspicion) =>
       suspicion.fingerprint === POISON && suspicion.kind === kind
--- a/packages/decisions/src/accountLimits.ts
+++ b/packages/decisions/src/accountLimits.ts
@@ -1,5 +1,5 @@
 import type { ClientAccountId, Milliseconds } from "@wasabivane/common";
-import type { AccountPolicy, Ask } from "./types.ts";
+import type { AccountPolicy, PlacementRequest } from "./types.ts";
 
 /** Whether an ask is within its account's limits. */
 export type LimitCheck =
@@ -47,7 +47,7 @@
   }
 
   /** Share of the published limits that may be given here, 0 to 1. */
-  setShare(share: number, now: Milliseconds): void {
+  setCapacityShare(share: number, now: Milliseconds): void {
     for (const usage of this.#accounts.values()) {
       usage.refill(this.#share, now);
     }
@@ -55,7 +55,7 @@
   }
 
   /** Checks one ask; nothing is charged. An account without limits is within. */
-  check({ account }: Ask, now: Milliseconds): LimitCheck {
+  check({ account }: PlacementRequest, now: Milliseconds): LimitCheck {
     const usage = this.#accounts.get(account);
     if (usage === undefined) return { kind: "within" };
     usage.refill(this.#share, now);
@@ -74,7 +74,7 @@
   }
 
   /** Charges an ask that now waits. */
-  admit({ account }: Ask, expectedTokens: number): void {
+  charge({ account }: PlacementRequest, expectedTokens: number): void {
     const usage = this.#accounts.get(account);
     if (usage === undefined) return;
     usage.requests -= 1;
@@ -83,7 +83,7 @@
   }
 
   /** Gives back what a request was charged that left the queue without running. */
-  leaveWaiting({ account }: Ask, chargedTokens: number): void {
+  refund({ account }: PlacementRequest, chargedTokens: number): void {
     const usage = this.#accounts.get(account);
     if (usage === undefined) return;
     usage.waiting -= 1;
@@ -91,7 +91,7 @@
   }
 
   /** Whether one more request of the account may run. */
-  mayStart(account: ClientAccountId): boolean {
+  hasFreeSlot(account: ClientAccountId): boolean {
     const usage = this.#accounts.get(account);
     if (usage === undefined) return true;
     const bound = usage.policy.concurrentRequests * this.#share;
@@ -99,7 +99,7 @@
   }
 
   /** A waiting request starts. */
-  start(account: ClientAccountId): void {
+  recordStart(account: ClientAccountId): void {
     const usage = this.#accounts.get(account);
     if (usage === undefined) return;
     usage.waiting -= 1;
@@ -107,13 +107,13 @@
   }
 
   /** A request that ran already, perhaps granted by another keeper. */
-  adopt(account: ClientAccountId): void {
+  recordAdoption(account: ClientAccountId): void {
     const usage = this.#accounts.get(account);
     if (usage !== undefined) usage.running += 1;
   }
 
   /** A running request ended; the charge is corrected to what it used. */
-  end(
+  recordEnd(
     account: ClientAccountId,
     { chargedTokens, usedTokens }: {
       chargedTokens: number;
--- a/packages/decisions/src/accountLane.ts
+++ b/packages/decisions/src/accountQueue.ts
@@ -3,26 +3,26 @@
   Heap,
   type Milliseconds,
 } from "@wasabivane/common";
-import type { Ask } from "./types.ts";
+import type { PlacementRequest } from "./types.ts";
 
 /** One request in the queue. */
-export interface Waiting {
-  readonly ask: Ask;
+export interface QueuedRequest {
+  readonly placementRequest: PlacementRequest;
   /** Prompt and expected output. */
   readonly expectedTokens: number;
   readonly expectedMs: Milliseconds;
   latestStart: Milliseconds;
   /** Place among the requests of its account and tier, the least first. */
-  readonly key: number;
-  readonly since: Milliseconds;
+  readonly orderKey: number;
+  readonly enqueuedAt: Milliseconds;
   /** It left the queue; heaps drop it when they meet it. */
-  isGone: boolean;
+  isRemoved: boolean;
   /** It waits for an upstream that holds its prefix, until then at most. */
-  heldUntil?: Milliseconds;
+  cacheWaitUntil?: Milliseconds;
   /** How often it was looked at and could not start. */
   timesBlocked: number;
   /** Kinds of upstream, as bits, that could not take it when it was last looked at. */
-  blockedKinds: number;
+  blockedGroupMask: number;
   /** When those kinds are worth another look. */
   blockedUntil: Milliseconds;
 }
@@ -33,23 +33,23 @@
 const BLOCKED_DELAY_MS = 2_000;
 
 /** The waiting requests of one account in one tier. */
-export class AccountLane {
+export class AccountQueue {
   readonly account: ClientAccountId;
   /** Served tokens, comparable only within the tier. */
-  served = 0;
+  servedTokens = 0;
   /** Whether the lane is in its tier's heap. */
-  isReady = false;
+  isInHeap = false;
   size = 0;
   tokens = 0;
-  #fresh = new Heap<Waiting>(isEarlier);
-  #blocked = new Heap<Waiting>(isEarlierAgain);
+  #fresh = new Heap<QueuedRequest>(isEarlier);
+  #blocked = new Heap<QueuedRequest>(isEarlierAgain);
   readonly #tokensByClass = new Float64Array(LENGTH_CLASSES);
 
   constructor(account: ClientAccountId) {
     this.account = account;
   }
 
-  add(waiting: Waiting): void {
+  add(waiting: QueuedRequest): void {
     this.size++;
     this.tokens += waiting.expectedTokens;
     this.#tokensByClass[classOf(waiting.expectedTokens)]! +=
@@ -58,7 +58,7 @@
   }
 
   /** Counts out a request that left; the heap drops it later. */
-  forget(waiting: Waiting): void {
+  remove(waiting: QueuedRequest): void {
     this.size--;
     this.tokens -= waiting.expectedTokens;
     this.#tokensByClass[classOf(waiting.expectedTokens)]! -=
@@ -68,29 +68,29 @@
   }
 
   /** The first request that was not looked at yet; it is blocked or forgotten next. */
-  popFresh(): Waiting | undefined {
+  popUntried(): QueuedRequest | undefined {
     return popPresent(this.#fresh);
   }
 
   /** The first request that was blocked before; it is blocked or forgotten next. */
-  popBlocked(): Waiting | undefined {
+  popBlocked(): QueuedRequest | undefined {
     return popPresent(this.#blocked);
   }
 
   /** Keeps a request that could not start behind those that were tried less often. */
-  block(waiting: Waiting): void {
+  pushBlocked(waiting: QueuedRequest): void {
     waiting.timesBlocked++;
     this.#blocked.push(waiting);
   }
 
   /** Keeps a request as if it had not been looked at. */
-  putBack(waiting: Waiting): void {
+  putBack(waiting: QueuedRequest): void {
     if (waiting.timesBlocked > 0) this.#blocked.push(waiting);
     else this.#fresh.push(waiting);
   }
 
   /** Waiting tokens of shorter requests, and half of those about as long. */
-  tokensShorterThan(expectedTokens: number): number {
+  tokensOfShorterRequests(expectedTokens: number): number {
     const own = classOf(expectedTokens);
     let tokens = this.#tokensByClass[own]! / 2;
     for (let index = 0; index < own; index++) {
@@ -100,7 +100,7 @@
   }
 
   /** The requests that wait here, in no order. */
-  waiting(): Waiting[] {
+  waiting(): QueuedRequest[] {
     const found = [...drain(this.#fresh), ...drain(this.#blocked)];
     found.forEach((waiting) => this.putBack(waiting));
     return found;
@@ -114,29 +114,29 @@
   }
 }
 
-function popPresent(heap: Heap<Waiting>): Waiting | undefined {
+function popPresent(heap: Heap<QueuedRequest>): QueuedRequest | undefined {
   let first = heap.pop();
-  while (first?.isGone) first = heap.pop();
+  while (first?.isRemoved) first = heap.pop();
   return first;
 }
 
-function drain(heap: Heap<Waiting>): Waiting[] {
-  const found: Waiting[] = [];
+function drain(heap: Heap<QueuedRequest>): QueuedRequest[] {
+  const found: QueuedRequest[] = [];
   for (let next = popPresent(heap); next; next = popPresent(heap)) {
     found.push(next);
   }
   return found;
 }
 
-function isEarlier(left: Waiting, right: Waiting): boolean {
-  return left.key < right.key;
+function isEarlier(left: QueuedRequest, right: QueuedRequest): boolean {
+  return left.orderKey < right.orderKey;
 }
 
-function isEarlierAgain(left: Waiting, right: Waiting): boolean {
+function isEarlierAgain(left: QueuedRequest, right: QueuedRequest): boolean {
   return blockedKey(left) < blockedKey(right);
 }
 
-function blockedKey({ key, timesBlocked }: Waiting): number {
+function blockedKey({ orderKey: key, timesBlocked }: QueuedRequest): number {
   return key + timesBlocked * BLOCKED_DELAY_MS;
 }
 
--- a/packages/decisions/src/upstreamBound.ts
+++ b/packages/decisions/src/adaptiveConcurrencyLimit.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from "@wasabivane/common";
 
 /** What a first token showed about the upstream. */
-export interface BoundSample {
+export interface FirstTokenSample {
   /** Time from the grant to the first token, or until now when it is overdue. */
   readonly elapsed: Milliseconds;
   /** Prompt tokens that had to be computed there, its own included. */
@@ -13,8 +13,8 @@
   readonly inFlightTokens: number;
 }
 
-/** Options of an {@link UpstreamBound}. */
-export interface UpstreamBoundOptions {
+/** Options of an {@link AdaptiveConcurrencyLimit}. */
+export interface AdaptiveConcurrencyLimitOptions {
   readonly initialRequests: number;
   readonly maximumRequests: number;
 }
@@ -54,7 +54,7 @@
  * steps stretch prefill by up to 1.5, so 2.5 is no false alarm. Shrinking by
  * 0.6 twice a second takes a bound of 64 to 5 in 2.5 s.
  */
-export class UpstreamBound {
+export class AdaptiveConcurrencyLimit {
   readonly #maximumRequests: number;
   readonly #initialRequests: number;
   #requests: number;
@@ -67,7 +67,9 @@
   #floorSince = 0;
   #isGrowthHeld = false;
 
-  constructor({ initialRequests, maximumRequests }: UpstreamBoundOptions) {
+  constructor(
+    { initialRequests, maximumRequests }: AdaptiveConcurrencyLimitOptions,
+  ) {
     this.#initialRequests = Math.min(initialRequests, maximumRequests);
     this.#maximumRequests = maximumRequests;
     this.#requests = this.#initialRequests;
@@ -85,12 +87,12 @@
   }
 
   /** A lagging report may hold growth back, never shrink or raise the bound. */
-  holdGrowth(isHeld: boolean): void {
+  setGrowthPaused(isHeld: boolean): void {
     this.#isGrowthHeld = isHeld;
   }
 
   /** Takes in a first token. */
-  observe(sample: BoundSample, now: Milliseconds): void {
+  observe(sample: FirstTokenSample, now: Milliseconds): void {
     this.#learnFloor(sample, now);
     const ratio = this.#ratio(sample);
     if (ratio > TOLERATED_RATIO) return this.#shrink(sample, ratio, now);
@@ -98,7 +100,7 @@
   }
 
   /** Takes in a first token that is still missing; it can only shrink the bound. */
-  observeOverdue(sample: BoundSample, now: Milliseconds): void {
+  observeOverdue(sample: FirstTokenSample, now: Milliseconds): void {
     const ratio = this.#ratio(sample);
     if (ratio > TOLERATED_RATIO) this.#shrink(sample, ratio, now);
   }
@@ -110,7 +112,7 @@
   }
 
   /** Starts small again after an ejection, with fast growth. */
-  restart(): void {
+  beginSlowStart(): void {
     this.#fastUntilRequests = Math.max(
       this.#initialRequests,
       this.#requests * FAST_GROWTH_SHARE,
@@ -123,7 +125,7 @@
     this.#tokens = TOKENS_PER_REQUEST;
   }
 
-  #ratio({ elapsed, backlogTokens }: BoundSample): number {
+  #ratio({ elapsed, backlogTokens }: FirstTokenSample): number {
     if (elapsed <= TOLERATED_WAIT_MS) return 0;
     return (elapsed - TOLERATED_WAIT_MS) /
       Math.max(1, this.#undisturbed(backlogTokens));
@@ -136,7 +138,7 @@
   }
 
   #learnFloor(
-    { elapsed, backlogTokens, uncachedTokens }: BoundSample,
+    { elapsed, backlogTokens, uncachedTokens }: FirstTokenSample,
     now: Milliseconds,
   ): void {
     if (uncachedTokens < MINIMUM_FLOOR_TOKENS) return;
@@ -151,7 +153,7 @@
     this.#floor = Math.min(this.#floor, elapsed / backlogTokens);
   }
 
-  #grow({ inFlightRequests, inFlightTokens }: BoundSample): void {
+  #grow({ inFlightRequests, inFlightTokens }: FirstTokenSample): void {
     if (inFlightRequests >= this.#requests * USED_SHARE) {
       const isFast = this.#requests < this.#fastUntilRequests;
       this.#requests = Math.min(
@@ -167,7 +169,7 @@
   }
 
   #shrink(
-    { inFlightRequests, inFlightTokens }: BoundSample,
+    { inFlightRequests, inFlightTokens }: FirstTokenSample,
     ratio: number,
     now: Milliseconds,
   ): void {
--- a/packages/decisions/src/admission.ts
+++ b/packages/decisions/src/admissionControl.ts
@@ -1,27 +1,27 @@
 import type { Milliseconds } from "@wasabivane/common";
 import type { AccountLimits } from "./accountLimits.ts";
-import { REFUSED_WITHOUT_UPSTREAM_RETRY_MS } from "./constants.ts";
+import { NO_UPSTREAM_RETRY_MS } from "./constants.ts";
 import type { DrainRate } from "./drainRate.ts";
-import type { LengthDistribution } from "./lengthEstimate.ts";
+import type { OutputLengthDistribution } from "./outputLengthEstimator.ts";
 import type { ServiceTime } from "./serviceTime.ts";
-import type { Suspects } from "./suspects.ts";
-import type { Ask, Decision, RefusalReason } from "./types.ts";
+import type { PoisonRequestDetector } from "./poisonRequestDetector.ts";
+import type { Decision, PlacementRequest, RefusalReason } from "./types.ts";
 import type { UpstreamPool } from "./upstreamPool.ts";
 import type { WaitQueue } from "./waitQueue.ts";
 
-/** What an {@link Admission} looks at. */
-export interface AdmissionOptions {
+/** What an {@link AdmissionControl} looks at. */
+export interface AdmissionControlOptions {
   readonly pool: UpstreamPool;
   readonly queue: WaitQueue;
   readonly limits: AccountLimits;
-  readonly suspects: Suspects;
-  readonly drain: DrainRate;
+  readonly poisonRequests: PoisonRequestDetector;
+  readonly drainRate: DrainRate;
   readonly serviceTime: ServiceTime;
 }
 
 /** What is known of a request that arrives. */
 export interface ArrivalDetails {
-  readonly lengths: LengthDistribution;
+  readonly lengths: OutputLengthDistribution;
   readonly expectedTokens: number;
   readonly latestStart: Milliseconds;
   readonly now: Milliseconds;
@@ -38,41 +38,44 @@
  * arrival, with the reason and when to come back. Without it, callers wait for
  * their whole deadline to be told no, and what they waited for is wasted.
  */
-export class Admission {
-  readonly #options: AdmissionOptions;
+export class AdmissionControl {
+  readonly #options: AdmissionControlOptions;
 
-  constructor(options: AdmissionOptions) {
+  constructor(options: AdmissionControlOptions) {
     this.#options = options;
   }
 
   /** The refusal of a request that no wait would help; undefined when there is none. */
-  refuseAtOnce(ask: Ask, now: Milliseconds): Decision | undefined {
-    const { pool, suspects, limits } = this.#options;
-    if (ask.deadline <= now) return refuse(ask, "deadline-passed", 0);
-    if (!pool.hasTargets) {
-      return refuse(ask, "no-upstream", REFUSED_WITHOUT_UPSTREAM_RETRY_MS);
+  refuseImmediately(
+    ask: PlacementRequest,
+    now: Milliseconds,
+  ): Decision | undefined {
+    const { pool, poisonRequests: suspects, limits } = this.#options;
+    if (ask.deadline <= now) return createRefusal(ask, "deadline-passed", 0);
+    if (!pool.hasActiveUpstreams) {
+      return createRefusal(ask, "no-upstream", NO_UPSTREAM_RETRY_MS);
     }
-    const verdict = suspects.verdict(ask.fingerprint, now);
+    const verdict = suspects.statusOf(ask.fingerprint, now);
     if (verdict.kind === "convicted") {
-      return refuse(ask, "convicted", verdict.retryAfter);
+      return createRefusal(ask, "convicted", verdict.retryAfter);
     }
     const limit = limits.check(ask, now);
     if (limit.kind === "within") return undefined;
-    return refuse(ask, "account-limit", limit.retryAfter);
+    return createRefusal(ask, "account-limit", limit.retryAfter);
   }
 
   /** The refusal of a request that would wait past its latest start. */
-  refuseLate(
-    ask: Ask,
+  refuseUnreachable(
+    ask: PlacementRequest,
     { lengths, expectedTokens, latestStart, now }: ArrivalDetails,
   ): Decision | undefined {
-    const { queue, drain, serviceTime } = this.#options;
+    const { queue, drainRate: drain, serviceTime } = this.#options;
     const ahead = queue.tokensAhead(ask, expectedTokens);
-    const wait = (drain.timeFor(ahead) ?? 0) * WAIT_CONFIDENCE;
+    const wait = (drain.timeToDrain(ahead) ?? 0) * WAIT_CONFIDENCE;
     if (now + wait <= latestStart) return undefined;
     return {
       kind: "refuse",
-      ask,
+      placementRequest: ask,
       reason: "deadline-unreachable",
       retryAfter: boundedRetry(now + wait - latestStart),
       estimate: wait + serviceTime.expected(ask, lengths.mean()),
@@ -80,19 +83,19 @@
   }
 
   /** When a caller should come back whose request left the queue. */
-  retryAfterQueue(): Milliseconds {
-    const { queue, drain } = this.#options;
-    return boundedRetry(drain.timeFor(queue.tokens) ?? MINIMUM_RETRY_MS);
+  queueRetryAfter(): Milliseconds {
+    const { queue, drainRate: drain } = this.#options;
+    return boundedRetry(drain.timeToDrain(queue.tokens) ?? MINIMUM_RETRY_MS);
   }
 }
 
 /** A refusal without an estimate. */
-export function refuse(
-  ask: Ask,
+export function createRefusal(
+  ask: PlacementRequest,
   reason: RefusalReason,
   retryAfter: Milliseconds,
 ): Decision {
-  return { kind: "refuse", ask, reason, retryAfter };
+  return { kind: "refuse", placementRequest: ask, reason, retryAfter };
 }
 
 function boundedRetry(wait: Milliseconds): Milliseconds {
--- a/packages/decisions/src/drainRate.ts
+++ b/packages/decisions/src/drainRate.ts
@@ -16,12 +16,12 @@
   #since: Milliseconds = 0;
 
   /** Tokens that were granted. */
-  granted(tokens: number): void {
+  recordGrant(tokens: number): void {
     this.#tokens += tokens;
   }
 
   /** Closes a period; call it with each tick. */
-  close(isQueueWaiting: boolean, now: Milliseconds): void {
+  closePeriod(isQueueWaiting: boolean, now: Milliseconds): void {
     const elapsed = now - this.#since;
     if (elapsed <= 0) return;
     if (isQueueWaiting) {
@@ -37,7 +37,7 @@
   }
 
   /** Time until so many tokens have been served; `undefined` while unknown. */
-  timeFor(tokens: number): Milliseconds | undefined {
+  timeToDrain(tokens: number): Milliseconds | undefined {
     if (this.#busyMs < RELIABLE_AFTER_MS || this.#rate <= 0) return undefined;
     return tokens / this.#rate;
   }
--- a/packages/decisions/src/freeUpstreams.ts
+++ b/packages/decisions/src/freeUpstreams.ts
@@ -25,7 +25,7 @@
   }
 
   /** The kinds that have a free upstream, one bit each. */
-  get kinds(): number {
+  get groupMask(): number {
     return this.#kinds;
   }
 
--- a/packages/decisions/src/leastOutstandingScheduler.ts
+++ b/packages/decisions/src/leastOutstandingScheduler.ts
@@ -6,9 +6,9 @@
   UpstreamId,
 } from "@wasabivane/common";
 import {
-  FIXED_QUEUE_PER_UPSTREAM,
-  FIXED_QUEUE_RETRY_MS,
-  REFUSED_WITHOUT_UPSTREAM_RETRY_MS,
+  NO_UPSTREAM_RETRY_MS,
+  QUEUE_FULL_RETRY_MS,
+  QUEUE_LIMIT_PER_UPSTREAM,
 } from "./constants.ts";
 import { RunningAttempts } from "./runningAttempts.ts";
 import {
@@ -17,19 +17,19 @@
   type SchedulerStatus,
 } from "./scheduler.ts";
 import type {
-  Ask,
   AttemptReport,
   CacheEvent,
   Decision,
   LoadReport,
+  PlacementRequest,
   PoolPolicy,
 } from "./types.ts";
 
 /** Options of a {@link LeastOutstandingScheduler}. */
-export interface LeastOutstandingOptions {
+export interface LeastOutstandingSchedulerOptions {
   readonly random: Random;
   /** Waiting requests for each upstream; more are refused. */
-  readonly queuePerUpstream?: number;
+  readonly queueLimitPerUpstream?: number;
 }
 
 /**
@@ -41,14 +41,16 @@
   readonly #running = new RunningAttempts();
   readonly #random: Random;
   readonly #queuePerUpstream: number;
-  #waiting: Ask[] = [];
+  #waiting: PlacementRequest[] = [];
   #policy: PoolPolicy;
   #targets: UpstreamId[] = [];
 
   constructor(
     policy: PoolPolicy,
-    { random, queuePerUpstream = FIXED_QUEUE_PER_UPSTREAM }:
-      LeastOutstandingOptions,
+    {
+      random,
+      queueLimitPerUpstream: queuePerUpstream = QUEUE_LIMIT_PER_UPSTREAM,
+    }: LeastOutstandingSchedulerOptions,
   ) {
     super();
     this.#policy = policy;
@@ -63,14 +65,14 @@
     return this.#grantWaiting(now);
   }
 
-  override ask(ask: Ask, now: Milliseconds): Decision[] {
+  override submit(ask: PlacementRequest, now: Milliseconds): Decision[] {
     if (this.#targets.length === 0) {
       return [
-        refusal(ask, "no-upstream", REFUSED_WITHOUT_UPSTREAM_RETRY_MS),
+        refusal(ask, "no-upstream", NO_UPSTREAM_RETRY_MS),
       ];
     }
     if (this.#waiting.length >= this.#queuePerUpstream * this.#targets.length) {
-      return [refusal(ask, "shed", FIXED_QUEUE_RETRY_MS)];
+      return [refusal(ask, "shed", QUEUE_FULL_RETRY_MS)];
     }
     this.#waiting.push(ask);
     return this.#grantWaiting(now);
@@ -83,7 +85,7 @@
     return true;
   }
 
-  override firstToken(_request: RequestId, _now: Milliseconds): void {}
+  override recordFirstToken(_request: RequestId, _now: Milliseconds): void {}
 
   override finish(report: AttemptReport, now: Milliseconds): Decision[] {
     this.#running.remove(report.request);
@@ -96,19 +98,22 @@
 
   override dropOrigin(origin: HostId, now: Milliseconds): Decision[] {
     this.#waiting = this.#waiting.filter((ask) => ask.origin !== origin);
-    for (const { ask } of this.#running.ofOrigin(origin)) {
+    for (const { placementRequest: ask } of this.#running.ofOrigin(origin)) {
       this.#running.remove(ask.request);
     }
     return this.#grantWaiting(now);
   }
 
-  override reportLoad(_report: LoadReport, _now: Milliseconds): Decision[] {
+  override applyLoadReport(
+    _report: LoadReport,
+    _now: Milliseconds,
+  ): Decision[] {
     return [];
   }
 
-  override reportCache(_event: CacheEvent, _now: Milliseconds): void {}
+  override applyCacheEvent(_event: CacheEvent, _now: Milliseconds): void {}
 
-  override setShare(_share: number, _now: Milliseconds): Decision[] {
+  override setCapacityShare(_share: number, _now: Milliseconds): Decision[] {
     return [];
   }
 
@@ -140,7 +145,12 @@
       if (upstream === undefined) break;
       const ask = this.#waiting.shift()!;
       this.#running.grant(ask, upstream, now);
-      decisions.push({ kind: "grant", ask, upstream, expectedCachedTokens: 0 });
+      decisions.push({
+        kind: "grant",
+        placementRequest: ask,
+        upstream,
+        expectedCachedTokens: 0,
+      });
     }
     return decisions;
   }
@@ -165,9 +175,9 @@
 }
 
 function refusal(
-  ask: Ask,
+  ask: PlacementRequest,
   reason: "no-upstream" | "shed",
   retryAfter: Milliseconds,
 ): Decision {
-  return { kind: "refuse", ask, reason, retryAfter };
+  return { kind: "refuse", placementRequest: ask, reason, retryAfter };
 }
--- a/packages/decisions/src/ejection.ts
+++ b/packages/decisions/src/outlierDetector.ts
@@ -1,9 +1,9 @@
 import type { Milliseconds, UpstreamId } from "@wasabivane/common";
 import type { AttemptOutcome } from "./types.ts";
 
-/** Options of an {@link Ejection}. */
-export interface EjectionOptions {
-  readonly upstreams: number;
+/** Options of an {@link OutlierDetector}. */
+export interface OutlierDetectorOptions {
+  readonly upstreamCount: number;
   readonly maximumEjectedShare: number;
 }
 
@@ -32,19 +32,23 @@
  * the given share of the upstreams is ejected, since a fault that shows at most
  * of them is more likely the requests', and what is left could not carry the load.
  */
-export class Ejection {
+export class OutlierDetector {
   readonly #health = new Map<UpstreamId, Health>();
   readonly #ejected = new Set<UpstreamId>();
   #upstreams: number;
   #maximumEjectedShare: number;
 
-  constructor({ upstreams, maximumEjectedShare }: EjectionOptions) {
+  constructor(
+    { upstreamCount: upstreams, maximumEjectedShare }: OutlierDetectorOptions,
+  ) {
     this.#upstreams = upstreams;
     this.#maximumEjectedShare = maximumEjectedShare;
   }
 
   /** Replaces the size of the pool and the cap. */
-  configure({ upstreams, maximumEjectedShare }: EjectionOptions): void {
+  configure(
+    { upstreamCount: upstreams, maximumEjectedShare }: OutlierDetectorOptions,
+  ): void {
     this.#upstreams = upstreams;
     this.#maximumEjectedShare = maximumEjectedShare;
   }
@@ -75,7 +79,7 @@
   }
 
   /** The upstreams whose time is over; they may be tried again, starting slowly. */
-  takeReturning(now: Milliseconds): UpstreamId[] {
+  takeExpired(now: Milliseconds): UpstreamId[] {
     const returning = [...this.#ejected].filter((upstream) =>
       this.#health.get(upstream)!.ejectedUntil <= now
     );
@@ -84,7 +88,7 @@
   }
 
   /** When the next ejected upstream may be tried, `undefined` when none is ejected. */
-  nextReturn(): Milliseconds | undefined {
+  nextExpiry(): Milliseconds | undefined {
     if (this.#ejected.size === 0) return undefined;
     return Math.min(
       ...[...this.#ejected].map((upstream) =>
@@ -94,7 +98,7 @@
   }
 
   /** Forgets an upstream that is gone. */
-  forget(upstream: UpstreamId): void {
+  remove(upstream: UpstreamId): void {
     this.#health.delete(upstream);
     this.#ejected.delete(upstream);
   }
--- a/packages/decisions/src/lengthEstimate.ts
+++ b/packages/decisions/src/outputLengthEstimator.ts
@@ -14,19 +14,19 @@
 const MAXIMUM_HISTOGRAMS = 4_096;
 
 /** What a length is asked for. */
-export interface LengthQuery {
+export interface OutputLengthQuery {
   readonly account: ClientAccountId;
   readonly tier: Tier;
   readonly maximumOutputTokens: number;
 }
 
 /** One finished answer, or one that was cut off. */
-export interface LengthObservation {
+export interface OutputLengthObservation {
   readonly account: ClientAccountId;
   readonly tier: Tier;
   readonly outputTokens: number;
   /** False when the answer was cut off, so that its length is a lower bound. */
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
 }
 
 /**
@@ -40,12 +40,15 @@
  * Grounds: quarter doublings keep a quantile within 19 %; halving at 512 answers
  * follows a change of habit within a few hundred answers.
  */
-export class LengthEstimate {
+export class OutputLengthEstimator {
   readonly #accounts = new Map<string, Histogram>();
   readonly #tiers = new Map<Tier, Histogram>();
 
   /** Takes in how long one answer was. */
-  observe({ account, tier, outputTokens, isWhole }: LengthObservation): void {
+  observe(
+    { account, tier, outputTokens, isComplete: isWhole }:
+      OutputLengthObservation,
+  ): void {
     if (outputTokens <= 0) return;
     // A cut answer would have been longer; dropping it would bias all
     // estimates towards the short answers that were in time.
@@ -55,8 +58,8 @@
   }
 
   /** What is known of the length of one request's answer. */
-  distribution(query: LengthQuery): LengthDistribution {
-    return new LengthDistribution({
+  distribution(query: OutputLengthQuery): OutputLengthDistribution {
+    return new OutputLengthDistribution({
       maximumOutputTokens: query.maximumOutputTokens,
       account: this.#accounts.get(keyOf(query.account, query.tier)),
       tier: this.#tiers.get(query.tier),
@@ -83,7 +86,7 @@
 }
 
 /** The output length of one request, up to the caller's own bound. */
-export class LengthDistribution {
+export class OutputLengthDistribution {
   readonly #limit: number;
   readonly #limitBucket: number;
   readonly #account: Histogram | undefined;
--- a/packages/decisions/src/paceLadder.ts
+++ b/packages/decisions/src/paceAllocator.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds, Tier } from "@wasabivane/common";
-import type { TokenTimes } from "./speedEstimate.ts";
+import type { TokenTimes } from "./speedEstimator.ts";
 
 /** One request as it arrives. */
 export interface PaceSample {
@@ -15,13 +15,13 @@
 export interface PacedUpstream {
   readonly times: TokenTimes;
   /** Requests that may be in flight so that answers keep the pace. */
-  paceBound: number;
+  paceLimit: number;
   /** The tier whose pace it keeps; undefined when it keeps none. */
   paceTier: Tier | undefined;
 }
 
 /** Share of the time of an output token that grows with the requests in flight. */
-export const LOAD_SHARE = 0.7;
+export const LOAD_DEPENDENT_SHARE = 0.7;
 /** Time to first token that is set aside in each deadline. */
 const FIRST_TOKEN_MS = 2_000;
 /** An upstream that needs most of the pace when idle is left to less urgent tiers. */
@@ -66,12 +66,12 @@
  * grows nearly in proportion to the batch; where weights do, hardly. Seven
  * tenths lies between, and the bound is corrected from new answers twice a second.
  */
-export class PaceLadder {
+export class PaceAllocator {
   readonly #tiers = new Map<Tier, TierDemand>();
   #since: Milliseconds = 0;
 
   /** Takes in a request that arrives. */
-  asked(sample: PaceSample, now: Milliseconds): void {
+  recordArrival(sample: PaceSample, now: Milliseconds): void {
     const known = this.#tiers.get(sample.tier);
     if (known === undefined) {
       this.#tiers.set(sample.tier, {
@@ -96,7 +96,7 @@
   }
 
   /** Gives each upstream its bound; the fastest come first. */
-  assign(upstreams: readonly PacedUpstream[], now: Milliseconds): void {
+  assignLimits(upstreams: readonly PacedUpstream[], now: Milliseconds): void {
     const demands = this.#closePeriod(now);
     let rung = 0;
     let places = placesFor(demands[0]);
@@ -112,8 +112,8 @@
         ? Infinity
         : boundFor(upstream.times, paceOf(demand));
       upstream.paceTier = demand?.tier;
-      upstream.paceBound = approach(upstream.paceBound, bound);
-      if (demand === demands[rung]) places -= upstream.paceBound;
+      upstream.paceLimit = approach(upstream.paceLimit, bound);
+      if (demand === demands[rung]) places -= upstream.paceLimit;
     }
   }
 
@@ -136,7 +136,8 @@
   inFlight: number,
 ): Milliseconds {
   const load = inFlight / Math.max(1, typicalInFlight);
-  return decodeMsPerToken * (1 - LOAD_SHARE + LOAD_SHARE * load);
+  return decodeMsPerToken *
+    (1 - LOAD_DEPENDENT_SHARE + LOAD_DEPENDENT_SHARE * load);
 }
 
 /** Requests in flight at which an upstream just keeps a pace; 0 when it hardly can. */
@@ -144,7 +145,7 @@
   if (decodeTimeAt(times, 1) > pace * IDLE_SHARE) return 0;
   const speedup = pace / times.decodeMsPerToken;
   // Only part of the time grows with the load, so there is more room above it.
-  const load = speedup > 1 ? 1 + (speedup - 1) / LOAD_SHARE : speedup;
+  const load = speedup > 1 ? 1 + (speedup - 1) / LOAD_DEPENDENT_SHARE : speedup;
   const bound = Math.min(MAXIMUM_STEP, load) * times.typicalInFlight;
   return Math.max(MINIMUM_BOUND, Math.round(bound));
 }
--- a/packages/decisions/src/suspects.ts
+++ b/packages/decisions/src/poisonRequestDetector.ts
@@ -1,7 +1,7 @@
 import type { Digest, Milliseconds, UpstreamId } from "@wasabivane/common";
 
 /** What is held against one request content. */
-export interface Suspicion {
+export interface PoisonRecord {
   readonly fingerprint: Digest;
   readonly kind: "suspect" | "convicted" | "cleared";
   /** How long it holds on from now; clocks of keepers differ, spans do not. */
@@ -9,17 +9,17 @@
 }
 
 /** Whether a request may run, and how. */
-export type Verdict =
+export type PoisonStatus =
   | { readonly kind: "clean" }
   /** Not together with another suspect. */
   | { readonly kind: "suspect" }
   | { readonly kind: "convicted"; readonly retryAfter: Milliseconds };
 
-/** Options of {@link Suspects}. */
-export interface SuspectsOptions {
-  readonly maximumSuspicions?: number;
+/** Options of {@link PoisonRequestDetector}. */
+export interface PoisonRequestDetectorOptions {
+  readonly maximumRecords?: number;
   /** Whether losses of several upstreams at once count as an outage. */
-  readonly shouldTestNeighbours?: boolean;
+  readonly shouldDetectOutages?: boolean;
 }
 
 const DEFAULT_MAXIMUM_SUSPICIONS = 4_096;
@@ -33,7 +33,7 @@
 const OUTAGE_WINDOW_MS = 1_000;
 
 interface Record {
-  kind: Suspicion["kind"];
+  kind: PoisonRecord["kind"];
   expiresAt: Milliseconds;
   /** Losses that this content was present at. */
   losses: Loss[];
@@ -62,7 +62,7 @@
  *
  * Grounds: memory is bounded by count and by time; the oldest entry goes first.
  */
-export class Suspects {
+export class PoisonRequestDetector {
   readonly #maximumSuspicions: number;
   readonly #shouldTestNeighbours: boolean;
   readonly #records = new Map<Digest, Record>();
@@ -71,16 +71,16 @@
 
   constructor(
     {
-      maximumSuspicions = DEFAULT_MAXIMUM_SUSPICIONS,
-      shouldTestNeighbours = true,
-    }: SuspectsOptions = {},
+      maximumRecords: maximumSuspicions = DEFAULT_MAXIMUM_SUSPICIONS,
+      shouldDetectOutages: shouldTestNeighbours = true,
+    }: PoisonRequestDetectorOptions = {},
   ) {
     this.#maximumSuspicions = maximumSuspicions;
     this.#shouldTestNeighbours = shouldTestNeighbours;
   }
 
   /** How a request with this content may run. */
-  verdict(fingerprint: Digest, now: Milliseconds): Verdict {
+  statusOf(fingerprint: Digest, now: Milliseconds): PoisonStatus {
     const record = this.#record(fingerprint, now);
     if (record === undefined || record.kind === "cleared") {
       return { kind: "clean" };
@@ -90,7 +90,7 @@
   }
 
   /** An upstream was lost with these requests in flight. */
-  upstreamLost(
+  recordUpstreamLoss(
     upstream: UpstreamId,
     fingerprints: readonly Digest[],
     now: Milliseconds,
@@ -112,7 +112,7 @@
    * does so at about the same point; one that got further than at its first loss
    * met two unlucky upstreams and is not convicted for them.
    */
-  lostAfter(
+  recordLossProgress(
     fingerprint: Digest,
     outputTokens: number,
     now: Milliseconds,
@@ -127,27 +127,27 @@
   }
 
   /** A request with this content was answered whole. */
-  answeredWhole(fingerprint: Digest, now: Milliseconds): void {
+  recordCompletion(fingerprint: Digest, now: Milliseconds): void {
     if (this.#record(fingerprint, now) === undefined) return;
     this.#set(fingerprint, "cleared", now + SUSPECT_MS);
   }
 
   /** Everything held now, as plain data for another keeper. */
-  exportSuspicions(now: Milliseconds): Suspicion[] {
+  exportRecords(now: Milliseconds): PoisonRecord[] {
     return [...this.#records.keys()].flatMap((fingerprint) =>
       this.#suspicion(fingerprint, now)
     );
   }
 
   /** What changed since the last call, for the peers. */
-  drainSuspicions(now: Milliseconds): Suspicion[] {
+  drainChangedRecords(now: Milliseconds): PoisonRecord[] {
     const changed = [...this.#changed];
     this.#changed.clear();
     return changed.flatMap((fingerprint) => this.#suspicion(fingerprint, now));
   }
 
   /** Takes in what other keepers hold; the graver of two views stands. */
-  importSuspicions(suspicions: readonly Suspicion[], now: Milliseconds): void {
+  importRecords(suspicions: readonly PoisonRecord[], now: Milliseconds): void {
     for (const { fingerprint, kind, remainingMs } of suspicions) {
       const record = this.#record(fingerprint, now);
       if (record?.kind === "convicted") continue;
@@ -214,7 +214,7 @@
 
   #set(
     fingerprint: Digest,
-    kind: Suspicion["kind"],
+    kind: PoisonRecord["kind"],
     expiresAt: Milliseconds,
   ): void {
     const former = this.#records.get(fingerprint) ?? { losses: [] };
@@ -230,7 +230,7 @@
     return undefined;
   }
 
-  #suspicion(fingerprint: Digest, now: Milliseconds): Suspicion[] {
+  #suspicion(fingerprint: Digest, now: Milliseconds): PoisonRecord[] {
     const record = this.#record(fingerprint, now);
     if (record === undefined) return [];
     const remainingMs = record.expiresAt - now;
--- a/packages/decisions/src/poolScheduler.ts
+++ b/packages/decisions/src/poolScheduler.ts
@@ -4,34 +4,40 @@
   Random,
   RequestId,
 } from "@wasabivane/common";
-import { Admission, refuse } from "./admission.ts";
+import { AdmissionControl, createRefusal } from "./admissionControl.ts";
 import { AccountLimits } from "./accountLimits.ts";
-import type { Waiting } from "./accountLane.ts";
-import { REFUSED_WITHOUT_UPSTREAM_RETRY_MS } from "./constants.ts";
+import type { QueuedRequest } from "./accountQueue.ts";
+import { NO_UPSTREAM_RETRY_MS } from "./constants.ts";
 import { DrainRate } from "./drainRate.ts";
-import { type LengthDistribution, LengthEstimate } from "./lengthEstimate.ts";
-import { NextStart } from "./nextStart.ts";
-import type { Place } from "./placement.ts";
-import { PaceLadder } from "./paceLadder.ts";
+import {
+  type OutputLengthDistribution,
+  OutputLengthEstimator,
+} from "./outputLengthEstimator.ts";
+import { QueueDispatcher } from "./queueDispatcher.ts";
+import type { SelectedUpstream } from "./upstreamSelection.ts";
+import { PaceAllocator } from "./paceAllocator.ts";
 import {
   type InFlightAttempt,
   Scheduler,
   type SchedulerStatus,
 } from "./scheduler.ts";
 import { ServiceTime } from "./serviceTime.ts";
-import type { TokenTimes } from "./speedEstimate.ts";
-import { SuspectRuns } from "./suspectRuns.ts";
-import { Suspects, type Suspicion } from "./suspects.ts";
+import type { TokenTimes } from "./speedEstimator.ts";
+import { PoisonAttemptTracker } from "./poisonAttemptTracker.ts";
+import {
+  type PoisonRecord,
+  PoisonRequestDetector,
+} from "./poisonRequestDetector.ts";
 import type {
-  Ask,
   AttemptReport,
   CacheEvent,
   Decision,
   LoadReport,
+  PlacementRequest,
   PoolPolicy,
 } from "./types.ts";
 import { UpstreamPool } from "./upstreamPool.ts";
-import { targetsOf } from "./tierTargets.ts";
+import { tierTargetsOf } from "./tierTargets.ts";
 import type { PoolAttempt } from "./upstreamState.ts";
 import { WaitQueue } from "./waitQueue.ts";
 
@@ -46,25 +52,25 @@
 
 /**
  * The scheduler of a pool: it composes the modules of this package and decides
- * nothing that one of them could. {@link Admission} refuses on arrival,
- * {@link WaitQueue} keeps the order, {@link NextStart} finds who starts where, and
+ * nothing that one of them could. {@link AdmissionControl} refuses on arrival,
+ * {@link WaitQueue} keeps the order, {@link QueueDispatcher} finds who starts where, and
  * {@link UpstreamPool} learns how much each upstream may run.
  */
 export class PoolScheduler extends Scheduler {
   readonly #pool: UpstreamPool;
   readonly #queue: WaitQueue;
   readonly #limits: AccountLimits;
-  readonly #lengths = new LengthEstimate();
-  readonly #suspects = new Suspects();
-  readonly #suspectRuns = new SuspectRuns(this.#suspects);
+  readonly #lengths = new OutputLengthEstimator();
+  readonly #suspects = new PoisonRequestDetector();
+  readonly #suspectRuns = new PoisonAttemptTracker(this.#suspects);
   readonly #drain = new DrainRate();
-  readonly #ladder = new PaceLadder();
+  readonly #ladder = new PaceAllocator();
   #pacedAt: Milliseconds = -Infinity;
   readonly #attempts = new Map<RequestId, PoolAttempt>();
-  readonly #distributions = new Map<RequestId, LengthDistribution>();
+  readonly #distributions = new Map<RequestId, OutputLengthDistribution>();
   readonly #serviceTime: ServiceTime;
-  readonly #admission: Admission;
-  readonly #nextStart: NextStart;
+  readonly #admission: AdmissionControl;
+  readonly #nextStart: QueueDispatcher;
   #policy: PoolPolicy;
 
   constructor(policy: PoolPolicy, options: PoolSchedulerOptions) {
@@ -77,20 +83,20 @@
       maximumBytes: policy.maximumWaitingBytes,
     });
     this.#serviceTime = new ServiceTime(this.#pool);
-    this.#nextStart = new NextStart({
+    this.#nextStart = new QueueDispatcher({
       pool: this.#pool,
       queue: this.#queue,
       limits: this.#limits,
-      suspects: this.#suspects,
-      distributions: this.#distributions,
+      poisonRequests: this.#suspects,
+      outputLengths: this.#distributions,
       policy: () => this.#policy,
     });
-    this.#admission = new Admission({
+    this.#admission = new AdmissionControl({
       pool: this.#pool,
       queue: this.#queue,
       limits: this.#limits,
-      suspects: this.#suspects,
-      drain: this.#drain,
+      poisonRequests: this.#suspects,
+      drainRate: this.#drain,
       serviceTime: this.#serviceTime,
     });
   }
@@ -99,24 +105,29 @@
     this.#policy = policy;
     this.#pool.configure(policy);
     this.#limits.setPolicies(policy.accounts, now);
-    this.#queue.setBounds(
+    this.#queue.setLimits(
       policy.maximumWaitingTokens,
       policy.maximumWaitingBytes,
     );
-    const refused = this.#pool.hasTargets ? [] : this.#refuseAllWaiting();
+    const refused = this.#pool.hasActiveUpstreams
+      ? []
+      : this.#refuseAllWaiting();
     return [...refused, ...this.#grantWaiting(now)];
   }
 
-  override ask(ask: Ask, now: Milliseconds): Decision[] {
+  override submit(ask: PlacementRequest, now: Milliseconds): Decision[] {
     // An ask that was delivered twice must not be granted twice.
     if (this.#isKnown(ask.request)) return [];
-    const refusal = this.#admission.refuseAtOnce(ask, now);
+    const refusal = this.#admission.refuseImmediately(ask, now);
     if (refusal !== undefined) return [refusal];
     const lengths = this.#lengths.distribution(ask);
     const expectedTokens = ask.promptTokens + lengths.mean();
     this.#distributions.set(ask.request, lengths);
-    const { longQuantile } = targetsOf(ask.tier, this.#policy.tiers);
-    this.#ladder.asked({
+    const { paceQuantile: longQuantile } = tierTargetsOf(
+      ask.tier,
+      this.#policy.tiers,
+    );
+    this.#ladder.recordArrival({
       tier: ask.tier,
       remaining: ask.deadline - now,
       meanOutputTokens: lengths.mean(),
@@ -124,12 +135,12 @@
     }, now);
     const latestStart = this.#latestStart(ask);
     const details = { lengths, expectedTokens, latestStart, now };
-    const late = this.#admission.refuseLate(ask, details);
+    const late = this.#admission.refuseUnreachable(ask, details);
     if (late !== undefined) {
       this.#distributions.delete(ask.request);
       return [late];
     }
-    this.#limits.admit(ask, expectedTokens);
+    this.#limits.charge(ask, expectedTokens);
     const shed = this.#queue.push(ask, {
       now,
       expectedTokens,
@@ -148,23 +159,24 @@
     return true;
   }
 
-  override firstToken(request: RequestId, now: Milliseconds): void {
+  override recordFirstToken(request: RequestId, now: Milliseconds): void {
     const attempt = this.#attempts.get(request);
-    if (attempt !== undefined) this.#pool.firstToken(attempt, now);
+    if (attempt !== undefined) this.#pool.recordFirstToken(attempt, now);
   }
 
   override finish(report: AttemptReport, now: Milliseconds): Decision[] {
     const attempt = this.#attempts.get(report.request);
     if (attempt === undefined) return [];
     this.#attempts.delete(report.request);
-    this.#suspectRuns.ended(attempt, report, now);
-    this.#pool.ended(attempt, report, now);
+    this.#suspectRuns.recordEnd(attempt, report, now);
+    this.#pool.recordEnd(attempt, report, now);
     this.#settle(attempt, report);
     return this.#grantWaiting(now);
   }
 
   override adopt(
-    { ask, upstream, grantedAt, hasFirstToken }: InFlightAttempt,
+    { placementRequest: ask, upstream, grantedAt, hasFirstToken }:
+      InFlightAttempt,
     now: Milliseconds,
   ): void {
     const state = this.#pool.states.get(upstream);
@@ -174,11 +186,11 @@
       uncachedTokens: ask.promptTokens,
       expectedTokens: ask.promptTokens + this.#lengths.distribution(ask).mean(),
     });
-    if (hasFirstToken) state.prefilled(attempt, now);
-    this.#suspectRuns.started(attempt, now);
+    if (hasFirstToken) state.recordPrefill(attempt, now);
+    this.#suspectRuns.recordStart(attempt, now);
     this.#attempts.set(ask.request, attempt);
-    this.#limits.adopt(ask.account);
-    this.#pool.refresh(state);
+    this.#limits.recordAdoption(ask.account);
+    this.#pool.refreshAvailability(state);
   }
 
   override dropOrigin(origin: HostId, now: Milliseconds): Decision[] {
@@ -186,11 +198,11 @@
       this.#leaveQueue(waiting);
     }
     for (const attempt of [...this.#attempts.values()]) {
-      if (attempt.ask.origin !== origin) continue;
-      this.#attempts.delete(attempt.ask.request);
+      if (attempt.placementRequest.origin !== origin) continue;
+      this.#attempts.delete(attempt.placementRequest.request);
       attempt.state.remove(attempt);
-      this.#pool.refresh(attempt.state);
-      this.#limits.end(attempt.ask.account, {
+      this.#pool.refreshAvailability(attempt.state);
+      this.#limits.recordEnd(attempt.placementRequest.account, {
         chargedTokens: attempt.expectedTokens,
         usedTokens: attempt.expectedTokens,
       });
@@ -198,18 +210,18 @@
     return this.#grantWaiting(now);
   }
 
-  override reportLoad(report: LoadReport, _now: Milliseconds): Decision[] {
-    this.#pool.reportLoad(report);
+  override applyLoadReport(report: LoadReport, _now: Milliseconds): Decision[] {
+    this.#pool.applyLoadReport(report);
     return [];
   }
 
-  override reportCache(event: CacheEvent, now: Milliseconds): void {
-    this.#pool.cache.apply(event, now);
+  override applyCacheEvent(event: CacheEvent, now: Milliseconds): void {
+    this.#pool.cache.applyEvent(event, now);
   }
 
-  override setShare(share: number, now: Milliseconds): Decision[] {
-    this.#pool.setShare(share);
-    this.#limits.setShare(share, now);
+  override setCapacityShare(share: number, now: Milliseconds): Decision[] {
+    this.#pool.setCapacityShare(share);
+    this.#limits.setCapacityShare(share, now);
     return this.#grantWaiting(now);
   }
 
@@ -217,30 +229,32 @@
     this.#pool.tick(now);
     if (now - this.#pacedAt >= PACE_PERIOD_MS) {
       this.#pacedAt = now;
-      this.#pool.assignPaces(this.#ladder, now);
-      this.#queue.reviseLatestStarts(({ ask }) => this.#latestStart(ask));
+      this.#pool.assignPaceLimits(this.#ladder, now);
+      this.#queue.updateLatestStarts(({ placementRequest: ask }) =>
+        this.#latestStart(ask)
+      );
     }
-    const decisions = this.#queue.removeLate(now).map((waiting) =>
+    const decisions = this.#queue.removeExpired(now).map((waiting) =>
       this.#giveUp(waiting, "deadline-unreachable", now)
     );
     decisions.push(...this.#grantWaiting(now));
-    this.#drain.close(this.#queue.size > 0, now);
+    this.#drain.closePeriod(this.#queue.size > 0, now);
     return decisions;
   }
 
-  override importSuspicions(
-    suspicions: readonly Suspicion[],
+  override importPoisonRecords(
+    suspicions: readonly PoisonRecord[],
     now: Milliseconds,
   ): void {
-    this.#suspects.importSuspicions(suspicions, now);
+    this.#suspects.importRecords(suspicions, now);
   }
 
-  override exportSuspicions(now: Milliseconds): Suspicion[] {
-    return this.#suspects.exportSuspicions(now);
+  override exportPoisonRecords(now: Milliseconds): PoisonRecord[] {
+    return this.#suspects.exportRecords(now);
   }
 
-  override drainSuspicions(now: Milliseconds): Suspicion[] {
-    return this.#suspects.drainSuspicions(now);
+  override drainPoisonRecords(now: Milliseconds): PoisonRecord[] {
+    return this.#suspects.drainChangedRecords(now);
   }
 
   override status(): SchedulerStatus {
@@ -249,7 +263,7 @@
       upstreams: [...this.#pool.states.values()].map((state) => ({
         upstream: state.description.upstream,
         inFlight: state.attempts.size,
-        bound: state.requestBound(this.#pool.share),
+        bound: state.requestLimit(this.#pool.capacityShare),
         isEjected: state.isEjected,
         isLeaving: state.description.isLeaving,
       })),
@@ -262,35 +276,42 @@
 
   #grantWaiting(now: Milliseconds): Decision[] {
     const decisions: Decision[] = [];
-    let start = this.#nextStart.take(now);
+    let start = this.#nextStart.next(now);
     while (start !== undefined) {
       decisions.push(
         start.kind === "place"
-          ? this.#grant(start.waiting, start.place, now)
-          : this.#refuseConvicted(start.waiting, now),
+          ? this.#grant(start.queued, start.selected, now)
+          : this.#refuseConvicted(start.queued, now),
       );
-      start = this.#nextStart.take(now);
+      start = this.#nextStart.next(now);
     }
     return decisions;
   }
 
   /** Another copy of the request was convicted while this one waited. */
-  #refuseConvicted(waiting: Waiting, now: Milliseconds): Decision {
+  #refuseConvicted(waiting: QueuedRequest, now: Milliseconds): Decision {
     this.#leaveQueue(waiting);
-    return this.#admission.refuseAtOnce(waiting.ask, now)!;
+    return this.#admission.refuseImmediately(waiting.placementRequest, now)!;
   }
 
   /** Upstreams turn slower or faster than they were when a request came. */
-  #latestStart(ask: Ask): Milliseconds {
-    const { giveUpBelow } = targetsOf(ask.tier, this.#policy.tiers);
+  #latestStart(ask: PlacementRequest): Milliseconds {
+    const { abandonBelow: giveUpBelow } = tierTargetsOf(
+      ask.tier,
+      this.#policy.tiers,
+    );
     return this.#serviceTime.latestStart(ask, {
       lengths: this.#distributions.get(ask.request)!,
       probability: giveUpBelow,
     });
   }
 
-  #grant(waiting: Waiting, place: Place, now: Milliseconds): Decision {
-    const { ask, expectedTokens } = waiting;
+  #grant(
+    waiting: QueuedRequest,
+    place: SelectedUpstream,
+    now: Milliseconds,
+  ): Decision {
+    const { placementRequest: ask, expectedTokens } = waiting;
     const { state, cachedTokens } = place;
     this.#distributions.delete(ask.request);
     const attempt = state.add(ask, {
@@ -298,14 +319,14 @@
       uncachedTokens: ask.promptTokens - cachedTokens,
       expectedTokens,
     });
-    this.#suspectRuns.started(attempt, now);
+    this.#suspectRuns.recordStart(attempt, now);
     this.#attempts.set(ask.request, attempt);
-    this.#limits.start(ask.account);
-    this.#drain.granted(expectedTokens);
-    this.#pool.granted(attempt);
+    this.#limits.recordStart(ask.account);
+    this.#drain.recordGrant(expectedTokens);
+    this.#pool.recordGrant(attempt);
     return {
       kind: "grant",
-      ask,
+      placementRequest: ask,
       upstream: state.description.upstream,
       expectedCachedTokens: cachedTokens,
     };
@@ -315,22 +336,22 @@
   #refuseAllWaiting(): Decision[] {
     return this.#queue.removeAll().map((waiting) => {
       this.#leaveQueue(waiting);
-      return refuse(
-        waiting.ask,
+      return createRefusal(
+        waiting.placementRequest,
         "no-upstream",
-        REFUSED_WITHOUT_UPSTREAM_RETRY_MS,
+        NO_UPSTREAM_RETRY_MS,
       );
     });
   }
 
   #settle(attempt: PoolAttempt, report: AttemptReport): void {
-    const { ask, expectedTokens } = attempt;
+    const { placementRequest: ask, expectedTokens } = attempt;
     const usedTokens = ask.promptTokens + report.outputTokens;
-    this.#limits.end(ask.account, {
+    this.#limits.recordEnd(ask.account, {
       chargedTokens: expectedTokens,
       usedTokens,
     });
-    this.#queue.correctServed(
+    this.#queue.correctServedTokens(
       ask.tier,
       ask.account,
       usedTokens - expectedTokens,
@@ -339,28 +360,28 @@
       account: ask.account,
       tier: ask.tier,
       outputTokens: report.outputTokens,
-      isWhole: report.outcome === "whole",
+      isComplete: report.outcome === "whole",
     });
   }
 
-  #leaveQueue({ ask, expectedTokens }: Waiting): void {
+  #leaveQueue({ placementRequest: ask, expectedTokens }: QueuedRequest): void {
     this.#distributions.delete(ask.request);
-    this.#limits.leaveWaiting(ask, expectedTokens);
+    this.#limits.refund(ask, expectedTokens);
   }
 
   #giveUp(
-    waiting: Waiting,
+    waiting: QueuedRequest,
     reason: "shed" | "deadline-unreachable",
     now: Milliseconds,
   ): Decision {
     this.#leaveQueue(waiting);
-    const retryAfter = this.#admission.retryAfterQueue();
+    const retryAfter = this.#admission.queueRetryAfter();
     return {
       kind: "refuse",
-      ask: waiting.ask,
+      placementRequest: waiting.placementRequest,
       reason,
       retryAfter,
-      estimate: now - waiting.since + retryAfter + waiting.expectedMs,
+      estimate: now - waiting.enqueuedAt + retryAfter + waiting.expectedMs,
     };
   }
 }
--- a/packages/decisions/src/cacheMap.ts
+++ b/packages/decisions/src/prefixCacheIndex.ts
@@ -8,8 +8,8 @@
   readonly blocks: number;
 }
 
-/** Options of a {@link CacheMap}. */
-export interface CacheMapOptions {
+/** Options of a {@link PrefixCacheIndex}. */
+export interface PrefixCacheIndexOptions {
   /** Bound on remembered blocks over all upstreams. */
   readonly maximumBlocks?: number;
 }
@@ -51,20 +51,20 @@
  * eviction is possible only after a gap; 30 s is about the time in which a busy
  * engine turns its cache over.
  */
-export class CacheMap {
+export class PrefixCacheIndex {
   readonly #maximumBlocks: number;
   readonly #holders = new Map<Digest, Map<UpstreamId, Entry>>();
   readonly #events = new Map<UpstreamId, UpstreamEvents>();
   #entries = 0;
 
   constructor(
-    { maximumBlocks = DEFAULT_MAXIMUM_BLOCKS }: CacheMapOptions = {},
+    { maximumBlocks = DEFAULT_MAXIMUM_BLOCKS }: PrefixCacheIndexOptions = {},
   ) {
     this.#maximumBlocks = maximumBlocks;
   }
 
   /** Blocks that a dispatched prompt has left at its upstream. */
-  remember(
+  recordStored(
     upstream: UpstreamId,
     digests: readonly Digest[],
     now: Milliseconds,
@@ -77,7 +77,7 @@
   }
 
   /** Takes in an event of the upstream itself. */
-  apply(event: CacheEvent, now: Milliseconds): void {
+  applyEvent(event: CacheEvent, now: Milliseconds): void {
     const known = this.#eventsOf(event.upstream);
     if (event.sequence <= known.sequence) return;
     if (known.sequence > 0 && event.sequence > known.sequence + 1) {
@@ -86,7 +86,7 @@
     known.sequence = event.sequence;
     switch (event.kind) {
       case "stored":
-        return this.remember(event.upstream, event.digests, now);
+        return this.recordStored(event.upstream, event.digests, now);
       case "evicted":
         return event.digests.forEach((digest) =>
           this.#drop(digest, event.upstream)
@@ -103,7 +103,7 @@
   }
 
   /** How many leading blocks an upstream holds. */
-  blocksAt(
+  cachedBlocks(
     upstream: UpstreamId,
     digests: readonly Digest[],
     now: Milliseconds,
--- a/packages/decisions/src/firstComeScheduler.ts
+++ b/packages/decisions/src/roundRobinScheduler.ts
@@ -4,7 +4,7 @@
   RequestId,
   UpstreamId,
 } from "@wasabivane/common";
-import { REFUSED_WITHOUT_UPSTREAM_RETRY_MS } from "./constants.ts";
+import { NO_UPSTREAM_RETRY_MS } from "./constants.ts";
 import { RunningAttempts } from "./runningAttempts.ts";
 import {
   type InFlightAttempt,
@@ -12,11 +12,11 @@
   type SchedulerStatus,
 } from "./scheduler.ts";
 import type {
-  Ask,
   AttemptReport,
   CacheEvent,
   Decision,
   LoadReport,
+  PlacementRequest,
   PoolPolicy,
 } from "./types.ts";
 
@@ -25,7 +25,7 @@
  * first come first served, no bounds. Under overload every engine queues
  * without limit, answers come after their deadlines and their prefill is wasted.
  */
-export class FirstComeScheduler extends Scheduler {
+export class RoundRobinScheduler extends Scheduler {
   readonly #running = new RunningAttempts();
   #policy: PoolPolicy;
   #targets: UpstreamId[] = [];
@@ -43,25 +43,30 @@
     return [];
   }
 
-  override ask(ask: Ask, now: Milliseconds): Decision[] {
+  override submit(ask: PlacementRequest, now: Milliseconds): Decision[] {
     if (this.#targets.length === 0) {
       return [{
         kind: "refuse",
-        ask,
+        placementRequest: ask,
         reason: "no-upstream",
-        retryAfter: REFUSED_WITHOUT_UPSTREAM_RETRY_MS,
+        retryAfter: NO_UPSTREAM_RETRY_MS,
       }];
     }
     const upstream = this.#targets[this.#turn++ % this.#targets.length]!;
     this.#running.grant(ask, upstream, now);
-    return [{ kind: "grant", ask, upstream, expectedCachedTokens: 0 }];
+    return [{
+      kind: "grant",
+      placementRequest: ask,
+      upstream,
+      expectedCachedTokens: 0,
+    }];
   }
 
   override withdraw(_request: RequestId, _now: Milliseconds): boolean {
     return false;
   }
 
-  override firstToken(_request: RequestId, _now: Milliseconds): void {}
+  override recordFirstToken(_request: RequestId, _now: Milliseconds): void {}
 
   override finish(report: AttemptReport, _now: Milliseconds): Decision[] {
     this.#running.remove(report.request);
@@ -73,19 +78,22 @@
   }
 
   override dropOrigin(origin: HostId, _now: Milliseconds): Decision[] {
-    for (const { ask } of this.#running.ofOrigin(origin)) {
+    for (const { placementRequest: ask } of this.#running.ofOrigin(origin)) {
       this.#running.remove(ask.request);
     }
     return [];
   }
 
-  override reportLoad(_report: LoadReport, _now: Milliseconds): Decision[] {
+  override applyLoadReport(
+    _report: LoadReport,
+    _now: Milliseconds,
+  ): Decision[] {
     return [];
   }
 
-  override reportCache(_event: CacheEvent, _now: Milliseconds): void {}
+  override applyCacheEvent(_event: CacheEvent, _now: Milliseconds): void {}
 
-  override setShare(_share: number, _now: Milliseconds): Decision[] {
+  override setCapacityShare(_share: number, _now: Milliseconds): Decision[] {
     return [];
   }
 
--- a/packages/decisions/src/router.ts
+++ b/packages/decisions/src/routeEstimate.ts
@@ -1,7 +1,11 @@
 import type { Milliseconds } from "@wasabivane/common";
-import { decodeTimeAt } from "./paceLadder.ts";
-import type { TokenTimes } from "./speedEstimate.ts";
-import type { Ask, LoadReport, UpstreamDescription } from "./types.ts";
+import { decodeTimeAt } from "./paceAllocator.ts";
+import type { TokenTimes } from "./speedEstimator.ts";
+import type {
+  LoadReport,
+  PlacementRequest,
+  UpstreamDescription,
+} from "./types.ts";
 
 /** An upstream that a request may go to, as seen now. */
 export interface RouteCandidate {
@@ -17,7 +21,7 @@
 
 /** What is known of the request. */
 export interface RouteQuery {
-  readonly ask: Ask;
+  readonly placementRequest: PlacementRequest;
   readonly meanOutputTokens: number;
   /** The chance that the answer has at most so many tokens. */
   readonly probabilityWithin: (tokens: number) => number;
@@ -60,7 +64,7 @@
   candidate: RouteCandidate,
   query: RouteQuery,
 ): RouteEstimate {
-  const { ask, now } = query;
+  const { placementRequest: ask, now } = query;
   const foreign = foreignRequests(candidate, now);
   const distance = candidate.description.failureDomain === ask.originDomain
     ? 0
@@ -94,7 +98,7 @@
  * Whether to wait for a busy upstream that holds the prefix: only when the wait
  * until its next place is free costs at most half of the prefill that it saves.
  */
-export function isCacheWorthWaiting(
+export function isWorthWaitingForCache(
   { savedTokens, prefillMsPerToken, expectedMs, inFlightRequests }: {
     savedTokens: number;
     prefillMsPerToken: number;
--- a/packages/decisions/src/runningAttempts.ts
+++ b/packages/decisions/src/runningAttempts.ts
@@ -5,7 +5,7 @@
   UpstreamId,
 } from "@wasabivane/common";
 import type { InFlightAttempt } from "./scheduler.ts";
-import type { Ask } from "./types.ts";
+import type { PlacementRequest } from "./types.ts";
 
 /** The requests that run now, by request and counted by upstream. */
 export class RunningAttempts {
@@ -13,17 +13,22 @@
   readonly #byUpstream = new Map<UpstreamId, Map<RequestId, InFlightAttempt>>();
 
   /** Adds a request that was granted now. */
-  grant(ask: Ask, upstream: UpstreamId, now: Milliseconds): void {
-    this.add({ ask, upstream, grantedAt: now, hasFirstToken: false });
+  grant(ask: PlacementRequest, upstream: UpstreamId, now: Milliseconds): void {
+    this.add({
+      placementRequest: ask,
+      upstream,
+      grantedAt: now,
+      hasFirstToken: false,
+    });
   }
 
   /** Adds or replaces an attempt. */
   add(attempt: InFlightAttempt): void {
-    this.remove(attempt.ask.request);
-    this.#attempts.set(attempt.ask.request, attempt);
+    this.remove(attempt.placementRequest.request);
+    this.#attempts.set(attempt.placementRequest.request, attempt);
     const atUpstream = this.#byUpstream.get(attempt.upstream) ?? new Map();
     this.#byUpstream.set(attempt.upstream, atUpstream);
-    atUpstream.set(attempt.ask.request, attempt);
+    atUpstream.set(attempt.placementRequest.request, attempt);
   }
 
   get(request: RequestId): InFlightAttempt | undefined {
@@ -47,13 +52,13 @@
   }
 
   /** The attempts at one upstream, oldest first. */
-  at(upstream: UpstreamId): InFlightAttempt[] {
+  atUpstream(upstream: UpstreamId): InFlightAttempt[] {
     return [...this.#byUpstream.get(upstream)?.values() ?? []];
   }
 
   /** The attempts that one origin holds. */
   ofOrigin(origin: HostId): InFlightAttempt[] {
-    return [...this.#attempts.values()].filter(({ ask }) =>
+    return [...this.#attempts.values()].filter(({ placementRequest: ask }) =>
       ask.origin === origin
     );
   }
--- a/packages/decisions/src/scheduler.ts
+++ b/packages/decisions/src/scheduler.ts
@@ -5,19 +5,19 @@
   RequestId,
   UpstreamId,
 } from "@wasabivane/common";
-import type { Suspicion } from "./suspects.ts";
+import type { PoisonRecord } from "./poisonRequestDetector.ts";
 import type {
-  Ask,
   AttemptReport,
   CacheEvent,
   Decision,
   LoadReport,
+  PlacementRequest,
   PoolPolicy,
 } from "./types.ts";
 
 /** A request that was granted earlier, perhaps by another keeper of the pool. */
 export interface InFlightAttempt {
-  readonly ask: Ask;
+  readonly placementRequest: PlacementRequest;
   readonly upstream: UpstreamId;
   readonly grantedAt: Milliseconds;
   readonly hasFirstToken: boolean;
@@ -48,11 +48,11 @@
   /** Replaces the policy; waiting and running requests stay. */
   abstract setPolicy(policy: PoolPolicy, now: Milliseconds): Decision[];
   /** Takes a request in; the decision may come at once or from a later call. */
-  abstract ask(ask: Ask, now: Milliseconds): Decision[];
+  abstract submit(ask: PlacementRequest, now: Milliseconds): Decision[];
   /** Takes back a waiting request; false when it is not waiting. */
   abstract withdraw(request: RequestId, now: Milliseconds): boolean;
   /** The first token of a granted request arrived. */
-  abstract firstToken(request: RequestId, now: Milliseconds): void;
+  abstract recordFirstToken(request: RequestId, now: Milliseconds): void;
   /** A granted request ended; frees its place. */
   abstract finish(report: AttemptReport, now: Milliseconds): Decision[];
   /** Takes over a request that is running already. */
@@ -60,28 +60,28 @@
   /** An origin is gone; its waiting asks are dropped and running ones freed. */
   abstract dropOrigin(origin: HostId, now: Milliseconds): Decision[];
   /** An engine's lagging report. */
-  abstract reportLoad(report: LoadReport, now: Milliseconds): Decision[];
+  abstract applyLoadReport(report: LoadReport, now: Milliseconds): Decision[];
   /** An engine's late cache event. */
-  abstract reportCache(event: CacheEvent, now: Milliseconds): void;
+  abstract applyCacheEvent(event: CacheEvent, now: Milliseconds): void;
   /** Share of the pool's capacity that this scheduler may fill, 0 to 1; below 1 in a partition. */
-  abstract setShare(share: number, now: Milliseconds): Decision[];
+  abstract setCapacityShare(share: number, now: Milliseconds): Decision[];
   /** Deadlines, probes and expiries; call at least every 100 ms. */
   abstract tick(now: Milliseconds): Decision[];
   abstract status(): SchedulerStatus;
 
   /** Takes in what other keepers hold against request contents. */
-  importSuspicions(
-    _suspicions: readonly Suspicion[],
+  importPoisonRecords(
+    _suspicions: readonly PoisonRecord[],
     _now: Milliseconds,
   ): void {}
 
   /** All that is held against request contents, for a keeper that takes over. */
-  exportSuspicions(_now: Milliseconds): Suspicion[] {
+  exportPoisonRecords(_now: Milliseconds): PoisonRecord[] {
     return [];
   }
 
   /** What changed since the last call; to be told to the peers at once. */
-  drainSuspicions(_now: Milliseconds): Suspicion[] {
+  drainPoisonRecords(_now: Milliseconds): PoisonRecord[] {
     return [];
   }
 }
--- a/packages/decisions/src/serviceTime.ts
+++ b/packages/decisions/src/serviceTime.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from "@wasabivane/common";
-import { TOKENS_PER_BLOCK } from "./cacheMap.ts";
-import type { LengthDistribution } from "./lengthEstimate.ts";
-import type { Ask } from "./types.ts";
+import { TOKENS_PER_BLOCK } from "./prefixCacheIndex.ts";
+import type { OutputLengthDistribution } from "./outputLengthEstimator.ts";
+import type { PlacementRequest } from "./types.ts";
 import type { UpstreamPool } from "./upstreamPool.ts";
 
 /** What requests take of a pool, at the upstreams that answer them soonest. */
@@ -13,8 +13,8 @@
   }
 
   /** Time from the start to the whole answer. */
-  expected(ask: Ask, outputTokens: number): Milliseconds {
-    const times = this.#pool.bestTimes(outputTokens, ask.promptTokens);
+  expected(ask: PlacementRequest, outputTokens: number): Milliseconds {
+    const times = this.#pool.fastestTimes(outputTokens, ask.promptTokens);
     return ask.promptTokens * times.prefillMsPerToken +
       outputTokens * times.decodeMsPerToken;
   }
@@ -23,8 +23,12 @@
    * Time of an upstream that the request takes from others: its prompt the whole
    * upstream, each output token its share of a batch.
    */
-  cost(ask: Ask, outputTokens: number, now: Milliseconds): Milliseconds {
-    const times = this.#pool.bestTimes(outputTokens, ask.promptTokens);
+  cost(
+    ask: PlacementRequest,
+    outputTokens: number,
+    now: Milliseconds,
+  ): Milliseconds {
+    const times = this.#pool.fastestTimes(outputTokens, ask.promptTokens);
     const [holder] = this.#pool.cache.holders(ask.prefixDigests, now);
     const cachedTokens = (holder?.blocks ?? 0) * TOKENS_PER_BLOCK;
     const uncachedTokens = Math.max(0, ask.promptTokens - cachedTokens);
@@ -35,14 +39,14 @@
 
   /** The last moment at which a start leaves this chance of meeting the deadline. */
   latestStart(
-    ask: Ask,
+    ask: PlacementRequest,
     { lengths, probability }: {
-      lengths: LengthDistribution;
+      lengths: OutputLengthDistribution;
       probability: number;
     },
   ): Milliseconds {
     // Nothing was answered yet: a guess at the speed is no ground for a refusal.
-    if (!this.#pool.hasLearned) return ask.deadline;
+    if (!this.#pool.hasKnownSpeeds) return ask.deadline;
     return ask.deadline - this.expected(ask, lengths.quantile(probability));
   }
 }
--- a/packages/decisions/src/speedEstimate.ts
+++ b/packages/decisions/src/speedEstimator.ts
@@ -27,10 +27,10 @@
   readonly inFlight: number;
 }
 
-/** Options of a {@link SpeedEstimate}. */
-export interface SpeedEstimateOptions {
+/** Options of a {@link SpeedEstimator}. */
+export interface SpeedEstimatorOptions {
   /** Known times of a generation, before any answer of it was seen. */
-  readonly seeds?: Readonly<Record<string, TokenTimes>>;
+  readonly initialTimes?: Readonly<Record<string, TokenTimes>>;
 }
 
 /** An unknown engine is taken for a slow one, so that known ones are preferred. */
@@ -57,13 +57,13 @@
  * Grounds: a gain of a fifth follows a slowdown within five answers, and is
  * steady enough that one odd answer moves an estimate by a fifth of its error.
  */
-export class SpeedEstimate {
+export class SpeedEstimator {
   readonly #seeds: Readonly<Record<string, TokenTimes>>;
   readonly #generationOf = new Map<UpstreamId, string>();
   readonly #upstreams = new Map<UpstreamId, LearnedTimes>();
   readonly #generations = new Map<string, LearnedTimes>();
 
-  constructor({ seeds = {} }: SpeedEstimateOptions = {}) {
+  constructor({ initialTimes: seeds = {} }: SpeedEstimatorOptions = {}) {
     this.#seeds = seeds;
   }
 
@@ -73,7 +73,7 @@
   }
 
   /** Forgets an upstream that is gone. */
-  forget(upstream: UpstreamId): void {
+  remove(upstream: UpstreamId): void {
     this.#generationOf.delete(upstream);
     this.#upstreams.delete(upstream);
   }
--- a/packages/decisions/src/tierQueue.ts
+++ b/packages/decisions/src/tierQueue.ts
@@ -1,11 +1,11 @@
 import { type ClientAccountId, Heap, type Tier } from "@wasabivane/common";
-import { AccountLane, type Waiting } from "./accountLane.ts";
+import { AccountQueue, type QueuedRequest } from "./accountQueue.ts";
 
 /**
  * Whether a waiting request can start now: yes; not where there is room; not,
  * as was found before; or no request of its account.
  */
-export type Acceptance =
+export type StartEligibility =
   | "start"
   | "blocked"
   | "still-blocked"
@@ -20,9 +20,11 @@
 /** The lanes of one tier, the account with the fewest served tokens first. */
 export class TierQueue {
   readonly tier: Tier;
-  readonly #lanes = new Map<ClientAccountId, AccountLane>();
-  #ready = new Heap<AccountLane>((left, right) => left.served < right.served);
-  #costly = new Heap<Waiting>(isCostlier);
+  readonly #lanes = new Map<ClientAccountId, AccountQueue>();
+  #ready = new Heap<AccountQueue>((left, right) =>
+    left.servedTokens < right.servedTokens
+  );
+  #costly = new Heap<QueuedRequest>(isCostlier);
   #reached = 0;
   size = 0;
   tokens = 0;
@@ -31,12 +33,12 @@
     this.tier = tier;
   }
 
-  add(waiting: Waiting): void {
-    const { account } = waiting.ask;
-    const lane = this.#lanes.get(account) ?? new AccountLane(account);
+  add(waiting: QueuedRequest): void {
+    const { account } = waiting.placementRequest;
+    const lane = this.#lanes.get(account) ?? new AccountQueue(account);
     this.#lanes.set(account, lane);
     if (lane.size === 0) {
-      lane.served = Math.max(lane.served, this.#reached);
+      lane.servedTokens = Math.max(lane.servedTokens, this.#reached);
       this.#enter(lane);
     }
     lane.add(waiting);
@@ -47,49 +49,55 @@
   }
 
   /** Counts out a request that left; the heaps drop it later. */
-  forget(waiting: Waiting): void {
+  remove(waiting: QueuedRequest): void {
     this.size--;
     this.tokens -= waiting.expectedTokens;
-    this.#lanes.get(waiting.ask.account)!.forget(waiting);
+    this.#lanes.get(waiting.placementRequest.account)!.remove(waiting);
   }
 
   /**
    * Takes out the first request that can start. Each lane's blocked requests are
    * tried again before its fresh ones; a few of each, so that a call stays cheap.
    */
-  take(accept: (waiting: Waiting) => Acceptance): Waiting | undefined {
+  take(
+    accept: (waiting: QueuedRequest) => StartEligibility,
+  ): QueuedRequest | undefined {
     if (this.size === 0) return undefined;
-    const lanes: AccountLane[] = [];
-    let found: Waiting | undefined;
+    const lanes: AccountQueue[] = [];
+    let found: QueuedRequest | undefined;
     while (found === undefined && lanes.length < MAXIMUM_LANES) {
       const lane = this.#ready.pop();
       if (lane === undefined) break;
       lanes.push(lane);
       found = takeFrom(lane, accept);
       if (found === undefined) continue;
-      this.#reached = Math.max(this.#reached, lane.served);
-      lane.served += found.expectedTokens;
+      this.#reached = Math.max(this.#reached, lane.servedTokens);
+      lane.servedTokens += found.expectedTokens;
     }
     for (const lane of lanes) {
-      lane.isReady = false;
+      lane.isInHeap = false;
       if (lane.size > 0) this.#enter(lane);
     }
     return found;
   }
 
-  charge(account: ClientAccountId, tokens: number): void {
+  addServedTokens(account: ClientAccountId, tokens: number): void {
     const lane = this.#lanes.get(account);
     if (lane === undefined) return;
-    lane.served += tokens;
-    if (!lane.isReady) return;
-    const lanes = [...this.#lanes.values()].filter(({ isReady }) => isReady);
-    this.#ready = new Heap((left, right) => left.served < right.served);
+    lane.servedTokens += tokens;
+    if (!lane.isInHeap) return;
+    const lanes = [...this.#lanes.values()].filter(({ isInHeap: isReady }) =>
+      isReady
+    );
+    this.#ready = new Heap((left, right) =>
+      left.servedTokens < right.servedTokens
+    );
     lanes.forEach((ready) => this.#ready.push(ready));
   }
 
-  costliest(): Waiting | undefined {
+  largest(): QueuedRequest | undefined {
     let first = this.#costly.peek();
-    while (first?.isGone) {
+    while (first?.isRemoved) {
       this.#costly.pop();
       first = this.#costly.peek();
     }
@@ -98,7 +106,7 @@
 
   tokensAhead(account: ClientAccountId, expectedTokens: number): number {
     const lane = this.#lanes.get(account);
-    const own = lane?.tokensShorterThan(expectedTokens) ?? 0;
+    const own = lane?.tokensOfShorterRequests(expectedTokens) ?? 0;
     let ahead = own;
     // While the account's own share is served, each other account gets as much.
     for (const other of this.#lanes.values()) {
@@ -118,9 +126,9 @@
       }));
   }
 
-  #enter(lane: AccountLane): void {
-    if (lane.isReady) return;
-    lane.isReady = true;
+  #enter(lane: AccountQueue): void {
+    if (lane.isInHeap) return;
+    lane.isInHeap = true;
     this.#ready.push(lane);
   }
 
@@ -133,25 +141,25 @@
 }
 
 function takeFrom(
-  lane: AccountLane,
-  accept: (waiting: Waiting) => Acceptance,
-): Waiting | undefined {
+  lane: AccountQueue,
+  accept: (waiting: QueuedRequest) => StartEligibility,
+): QueuedRequest | undefined {
   return tryEach(lane, accept, {
     pop: () => lane.popBlocked(),
     limit: MAXIMUM_BLOCKED_TRIES,
   }) ?? tryEach(lane, accept, {
-    pop: () => lane.popFresh(),
+    pop: () => lane.popUntried(),
     limit: MAXIMUM_FRESH_TRIES,
   });
 }
 
 function tryEach(
-  lane: AccountLane,
-  accept: (waiting: Waiting) => Acceptance,
-  { pop, limit }: { pop: () => Waiting | undefined; limit: number },
-): Waiting | undefined {
-  const untried: Waiting[] = [];
-  let found: Waiting | undefined;
+  lane: AccountQueue,
+  accept: (waiting: QueuedRequest) => StartEligibility,
+  { pop, limit }: { pop: () => QueuedRequest | undefined; limit: number },
+): QueuedRequest | undefined {
+  const untried: QueuedRequest[] = [];
+  let found: QueuedRequest | undefined;
   for (let tries = 0; tries < limit; tries++) {
     const waiting = pop();
     if (waiting === undefined) break;
@@ -160,7 +168,7 @@
       found = waiting;
       break;
     }
-    if (acceptance === "blocked") lane.block(waiting);
+    if (acceptance === "blocked") lane.pushBlocked(waiting);
     else untried.push(waiting);
     if (acceptance === "account-blocked") break;
   }
@@ -168,9 +176,9 @@
   return found;
 }
 
-function isCostlier(left: Waiting, right: Waiting): boolean {
+function isCostlier(left: QueuedRequest, right: QueuedRequest): boolean {
   if (left.expectedTokens !== right.expectedTokens) {
     return left.expectedTokens > right.expectedTokens;
   }
-  return left.since > right.since;
+  return left.enqueuedAt > right.enqueuedAt;
 }
--- a/packages/decisions/src/tierTargets.ts
+++ b/packages/decisions/src/tierTargets.ts
@@ -3,15 +3,15 @@
 /** How sure of its deadline a request of one tier should be. */
 export interface TierTargets {
   /** It is given up when its chance falls below this. */
-  readonly giveUpBelow: number;
+  readonly abandonBelow: number;
   /** It waits for a better upstream while its chance is below this. */
   readonly waitBelow: number;
   /** The same once it has waited a while and a lower tier would take the place. */
   readonly contendedWaitBelow: number;
   /** How long it waits for a better upstream that a lower tier may use meanwhile. */
-  readonly patienceMs: Milliseconds;
+  readonly contentionGraceMs: Milliseconds;
   /** The pace of the tier lets this share of its answers be in time. */
-  readonly longQuantile: number;
+  readonly paceQuantile: number;
 }
 
 /**
@@ -23,23 +23,23 @@
  * double the wasted prefill.
  */
 const TOP_TIER: TierTargets = {
-  giveUpBelow: 0.5,
+  abandonBelow: 0.5,
   waitBelow: 0.99,
   contendedWaitBelow: 0.9,
   // Places at the fastest upstreams come free many times a second.
-  patienceMs: 1_000,
-  longQuantile: 0.997,
+  contentionGraceMs: 1_000,
+  paceQuantile: 0.997,
 };
 const OTHER_TIERS: TierTargets = {
-  giveUpBelow: 0.94,
+  abandonBelow: 0.94,
   waitBelow: 0.98,
   // Waiting on would have the lower tier served and this one given up later.
   contendedWaitBelow: 0.94,
-  patienceMs: 0,
-  longQuantile: 0.98,
+  contentionGraceMs: 0,
+  paceQuantile: 0.98,
 };
 
 /** The targets of a tier among those of a pool, the most urgent first. */
-export function targetsOf(tier: Tier, tiers: readonly Tier[]): TierTargets {
+export function tierTargetsOf(tier: Tier, tiers: readonly Tier[]): TierTargets {
   return tier === tiers[0] ? TOP_TIER : OTHER_TIERS;
 }
--- a/packages/decisions/src/types.ts
+++ b/packages/decisions/src/types.ts
@@ -10,7 +10,7 @@
 } from "@wasabivane/common";
 
 /** A request that wants to start at one upstream of a service. */
-export interface Ask {
+export interface PlacementRequest {
   readonly request: RequestId;
   /** The entry host that holds the caller and the body. */
   readonly origin: HostId;
@@ -51,14 +51,14 @@
 export type Decision =
   | {
     readonly kind: "grant";
-    readonly ask: Ask;
+    readonly placementRequest: PlacementRequest;
     readonly upstream: UpstreamId;
     /** Prompt tokens expected to be found in the upstream's cache. */
     readonly expectedCachedTokens: number;
   }
   | {
     readonly kind: "refuse";
-    readonly ask: Ask;
+    readonly placementRequest: PlacementRequest;
     readonly reason: RefusalReason;
     readonly retryAfter: Milliseconds;
     /** Estimated whole time, where the refusal rests on one. */
--- a/packages/decisions/src/upstreamPool.ts
+++ b/packages/decisions/src/upstreamPool.ts
@@ -4,11 +4,11 @@
   type Random,
   type UpstreamId,
 } from "@wasabivane/common";
-import { CacheMap } from "./cacheMap.ts";
-import { Ejection } from "./ejection.ts";
+import { PrefixCacheIndex } from "./prefixCacheIndex.ts";
+import { OutlierDetector } from "./outlierDetector.ts";
 import { FreeUpstreams } from "./freeUpstreams.ts";
-import type { PaceLadder } from "./paceLadder.ts";
-import { SpeedEstimate, type TokenTimes } from "./speedEstimate.ts";
+import type { PaceAllocator } from "./paceAllocator.ts";
+import { SpeedEstimator, type TokenTimes } from "./speedEstimator.ts";
 import type {
   AttemptReport,
   LoadReport,
@@ -37,11 +37,11 @@
 
 /** The upstreams of one pool and what was learned of each from its own answers. */
 export class UpstreamPool {
-  readonly cache = new CacheMap();
-  readonly speeds: SpeedEstimate;
+  readonly cache = new PrefixCacheIndex();
+  readonly speeds: SpeedEstimator;
   readonly free = new FreeUpstreams();
   readonly #states = new Map<UpstreamId, UpstreamState>();
-  readonly #ejection: Ejection;
+  readonly #ejection: OutlierDetector;
   readonly #random: Random;
   readonly #expected = new Heap<ExpectedFirstToken>((left, right) =>
     left.dueAt < right.dueAt
@@ -56,9 +56,9 @@
   ) {
     this.#policy = policy;
     this.#random = random;
-    this.speeds = new SpeedEstimate({ seeds: generationTimes });
-    this.#ejection = new Ejection({
-      upstreams: policy.upstreams.length,
+    this.speeds = new SpeedEstimator({ initialTimes: generationTimes });
+    this.#ejection = new OutlierDetector({
+      upstreamCount: policy.upstreams.length,
       maximumEjectedShare: policy.maximumEjectedShare,
     });
     this.configure(policy);
@@ -68,17 +68,17 @@
     return this.#states;
   }
 
-  get share(): number {
+  get capacityShare(): number {
     return this.#share;
   }
 
   /** Whether any upstream may be sent work, now or once it is free or back. */
-  get hasTargets(): boolean {
+  get hasActiveUpstreams(): boolean {
     return this.#policy.upstreams.some(({ isLeaving }) => !isLeaving);
   }
 
   /** Whether the speed of every generation is known. */
-  get hasLearned(): boolean {
+  get hasKnownSpeeds(): boolean {
     return this.#generations.every((generation) =>
       this.speeds.isKnown(generation)
     );
@@ -88,7 +88,7 @@
   configure(policy: PoolPolicy): void {
     this.#policy = policy;
     this.#ejection.configure({
-      upstreams: policy.upstreams.length,
+      upstreamCount: policy.upstreams.length,
       maximumEjectedShare: policy.maximumEjectedShare,
     });
     const listed = new Set(policy.upstreams.map(({ upstream }) => upstream));
@@ -100,7 +100,7 @@
       this.free.remove(state);
       state.description = description;
       this.speeds.register(description.upstream, description.generation);
-      this.refresh(state);
+      this.refreshAvailability(state);
     }
     this.#generations = [
       ...new Set(policy.upstreams.map(({ generation }) => generation)),
@@ -108,14 +108,14 @@
   }
 
   /** Replaces the share of the pool that may be filled from here. */
-  setShare(share: number): void {
+  setCapacityShare(share: number): void {
     this.#share = share;
-    for (const state of this.#states.values()) this.refresh(state);
+    for (const state of this.#states.values()) this.refreshAvailability(state);
   }
 
   /** Looks again whether the upstream may take one more request. */
-  refresh(state: UpstreamState): void {
-    if (state.isOpen(this.#share)) this.free.add(state);
+  refreshAvailability(state: UpstreamState): void {
+    if (state.hasFreeSlot(this.#share)) this.free.add(state);
     else this.free.remove(state);
   }
 
@@ -131,7 +131,7 @@
   }
 
   /** The times of the generation with the shortest answers. */
-  bestTimes(outputTokens: number, promptTokens: number): TokenTimes {
+  fastestTimes(outputTokens: number, promptTokens: number): TokenTimes {
     let best: TokenTimes | undefined;
     let least = Infinity;
     for (const generation of this.#generations) {
@@ -146,32 +146,32 @@
   }
 
   /** Counts a granted request in. */
-  granted(attempt: PoolAttempt): void {
+  recordGrant(attempt: PoolAttempt): void {
     this.#expectFirstToken(
       attempt,
-      attempt.state.bound.overdueAfter(attempt.backlogTokens),
+      attempt.state.concurrencyLimit.overdueAfter(attempt.backlogTokens),
     );
-    this.refresh(attempt.state);
+    this.refreshAvailability(attempt.state);
   }
 
   /** Learns from a first token. */
-  firstToken(attempt: PoolAttempt, now: Milliseconds): void {
-    const { state, backlogTokens, ask } = attempt;
+  recordFirstToken(attempt: PoolAttempt, now: Milliseconds): void {
+    const { state, backlogTokens, placementRequest: ask } = attempt;
     if (attempt.firstTokenAt !== undefined) return;
-    state.prefilled(attempt, now);
+    state.recordPrefill(attempt, now);
     const elapsed = now - attempt.grantedAt;
     this.speeds.observeFirstToken({
       upstream: state.description.upstream,
       backlogTokens,
       elapsed,
     });
-    state.bound.observe({ ...attempt, elapsed }, now);
-    this.cache.remember(state.description.upstream, ask.prefixDigests, now);
-    this.refresh(state);
+    state.concurrencyLimit.observe({ ...attempt, elapsed }, now);
+    this.cache.recordStored(state.description.upstream, ask.prefixDigests, now);
+    this.refreshAvailability(state);
   }
 
   /** Counts a request out and learns from how it ended. */
-  ended(
+  recordEnd(
     attempt: PoolAttempt,
     { outcome, outputTokens }: AttemptReport,
     now: Milliseconds,
@@ -192,36 +192,36 @@
     if (this.#ejection.observe(upstream, outcome, now)) {
       state.isEjected = true;
     }
-    this.refresh(state);
+    this.refreshAvailability(state);
   }
 
   /** Takes in an engine's own report; it only holds growth back. */
-  reportLoad(report: LoadReport): void {
+  applyLoadReport(report: LoadReport): void {
     const state = this.#states.get(report.upstream);
     if (state === undefined) return;
     if ((state.report?.takenAt ?? -Infinity) > report.takenAt) return;
     state.report = report;
-    state.bound.holdGrowth(
+    state.concurrencyLimit.setGrowthPaused(
       report.waitingRequests > 0 || report.memoryShare > FULL_MEMORY_SHARE,
     );
   }
 
   /** Bounds each upstream so that its answers keep the pace that tiers need. */
-  assignPaces(ladder: PaceLadder, now: Milliseconds): void {
+  assignPaceLimits(ladder: PaceAllocator, now: Milliseconds): void {
     const paced = [...this.#states.values()]
       .filter(({ description }) => !description.isLeaving)
       .map((state) => ({
         state,
         times: this.speeds.times(state.description.upstream),
-        paceBound: state.paceBound,
+        paceLimit: state.paceLimit,
         paceTier: state.paceTier,
       }))
       .sort((left, right) => this.#rank(left.state) - this.#rank(right.state));
-    ladder.assign(paced, now);
-    for (const { state, paceBound, paceTier } of paced) {
-      state.paceBound = paceBound;
+    ladder.assignLimits(paced, now);
+    for (const { state, paceLimit: paceBound, paceTier } of paced) {
+      state.paceLimit = paceBound;
       state.paceTier = paceTier;
-      this.refresh(state);
+      this.refreshAvailability(state);
     }
   }
 
@@ -239,12 +239,12 @@
 
   /** Brings ejected upstreams back and notices first tokens that are overdue. */
   tick(now: Milliseconds): void {
-    for (const upstream of this.#ejection.takeReturning(now)) {
+    for (const upstream of this.#ejection.takeExpired(now)) {
       const state = this.#states.get(upstream);
       if (state === undefined) continue;
       state.isEjected = false;
-      state.bound.restart();
-      this.refresh(state);
+      state.concurrencyLimit.beginSlowStart();
+      this.refreshAvailability(state);
     }
     let next = this.#expected.peek();
     while (next !== undefined && next.dueAt <= now) {
@@ -260,10 +260,12 @@
   ): void {
     const { state } = attempt;
     if (attempt.firstTokenAt !== undefined) return;
-    if (state.attempts.get(attempt.ask.request) !== attempt) return;
+    if (state.attempts.get(attempt.placementRequest.request) !== attempt) {
+      return;
+    }
     const elapsed = now - attempt.grantedAt;
-    state.bound.observeOverdue({ ...attempt, elapsed }, now);
-    this.refresh(state);
+    state.concurrencyLimit.observeOverdue({ ...attempt, elapsed }, now);
+    this.refreshAvailability(state);
     this.#expectFirstToken(attempt, wait * 2);
   }
 
@@ -289,7 +291,7 @@
     this.free.remove(state);
     if (state.attempts.size > 0) return;
     this.#states.delete(upstream);
-    this.speeds.forget(upstream);
-    this.#ejection.forget(upstream);
+    this.speeds.remove(upstream);
+    this.#ejection.remove(upstream);
   }
 }
--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/upstreamSelection.ts
@@ -1,31 +1,31 @@
 import type { Milliseconds, UpstreamId } from "@wasabivane/common";
-import type { Waiting } from "./accountLane.ts";
-import { TOKENS_PER_BLOCK } from "./cacheMap.ts";
-import type { LengthDistribution } from "./lengthEstimate.ts";
+import type { QueuedRequest } from "./accountQueue.ts";
+import { TOKENS_PER_BLOCK } from "./prefixCacheIndex.ts";
+import type { OutputLengthDistribution } from "./outputLengthEstimator.ts";
 import {
   estimateRoute,
-  isCacheWorthWaiting,
+  isWorthWaitingForCache,
   type RouteEstimate,
   type RouteQuery,
-} from "./router.ts";
-import type { Ask } from "./types.ts";
+} from "./routeEstimate.ts";
+import type { PlacementRequest } from "./types.ts";
 import type { UpstreamPool } from "./upstreamPool.ts";
 import type { UpstreamState } from "./upstreamState.ts";
 
 /** Where a request should start. */
-export interface Place {
+export interface SelectedUpstream {
   readonly state: UpstreamState;
   readonly cachedTokens: number;
   readonly estimate: RouteEstimate;
 }
 
 /** What a placement is asked for. */
-export interface PlacementQuery {
-  readonly waiting: Waiting;
-  readonly lengths: LengthDistribution;
+export interface UpstreamSelectionQuery {
+  readonly queued: QueuedRequest;
+  readonly lengths: OutputLengthDistribution;
   readonly isSuspect: boolean;
   /** With this chance or more, it need not wait for a better upstream. */
-  readonly leastProbability: number;
+  readonly minimumProbability: number;
   /** More requests wait, so that upstreams will be filled to their bounds. */
   readonly isBusy: boolean;
   readonly domainDistanceMs: Milliseconds;
@@ -42,14 +42,14 @@
  * for room, for an upstream where it can meet its deadline, or for one that holds
  * its prefix.
  */
-export function findPlace(
+export function selectUpstream(
   pool: UpstreamPool,
-  query: PlacementQuery,
-): Place | undefined {
-  const { ask } = query.waiting;
+  query: UpstreamSelectionQuery,
+): SelectedUpstream | undefined {
+  const { placementRequest: ask } = query.queued;
   const holders = cachedTokensByUpstream(pool, ask, query.now);
   const route = routeQuery(query);
-  let best: Place | undefined;
+  let best: SelectedUpstream | undefined;
   for (const state of pool.candidates(holders.keys())) {
     if (!isAllowed(pool, state, query)) continue;
     const cachedTokens = holders.get(state.description.upstream) ?? 0;
@@ -70,10 +70,10 @@
 }
 
 function routeQuery(
-  { waiting, lengths, domainDistanceMs, now }: PlacementQuery,
+  { queued: waiting, lengths, domainDistanceMs, now }: UpstreamSelectionQuery,
 ): RouteQuery {
   return {
-    ask: waiting.ask,
+    placementRequest: waiting.placementRequest,
     meanOutputTokens: lengths.mean(),
     probabilityWithin: (tokens) => lengths.probabilityWithin(tokens),
     domainDistanceMs,
@@ -95,7 +95,7 @@
     times: pool.speeds.times(state.description.upstream),
     inFlightRequests: state.attempts.size,
     expectedInFlight: isBusy
-      ? Math.max(state.attempts.size, state.requestBound(pool.share))
+      ? Math.max(state.attempts.size, state.requestLimit(pool.capacityShare))
       : state.attempts.size + 1,
     prefillBacklogTokens: state.prefillBacklogTokens,
     cachedTokens,
@@ -106,19 +106,19 @@
 function isAllowed(
   pool: UpstreamPool,
   state: UpstreamState,
-  { waiting, isSuspect }: PlacementQuery,
+  { queued: waiting, isSuspect }: UpstreamSelectionQuery,
 ): boolean {
-  if (isSuspect && state.suspect !== undefined) return false;
+  if (isSuspect && state.suspectRequest !== undefined) return false;
   const isKnown = pool.speeds.isKnown(state.description.generation);
   if (!isKnown && state.attempts.size >= UNKNOWN_BOUND) return false;
-  return state.hasRoomFor(waiting.expectedTokens, pool.share);
+  return state.hasCapacityFor(waiting.expectedTokens, pool.capacityShare);
 }
 
 /** A suspect goes where its loss would cost the fewest; others where they end first. */
 function isBetter(
-  place: Place,
-  other: Place,
-  { isSuspect }: PlacementQuery,
+  place: SelectedUpstream,
+  other: SelectedUpstream,
+  { isSuspect }: UpstreamSelectionQuery,
 ): boolean {
   if (isSuspect && place.state.attempts.size !== other.state.attempts.size) {
     return place.state.attempts.size < other.state.attempts.size;
@@ -128,12 +128,13 @@
 
 function shouldWaitForFaster(
   pool: UpstreamPool,
-  { estimate }: Place,
-  { waiting, lengths, leastProbability, now }: PlacementQuery,
+  { estimate }: SelectedUpstream,
+  { queued: waiting, lengths, minimumProbability: leastProbability, now }:
+    UpstreamSelectionQuery,
 ): boolean {
   if (estimate.probability >= leastProbability) return false;
-  const { ask } = waiting;
-  const times = pool.bestTimes(lengths.mean(), ask.promptTokens);
+  const { placementRequest: ask } = waiting;
+  const times = pool.fastestTimes(lengths.mean(), ask.promptTokens);
   const left = ask.deadline - now - ask.promptTokens * times.prefillMsPerToken;
   const possible = lengths.probabilityWithin(left / times.decodeMsPerToken);
   return possible > estimate.probability + WORTHWHILE_GAIN;
@@ -141,15 +142,17 @@
 
 function shouldWaitForCache(
   pool: UpstreamPool,
-  best: Place,
+  best: SelectedUpstream,
   { query, route, holders }: {
-    query: PlacementQuery;
+    query: UpstreamSelectionQuery;
     route: RouteQuery;
     holders: ReadonlyMap<UpstreamId, number>;
   },
 ): boolean {
-  const { waiting, now } = query;
-  if (waiting.heldUntil !== undefined && waiting.heldUntil <= now) return false;
+  const { queued: waiting, now } = query;
+  if (waiting.cacheWaitUntil !== undefined && waiting.cacheWaitUntil <= now) {
+    return false;
+  }
   const { prefillMsPerToken } = pool.speeds.times(
     best.state.description.upstream,
   );
@@ -165,22 +168,22 @@
       isBusy: true,
     });
     const inFlightRequests = state.attempts.size;
-    const isWorthWaiting = isCacheWorthWaiting({
+    const isWorthWaiting = isWorthWaitingForCache({
       savedTokens,
       prefillMsPerToken,
       expectedMs,
       inFlightRequests,
     });
     if (!isWorthWaiting) continue;
-    waiting.heldUntil ??= now + savedTokens * prefillMsPerToken / 2;
-    return waiting.heldUntil > now;
+    waiting.cacheWaitUntil ??= now + savedTokens * prefillMsPerToken / 2;
+    return waiting.cacheWaitUntil > now;
   }
   return false;
 }
 
 function cachedTokensByUpstream(
   pool: UpstreamPool,
-  ask: Ask,
+  ask: PlacementRequest,
   now: Milliseconds,
 ): Map<UpstreamId, number> {
   const found = new Map<UpstreamId, number>();
--- a/packages/decisions/src/upstreamState.ts
+++ b/packages/decisions/src/upstreamState.ts
@@ -1,10 +1,17 @@
 import type { Milliseconds, RequestId, Tier } from "@wasabivane/common";
-import type { Ask, LoadReport, UpstreamDescription } from "./types.ts";
-import { UpstreamBound, type UpstreamBoundOptions } from "./upstreamBound.ts";
+import type {
+  LoadReport,
+  PlacementRequest,
+  UpstreamDescription,
+} from "./types.ts";
+import {
+  AdaptiveConcurrencyLimit,
+  type AdaptiveConcurrencyLimitOptions,
+} from "./adaptiveConcurrencyLimit.ts";
 
 /** A request in flight, with what its grant rested on. */
 export interface PoolAttempt {
-  readonly ask: Ask;
+  readonly placementRequest: PlacementRequest;
   readonly state: UpstreamState;
   readonly grantedAt: Milliseconds;
   firstTokenAt?: Milliseconds;
@@ -16,7 +23,7 @@
   readonly inFlightRequests: number;
   readonly inFlightTokens: number;
   /** The loss of its upstream has been taken in already. */
-  isLost: boolean;
+  isLossRecorded: boolean;
 }
 
 /** What counts towards one attempt at its grant. */
@@ -28,35 +35,38 @@
 
 /** One upstream as its keeper knows it: own work in flight first, reports second. */
 export class UpstreamState {
-  readonly bound: UpstreamBound;
+  readonly concurrencyLimit: AdaptiveConcurrencyLimit;
   readonly attempts = new Map<RequestId, PoolAttempt>();
   description: UpstreamDescription;
   isEjected = false;
   /** The one suspect that runs here. */
-  suspect: RequestId | undefined;
+  suspectRequest: RequestId | undefined;
   report: LoadReport | undefined;
   /** Requests in flight at which answers keep their pace. */
-  paceBound = Infinity;
+  paceLimit = Infinity;
   /** The tier whose pace that is. */
   paceTier: Tier | undefined;
   prefillBacklogTokens = 0;
   inFlightTokens = 0;
 
-  constructor(description: UpstreamDescription, bound: UpstreamBoundOptions) {
+  constructor(
+    description: UpstreamDescription,
+    bound: AdaptiveConcurrencyLimitOptions,
+  ) {
     this.description = description;
-    this.bound = new UpstreamBound(bound);
+    this.concurrencyLimit = new AdaptiveConcurrencyLimit(bound);
   }
 
   /** Whether one more request may be in flight. */
-  isOpen(share: number): boolean {
+  hasFreeSlot(share: number): boolean {
     return !this.description.isLeaving && !this.isEjected &&
-      this.attempts.size < this.requestBound(share);
+      this.attempts.size < this.requestLimit(share);
   }
 
   /** Requests that may be in flight under a share of the pool. */
-  requestBound(share: number): number {
+  requestLimit(share: number): number {
     if (share <= 0) return 0;
-    const bound = Math.min(this.bound.requests, this.paceBound);
+    const bound = Math.min(this.concurrencyLimit.requests, this.paceLimit);
     return Math.max(1, Math.floor(bound * share));
   }
 
@@ -64,18 +74,18 @@
    * Whether a request of this size fits. A large one needs half of the bound at
    * most: else small ones would take every place before enough is free for it.
    */
-  hasRoomFor(tokens: number, share: number): boolean {
-    const bound = this.bound.tokens * share;
+  hasCapacityFor(tokens: number, share: number): boolean {
+    const bound = this.concurrencyLimit.tokens * share;
     return this.attempts.size === 0 ||
       this.inFlightTokens + Math.min(tokens, bound / 2) <= bound;
   }
 
   /** Counts a request in. */
-  add(ask: Ask, details: GrantDetails): PoolAttempt {
+  add(ask: PlacementRequest, details: GrantDetails): PoolAttempt {
     this.prefillBacklogTokens += details.uncachedTokens;
     this.inFlightTokens += details.expectedTokens;
     const attempt: PoolAttempt = {
-      ask,
+      placementRequest: ask,
       state: this,
       grantedAt: details.now,
       backlogTokens: this.prefillBacklogTokens,
@@ -83,14 +93,14 @@
       expectedTokens: details.expectedTokens,
       inFlightRequests: this.attempts.size + 1,
       inFlightTokens: this.inFlightTokens,
-      isLost: false,
+      isLossRecorded: false,
     };
     this.attempts.set(ask.request, attempt);
     return attempt;
   }
 
   /** The prompt of an attempt is computed. */
-  prefilled(attempt: PoolAttempt, now: Milliseconds): void {
+  recordPrefill(attempt: PoolAttempt, now: Milliseconds): void {
     if (attempt.firstTokenAt !== undefined) return;
     attempt.firstTokenAt = now;
     this.prefillBacklogTokens -= attempt.uncachedTokens;
@@ -98,11 +108,13 @@
 
   /** Counts a request out. */
   remove(attempt: PoolAttempt): void {
-    this.attempts.delete(attempt.ask.request);
+    this.attempts.delete(attempt.placementRequest.request);
     this.inFlightTokens -= attempt.expectedTokens;
     if (attempt.firstTokenAt === undefined) {
       this.prefillBacklogTokens -= attempt.uncachedTokens;
     }
-    if (this.suspect === attempt.ask.request) this.suspect = undefined;
+    if (this.suspectRequest === attempt.placementRequest.request) {
+      this.suspectRequest = undefined;
+    }
   }
 }
--- a/packages/decisions/src/waitQueue.ts
+++ b/packages/decisions/src/waitQueue.ts
@@ -6,12 +6,12 @@
   type RequestId,
   type Tier,
 } from "@wasabivane/common";
-import type { Ask } from "./types.ts";
-import type { Waiting } from "./accountLane.ts";
-import { type Acceptance, TierQueue } from "./tierQueue.ts";
+import type { PlacementRequest } from "./types.ts";
+import type { QueuedRequest } from "./accountQueue.ts";
+import { type StartEligibility, TierQueue } from "./tierQueue.ts";
 
 /** What is known of a request when it starts to wait. */
-export interface WaitingDetails {
+export interface QueuedRequestDetails {
   readonly now: Milliseconds;
   /** Prompt and expected output. */
   readonly expectedTokens: number;
@@ -28,7 +28,7 @@
   readonly maximumTokens: number;
   readonly maximumBytes: number;
   /** How many times its own cost a request gives way to shorter ones. */
-  readonly stretch?: number;
+  readonly costMultiplier?: number;
 }
 
 /** A request has given way to shorter ones when it waited so many times its own cost. */
@@ -49,18 +49,18 @@
 export class WaitQueue {
   readonly #tiers = new Map<Tier, TierQueue>();
   #order: TierQueue[] = [];
-  readonly #waiting = new Map<RequestId, Waiting>();
+  readonly #waiting = new Map<RequestId, QueuedRequest>();
   readonly #stretch: number;
   #maximumTokens: number;
   #maximumBytes: number;
   #tokens = 0;
   #bytes = 0;
-  #byLatestStart = new Heap<Waiting>((left, right) =>
+  #byLatestStart = new Heap<QueuedRequest>((left, right) =>
     left.latestStart < right.latestStart
   );
 
   constructor(
-    { maximumTokens, maximumBytes, stretch = DEFAULT_STRETCH }:
+    { maximumTokens, maximumBytes, costMultiplier: stretch = DEFAULT_STRETCH }:
       WaitQueueOptions,
   ) {
     this.#maximumTokens = maximumTokens;
@@ -77,23 +77,23 @@
   }
 
   /** Replaces the bounds; requests beyond them are shed by the next push. */
-  setBounds(maximumTokens: number, maximumBytes: number): void {
+  setLimits(maximumTokens: number, maximumBytes: number): void {
     this.#maximumTokens = maximumTokens;
     this.#maximumBytes = maximumBytes;
   }
 
   /** Takes a request in and returns those shed for it, perhaps itself. */
-  push(ask: Ask, details: WaitingDetails): Waiting[] {
-    const waiting: Waiting = {
-      ask,
+  push(ask: PlacementRequest, details: QueuedRequestDetails): QueuedRequest[] {
+    const waiting: QueuedRequest = {
+      placementRequest: ask,
       expectedTokens: details.expectedTokens,
       expectedMs: details.expectedMs,
       latestStart: details.latestStart,
-      key: details.now + this.#stretch * details.costMs,
-      since: details.now,
-      isGone: false,
+      orderKey: details.now + this.#stretch * details.costMs,
+      enqueuedAt: details.now,
+      isRemoved: false,
       timesBlocked: 0,
-      blockedKinds: 0,
+      blockedGroupMask: 0,
       blockedUntil: 0,
     };
     this.#waiting.set(ask.request, waiting);
@@ -105,23 +105,23 @@
   }
 
   /** Takes a request out; undefined when it does not wait. */
-  remove(request: RequestId): Waiting | undefined {
+  remove(request: RequestId): QueuedRequest | undefined {
     const waiting = this.#waiting.get(request);
     if (waiting !== undefined) this.#leave(waiting);
     return waiting;
   }
 
   /** Takes out every request, or every one of an origin. */
-  removeAll(origin?: HostId): Waiting[] {
-    const found = [...this.#waiting.values()].filter(({ ask }) =>
-      origin === undefined || ask.origin === origin
-    );
+  removeAll(origin?: HostId): QueuedRequest[] {
+    const found = [...this.#waiting.values()].filter((
+      { placementRequest: ask },
+    ) => origin === undefined || ask.origin === origin);
     found.forEach((waiting) => this.#leave(waiting));
     return found;
   }
 
   /** Sets the latest start of every request anew. */
-  reviseLatestStarts(revise: (waiting: Waiting) => Milliseconds): void {
+  updateLatestStarts(revise: (waiting: QueuedRequest) => Milliseconds): void {
     for (const waiting of this.#waiting.values()) {
       waiting.latestStart = revise(waiting);
     }
@@ -129,12 +129,12 @@
   }
 
   /** Takes out the requests whose latest start has passed. */
-  removeLate(now: Milliseconds): Waiting[] {
-    const late: Waiting[] = [];
+  removeExpired(now: Milliseconds): QueuedRequest[] {
+    const late: QueuedRequest[] = [];
     let next = this.#byLatestStart.peek();
-    while (next !== undefined && (next.isGone || next.latestStart < now)) {
+    while (next !== undefined && (next.isRemoved || next.latestStart < now)) {
       this.#byLatestStart.pop();
-      if (!next.isGone) {
+      if (!next.isRemoved) {
         this.#leave(next);
         late.push(next);
       }
@@ -147,7 +147,9 @@
    * Takes out the first request, in order, that can start. Blocked ones are
    * passed by and stay; a few in each tier, so that one call stays cheap.
    */
-  take(accept: (waiting: Waiting) => Acceptance): Waiting | undefined {
+  take(
+    accept: (waiting: QueuedRequest) => StartEligibility,
+  ): QueuedRequest | undefined {
     for (const tier of this.#order) {
       const found = tier.take(accept);
       if (found === undefined) continue;
@@ -158,16 +160,16 @@
   }
 
   /** Corrects an account's served tokens once the real length is known. */
-  correctServed(
+  correctServedTokens(
     tier: Tier,
     account: ClientAccountId,
     tokens: number,
   ): void {
-    this.#tiers.get(tier)?.charge(account, tokens);
+    this.#tiers.get(tier)?.addServedTokens(account, tokens);
   }
 
   /** Expected tokens that would be served before a request of this tier, account and length. */
-  tokensAhead(ask: Ask, expectedTokens: number): number {
+  tokensAhead(ask: PlacementRequest, expectedTokens: number): number {
     let ahead = 0;
     for (const tier of this.#order) {
       if (tier.tier < ask.tier) ahead += tier.tokens;
@@ -188,12 +190,12 @@
     return this.#order.findLast(({ size }) => size > 0)?.tier;
   }
 
-  #shedOverflow(): Waiting[] {
-    const shed: Waiting[] = [];
+  #shedOverflow(): QueuedRequest[] {
+    const shed: QueuedRequest[] = [];
     while (
       this.#tokens > this.#maximumTokens || this.#bytes > this.#maximumBytes
     ) {
-      const victim = this.#order.findLast(({ size }) => size > 0)?.costliest();
+      const victim = this.#order.findLast(({ size }) => size > 0)?.largest();
       if (victim === undefined) break;
       this.#leave(victim);
       shed.push(victim);
@@ -201,12 +203,12 @@
     return shed;
   }
 
-  #leave(waiting: Waiting): void {
-    waiting.isGone = true;
-    this.#waiting.delete(waiting.ask.request);
+  #leave(waiting: QueuedRequest): void {
+    waiting.isRemoved = true;
+    this.#waiting.delete(waiting.placementRequest.request);
     this.#tokens -= waiting.expectedTokens;
-    this.#bytes -= waiting.ask.bodyBytes;
-    this.#tiers.get(waiting.ask.tier)!.forget(waiting);
+    this.#bytes -= waiting.placementRequest.bodyBytes;
+    this.#tiers.get(waiting.placementRequest.tier)!.remove(waiting);
     if (this.#byLatestStart.size > 64 + 2 * this.#waiting.size) {
       this.#rebuildByLatestStart();
     }
--- a/packages/decisions/tests/baselineSchedulers.test.ts
+++ b/packages/decisions/tests/baselineSchedulers.test.ts
@@ -1,11 +1,11 @@
 import test from "ava";
 import { asId, type RequestId, SeededRandom } from "@wasabivane/common";
 import {
-  FirstComeScheduler,
   LeastOutstandingScheduler,
+  RoundRobinScheduler,
 } from "@wasabivane/decisions";
 import {
-  buildAsk,
+  buildPlacementRequest,
   buildPolicy,
   describeDecisions,
   upstreamId,
@@ -13,7 +13,7 @@
 
 test("first come goes round the upstreams that do not leave", (t) => {
   const { upstreams, ...policy } = buildPolicy(3);
-  const scheduler = new FirstComeScheduler({
+  const scheduler = new RoundRobinScheduler({
     ...policy,
     upstreams: upstreams.map((description, index) => ({
       ...description,
@@ -21,7 +21,7 @@
     })),
   });
   const decisions = ["a", "b", "c"].flatMap((name) =>
-    scheduler.ask(buildAsk(name), 0)
+    scheduler.submit(buildPlacementRequest(name), 0)
   );
   t.deepEqual(describeDecisions(decisions), [
     "grant a u0",
@@ -31,24 +31,33 @@
 });
 
 test("first come refuses only when no upstream is left", (t) => {
-  const scheduler = new FirstComeScheduler(buildPolicy(0));
-  t.deepEqual(describeDecisions(scheduler.ask(buildAsk("a"), 0)), [
-    "refuse a no-upstream",
-  ]);
+  const scheduler = new RoundRobinScheduler(buildPolicy(0));
+  t.deepEqual(
+    describeDecisions(scheduler.submit(buildPlacementRequest("a"), 0)),
+    [
+      "refuse a no-upstream",
+    ],
+  );
 });
 
 test("least outstanding holds its bounds and grants in order of arrival", (t) => {
   const scheduler = new LeastOutstandingScheduler(
     buildPolicy(1, { maximumConcurrency: 1 }),
-    { random: new SeededRandom(1), queuePerUpstream: 1 },
+    { random: new SeededRandom(1), queueLimitPerUpstream: 1 },
+  );
+  t.deepEqual(
+    describeDecisions(scheduler.submit(buildPlacementRequest("a"), 0)),
+    [
+      "grant a u0",
+    ],
+  );
+  t.deepEqual(scheduler.submit(buildPlacementRequest("b"), 0), []);
+  t.deepEqual(
+    describeDecisions(scheduler.submit(buildPlacementRequest("c"), 0)),
+    [
+      "refuse c shed",
+    ],
   );
-  t.deepEqual(describeDecisions(scheduler.ask(buildAsk("a"), 0)), [
-    "grant a u0",
-  ]);
-  t.deepEqual(scheduler.ask(buildAsk("b"), 0), []);
-  t.deepEqual(describeDecisions(scheduler.ask(buildAsk("c"), 0)), [
-    "refuse c shed",
-  ]);
   const decisions = scheduler.finish({
     request: asId<RequestId>("a"),
     upstream: upstreamId(0),
--- a/packages/decisions/tests/failingUpstreams.test.ts
+++ b/packages/decisions/tests/failingUpstreams.test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import fc from "fast-check";
 import { asId, type Digest } from "@wasabivane/common";
-import { Ejection, Suspects } from "@wasabivane/decisions";
+import { OutlierDetector, PoisonRequestDetector } from "@wasabivane/decisions";
 import { upstreamId } from "./helpers/pools.ts";
 
 test("never more than the given share is ejected, and each comes back", (t) => {
@@ -17,18 +17,18 @@
   });
   fc.assert(
     fc.property(fc.array(failure, { maxLength: 100 }), (failures) => {
-      const ejection = new Ejection({
-        upstreams: 10,
+      const ejection = new OutlierDetector({
+        upstreamCount: 10,
         maximumEjectedShare: 0.3,
       });
       let now = 0;
       for (const { upstream, outcome, gap } of failures) {
         now += gap;
-        ejection.takeReturning(now);
+        ejection.takeExpired(now);
         ejection.observe(upstreamId(upstream), outcome, now);
         t.true(countEjected(ejection) <= 3);
       }
-      ejection.takeReturning(now + 30_000);
+      ejection.takeExpired(now + 30_000);
       t.is(countEjected(ejection), 0);
     }),
     { numRuns: 100, seed: 1 },
@@ -36,15 +36,18 @@
 });
 
 test("an ejection lasts longer each time in a row", (t) => {
-  const ejection = new Ejection({ upstreams: 2, maximumEjectedShare: 1 });
+  const ejection = new OutlierDetector({
+    upstreamCount: 2,
+    maximumEjectedShare: 1,
+  });
   const spans: number[] = [];
   let now = 0;
   for (let round = 0; round < 4; round++) {
     now += 1_000;
     ejection.observe(upstreamId(0), "upstream-refused", now);
-    spans.push(ejection.nextReturn()! - now);
-    now = ejection.nextReturn()!;
-    ejection.takeReturning(now);
+    spans.push(ejection.nextExpiry()! - now);
+    now = ejection.nextExpiry()!;
+    ejection.takeExpired(now);
   }
   t.deepEqual(spans, [1_000, 2_000, 4_000, 8_000]);
 });
@@ -54,49 +57,53 @@
 // request can have caused both; making them all suspect would have dozens of
 // innocents wait for each other.
 test("losses of several upstreams at once make nobody suspect", (t) => {
-  const suspects = new Suspects();
-  suspects.upstreamLost(upstreamId(0), prints("a", "b"), 1_000);
-  suspects.upstreamLost(upstreamId(1), prints("c", "d"), 1_300);
+  const suspects = new PoisonRequestDetector();
+  suspects.recordUpstreamLoss(upstreamId(0), prints("a", "b"), 1_000);
+  suspects.recordUpstreamLoss(upstreamId(1), prints("c", "d"), 1_300);
   const verdicts = prints("a", "b", "c", "d").map((fingerprint) =>
-    suspects.verdict(fingerprint, 2_000).kind
+    suspects.statusOf(fingerprint, 2_000).kind
   );
   t.deepEqual(verdicts, ["clean", "clean", "clean", "clean"]);
 });
 
 test("one that got further than at its first loss is not convicted", (t) => {
-  const suspects = new Suspects();
+  const suspects = new PoisonRequestDetector();
   const [innocent] = prints("a") as [Digest];
-  suspects.upstreamLost(upstreamId(0), [innocent], 0);
-  suspects.lostAfter(innocent, 40, 0);
-  suspects.upstreamLost(upstreamId(1), [innocent], 9_000);
-  suspects.lostAfter(innocent, 400, 9_000);
-  t.is(suspects.verdict(innocent, 9_001).kind, "suspect");
+  suspects.recordUpstreamLoss(upstreamId(0), [innocent], 0);
+  suspects.recordLossProgress(innocent, 40, 0);
+  suspects.recordUpstreamLoss(upstreamId(1), [innocent], 9_000);
+  suspects.recordLossProgress(innocent, 400, 9_000);
+  t.is(suspects.statusOf(innocent, 9_001).kind, "suspect");
 });
 
 test("a conviction that one keeper found holds at another and expires", (t) => {
-  const finder = new Suspects();
+  const finder = new PoisonRequestDetector();
   const [killer] = prints("a") as [Digest];
-  finder.upstreamLost(upstreamId(0), [killer], 0);
-  finder.upstreamLost(upstreamId(1), [killer], 5_000);
-  const told = finder.drainSuspicions(6_000);
-  t.deepEqual(finder.drainSuspicions(6_000), []);
-  const other = new Suspects();
+  finder.recordUpstreamLoss(upstreamId(0), [killer], 0);
+  finder.recordUpstreamLoss(upstreamId(1), [killer], 5_000);
+  const told = finder.drainChangedRecords(6_000);
+  t.deepEqual(finder.drainChangedRecords(6_000), []);
+  const other = new PoisonRequestDetector();
   // The other keeper's clock has another origin.
-  other.importSuspicions(structuredClone(told), 1_000_000);
-  t.is(other.verdict(killer, 1_000_001).kind, "convicted");
-  t.is(other.verdict(killer, 1_000_000 + 3_600_000).kind, "clean");
+  other.importRecords(structuredClone(told), 1_000_000);
+  t.is(other.statusOf(killer, 1_000_001).kind, "convicted");
+  t.is(other.statusOf(killer, 1_000_000 + 3_600_000).kind, "clean");
 });
 
 test("what is remembered of suspects is bounded", (t) => {
-  const suspects = new Suspects({ maximumSuspicions: 100 });
+  const suspects = new PoisonRequestDetector({ maximumRecords: 100 });
   for (let round = 0; round < 50; round++) {
     const names = Array.from({ length: 20 }, (_, index) => `${round}/${index}`);
-    suspects.upstreamLost(upstreamId(round), prints(...names), round * 2_000);
+    suspects.recordUpstreamLoss(
+      upstreamId(round),
+      prints(...names),
+      round * 2_000,
+    );
   }
-  t.true(suspects.exportSuspicions(100_000).length <= 100);
+  t.true(suspects.exportRecords(100_000).length <= 100);
 });
 
-function countEjected(ejection: Ejection): number {
+function countEjected(ejection: OutlierDetector): number {
   return Array.from({ length: 10 }, (_, index) => upstreamId(index))
     .filter((upstream) => ejection.isEjected(upstream)).length;
 }
--- a/packages/decisions/tests/helpers/pools.ts
+++ b/packages/decisions/tests/helpers/pools.ts
@@ -7,15 +7,19 @@
   RequestId,
   UpstreamId,
 } from "@wasabivane/common";
-import type { Ask, Decision, PoolPolicy } from "@wasabivane/decisions";
+import type {
+  Decision,
+  PlacementRequest,
+  PoolPolicy,
+} from "@wasabivane/decisions";
 
 /** An ask with customary values; only what a test is about is given. */
-export function buildAsk(
+export function buildPlacementRequest(
   name: string,
   { account = "account-a", tier = 1, ...rest }:
     & { account?: string; tier?: number }
-    & Partial<Omit<Ask, "account" | "tier">> = {},
-): Ask {
+    & Partial<Omit<PlacementRequest, "account" | "tier">> = {},
+): PlacementRequest {
   return {
     request: asId<RequestId>(name),
     origin: asId<HostId>("host-1"),
@@ -65,7 +69,7 @@
 export function describeDecisions(decisions: readonly Decision[]): string[] {
   return decisions.map((decision) =>
     decision.kind === "grant"
-      ? `grant ${decision.ask.request} ${decision.upstream}`
-      : `refuse ${decision.ask.request} ${decision.reason}`
+      ? `grant ${decision.placementRequest.request} ${decision.upstream}`
+      : `refuse ${decision.placementRequest.request} ${decision.reason}`
   );
 }
--- a/packages/decisions/tests/learning.test.ts
+++ b/packages/decisions/tests/learning.test.ts
@@ -8,9 +8,9 @@
   type UpstreamId,
 } from "@wasabivane/common";
 import {
-  LengthEstimate,
-  SpeedEstimate,
-  UpstreamBound,
+  AdaptiveConcurrencyLimit,
+  OutputLengthEstimator,
+  SpeedEstimator,
 } from "@wasabivane/decisions";
 
 const QUERY = {
@@ -23,12 +23,12 @@
   fc.assert(
     fc.property(fc.integer(), (seed) => {
       const random = new SeededRandom(seed);
-      const lengths = new LengthEstimate();
+      const lengths = new OutputLengthEstimator();
       const seen: number[] = [];
       for (let index = 0; index < 500; index++) {
         const tokens = Math.ceil(150 * Math.exp(0.9 * random.normal()));
         seen.push(tokens);
-        lengths.observe({ ...QUERY, outputTokens: tokens, isWhole: true });
+        lengths.observe({ ...QUERY, outputTokens: tokens, isComplete: true });
       }
       seen.sort((left, right) => left - right);
       const known = lengths.distribution(QUERY);
@@ -43,9 +43,9 @@
 });
 
 test("the chance of a length grows with it and ends at the caller's bound", (t) => {
-  const lengths = new LengthEstimate();
+  const lengths = new OutputLengthEstimator();
   for (let tokens = 10; tokens < 500; tokens += 7) {
-    lengths.observe({ ...QUERY, outputTokens: tokens, isWhole: true });
+    lengths.observe({ ...QUERY, outputTokens: tokens, isComplete: true });
   }
   const known = lengths.distribution({ ...QUERY, maximumOutputTokens: 400 });
   let former = 0;
@@ -58,7 +58,7 @@
 });
 
 test("an estimate of speed follows a slowdown within five answers", (t) => {
-  const speeds = new SpeedEstimate();
+  const speeds = new SpeedEstimator();
   const upstream = asId<UpstreamId>("u0");
   speeds.register(upstream, "a");
   const answer = (msPerToken: number): void =>
@@ -78,7 +78,10 @@
 // as much as before. The bound falls while the first tokens say so, and rises
 // again with them.
 test("the bound of a slow upstream shrinks within seconds and recovers", (t) => {
-  const bound = new UpstreamBound({ initialRequests: 8, maximumRequests: 64 });
+  const bound = new AdaptiveConcurrencyLimit({
+    initialRequests: 8,
+    maximumRequests: 64,
+  });
   let now = 0;
   const observe = (elapsed: number): void => {
     now += 100;
@@ -100,7 +103,10 @@
 });
 
 test("an overdue first token shrinks the bound before it comes", (t) => {
-  const bound = new UpstreamBound({ initialRequests: 16, maximumRequests: 64 });
+  const bound = new AdaptiveConcurrencyLimit({
+    initialRequests: 16,
+    maximumRequests: 64,
+  });
   const sample = {
     backlogTokens: 1_000,
     uncachedTokens: 1_000,
--- a/packages/decisions/tests/limitsAndCache.test.ts
+++ b/packages/decisions/tests/limitsAndCache.test.ts
@@ -9,11 +9,15 @@
 } from "@wasabivane/common";
 import {
   AccountLimits,
-  CacheMap,
   FreeUpstreams,
+  PrefixCacheIndex,
   UpstreamState,
 } from "@wasabivane/decisions";
-import { buildAsk, buildPolicy, upstreamId } from "./helpers/pools.ts";
+import {
+  buildPlacementRequest,
+  buildPolicy,
+  upstreamId,
+} from "./helpers/pools.ts";
 
 const ACCOUNT = asId<ClientAccountId>("account-a");
 
@@ -42,9 +46,9 @@
         let tokens = 0;
         for (const arrival of arrivals) {
           now += arrival.gap;
-          const ask = buildAsk("r");
+          const ask = buildPlacementRequest("r");
           if (limits.check(ask, now).kind === "over") continue;
-          limits.admit(ask, arrival.tokens);
+          limits.charge(ask, arrival.tokens);
           requests++;
           tokens += arrival.tokens;
           const seconds = now / 1_000 + 1;
@@ -65,8 +69,8 @@
     concurrentRequests: 10,
     waitingRequests: 10,
   }]);
-  const ask = buildAsk("r");
-  limits.admit(ask, 4_000);
+  const ask = buildPlacementRequest("r");
+  limits.charge(ask, 4_000);
   const check = limits.check(ask, 0);
   t.is(check.kind, "over");
   if (check.kind !== "over") return;
@@ -83,7 +87,7 @@
   });
   fc.assert(
     fc.property(fc.array(operation, { maxLength: 60 }), (operations) => {
-      const cache = new CacheMap();
+      const cache = new PrefixCacheIndex();
       const held = new Map<UpstreamId, Set<Digest>>();
       const sequences = new Map<UpstreamId, number>();
       operations.forEach(({ upstream, prompt, length, kind }, index) => {
@@ -102,7 +106,7 @@
         if (kind === "cleared") blocks.clear();
         const sequence = (sequences.get(id) ?? 0) + 1;
         sequences.set(id, sequence);
-        cache.apply({
+        cache.applyEvent({
           upstream: id,
           sequence,
           kind: kind as "stored",
@@ -115,7 +119,7 @@
           const chain = chainOf(prompt);
           const missing = chain.findIndex((digest) => !blocks.has(digest));
           const expected = missing < 0 ? chain.length : missing;
-          const found = cache.blocksAt(upstream, chain, now);
+          const found = cache.cachedBlocks(upstream, chain, now);
           // Entries expire after five minutes, so that only older ones may differ.
           if (now < 300_000) t.is(found, expected);
           else t.true(found <= expected);
@@ -127,15 +131,15 @@
 });
 
 test("after a gap in the events, what may have been evicted is doubted", (t) => {
-  const cache = new CacheMap();
+  const cache = new PrefixCacheIndex();
   const upstream = upstreamId(0);
   const chain = chainOf(0);
   const event = { upstream, kind: "stored" as const };
-  cache.apply({ ...event, sequence: 1, digests: chain }, 0);
-  cache.apply({ ...event, sequence: 5, digests: chainOf(1) }, 1_000);
-  t.is(cache.blocksAt(upstream, chain, 2_000), chain.length);
-  t.is(cache.blocksAt(upstream, chain, 40_000), 0);
-  t.is(cache.blocksAt(upstream, chainOf(1), 40_000), chain.length);
+  cache.applyEvent({ ...event, sequence: 1, digests: chain }, 0);
+  cache.applyEvent({ ...event, sequence: 5, digests: chainOf(1) }, 1_000);
+  t.is(cache.cachedBlocks(upstream, chain, 2_000), chain.length);
+  t.is(cache.cachedBlocks(upstream, chain, 40_000), 0);
+  t.is(cache.cachedBlocks(upstream, chainOf(1), 40_000), chain.length);
 });
 
 test("a sample of free upstreams holds only free ones, of each generation", (t) => {
--- a/packages/decisions/tests/poolScheduler.test.ts
+++ b/packages/decisions/tests/poolScheduler.test.ts
@@ -11,7 +11,7 @@
   type PoolSchedulerOptions,
 } from "@wasabivane/decisions";
 import {
-  buildAsk,
+  buildPlacementRequest,
   buildPolicy,
   describeDecisions,
   upstreamId,
@@ -34,9 +34,9 @@
 
 test("a free place goes to the most urgent tier", (t) => {
   const scheduler = buildScheduler(1, { initialConcurrency: 1 });
-  scheduler.ask(buildAsk("running"), 0);
-  scheduler.ask(buildAsk("low", { tier: 4 }), 0);
-  scheduler.ask(buildAsk("high", { tier: 1 }), 1);
+  scheduler.submit(buildPlacementRequest("running"), 0);
+  scheduler.submit(buildPlacementRequest("low", { tier: 4 }), 0);
+  scheduler.submit(buildPlacementRequest("high", { tier: 1 }), 1);
   const decisions = scheduler.finish({
     request: asId<RequestId>("running"),
     upstream: upstreamId(0),
@@ -51,22 +51,26 @@
     initialConcurrency: 1,
     maximumWaitingBytes: 3_000,
   });
-  scheduler.ask(buildAsk("running"), 0);
-  scheduler.ask(buildAsk("low", { tier: 4 }), 0);
+  scheduler.submit(buildPlacementRequest("running"), 0);
+  scheduler.submit(buildPlacementRequest("low", { tier: 4 }), 0);
   t.deepEqual(
-    describeDecisions(scheduler.ask(buildAsk("high", { tier: 1 }), 1)),
+    describeDecisions(
+      scheduler.submit(buildPlacementRequest("high", { tier: 1 }), 1),
+    ),
     ["refuse low shed"],
   );
   t.deepEqual(
-    describeDecisions(scheduler.ask(buildAsk("later", { tier: 3 }), 1)),
+    describeDecisions(
+      scheduler.submit(buildPlacementRequest("later", { tier: 3 }), 1),
+    ),
     ["refuse later shed"],
   );
 });
 
 test("a deadline that cannot be met is refused with the estimate", (t) => {
   const scheduler = buildScheduler(1, {}, { generationTimes: MEDIUM_TIMES });
-  const [decision] = scheduler.ask(
-    buildAsk("late", { promptTokens: 20_000, deadline: 100 }),
+  const [decision] = scheduler.submit(
+    buildPlacementRequest("late", { promptTokens: 20_000, deadline: 100 }),
     0,
   );
   t.is(decision?.kind, "refuse");
@@ -76,8 +80,8 @@
 });
 
 test("a guess at the speed of unknown upstreams refuses nobody", (t) => {
-  const decisions = buildScheduler(1).ask(
-    buildAsk("early", { promptTokens: 20_000, deadline: 100 }),
+  const decisions = buildScheduler(1).submit(
+    buildPlacementRequest("early", { promptTokens: 20_000, deadline: 100 }),
     0,
   );
   t.deepEqual(describeDecisions(decisions), ["grant early u0"]);
@@ -85,15 +89,18 @@
 
 test("an ask that is delivered twice is granted once", (t) => {
   const scheduler = buildScheduler(2);
-  t.is(scheduler.ask(buildAsk("a"), 0).length, 1);
-  t.deepEqual(scheduler.ask(buildAsk("a"), 1), []);
+  t.is(scheduler.submit(buildPlacementRequest("a"), 0).length, 1);
+  t.deepEqual(scheduler.submit(buildPlacementRequest("a"), 1), []);
 });
 
 test("a waiting copy of a convicted request never starts", (t) => {
   const scheduler = buildScheduler(1, { initialConcurrency: 1 });
-  scheduler.ask(buildAsk("running"), 0);
-  scheduler.ask(buildAsk("copy", { fingerprint: asId<Digest>("killer") }), 0);
-  scheduler.importSuspicions([{
+  scheduler.submit(buildPlacementRequest("running"), 0);
+  scheduler.submit(
+    buildPlacementRequest("copy", { fingerprint: asId<Digest>("killer") }),
+    0,
+  );
+  scheduler.importPoisonRecords([{
     fingerprint: asId<Digest>("killer"),
     kind: "convicted",
     remainingMs: 60_000,
@@ -109,8 +116,8 @@
 
 test("when all upstreams leave, whoever waits is told at once", (t) => {
   const scheduler = buildScheduler(1, { initialConcurrency: 1 });
-  scheduler.ask(buildAsk("running"), 0);
-  scheduler.ask(buildAsk("waiting"), 0);
+  scheduler.submit(buildPlacementRequest("running"), 0);
+  scheduler.submit(buildPlacementRequest("waiting"), 0);
   const policy = buildPolicy(1);
   const decisions = scheduler.setPolicy({
     ...policy,
--- a/packages/decisions/tests/waitQueue.test.ts
+++ b/packages/decisions/tests/waitQueue.test.ts
@@ -1,14 +1,18 @@
 import test from "ava";
 import fc from "fast-check";
 import { asId, type RequestId } from "@wasabivane/common";
-import { type Ask, type Waiting, WaitQueue } from "@wasabivane/decisions";
-import { buildAsk } from "./helpers/pools.ts";
+import {
+  type PlacementRequest,
+  type QueuedRequest,
+  WaitQueue,
+} from "@wasabivane/decisions";
+import { buildPlacementRequest } from "./helpers/pools.ts";
 
 const STRETCH = 10;
 const MAXIMUM_TOKENS = 3_000;
 
 interface Entry {
-  readonly ask: Ask;
+  readonly ask: PlacementRequest;
   readonly tokens: number;
   readonly key: number;
   readonly since: number;
@@ -116,12 +120,12 @@
       const queue = new WaitQueue({
         maximumTokens: MAXIMUM_TOKENS,
         maximumBytes: Infinity,
-        stretch: STRETCH,
+        costMultiplier: STRETCH,
       });
       const listed = new ListedQueue();
       steps.forEach((action, now) => {
         if (action.kind === "push") {
-          const ask = buildAsk(`r${now}`, {
+          const ask = buildPlacementRequest(`r${now}`, {
             tier: action.tier,
             account: `account-${action.account}`,
           });
@@ -140,7 +144,7 @@
             since: now,
           });
           t.deepEqual(
-            shed.map((waiting) => waiting.ask.request as string),
+            shed.map((waiting) => waiting.placementRequest.request as string),
             expected,
           );
         } else if (action.kind === "remove") {
@@ -151,8 +155,8 @@
           const taken = queue.take(() => "start");
           t.is(taken === undefined, listed.entries.length === 0);
           if (taken === undefined) return;
-          t.true(listed.mayBeNext(taken.ask.request));
-          listed.take(taken.ask.request);
+          t.true(listed.mayBeNext(taken.placementRequest.request));
+          listed.take(taken.placementRequest.request);
         }
       });
       t.is(queue.size, listed.entries.length);
@@ -165,11 +169,11 @@
 test("requests that found no place do not hide those behind them", (t) => {
   const queue = new WaitQueue({ maximumTokens: 1e6, maximumBytes: 1e6 });
   for (let index = 0; index < 40; index++) {
-    queue.push(buildAsk(`r${index}`), details(index));
+    queue.push(buildPlacementRequest(`r${index}`), details(index));
   }
   const tried = new Set<string>();
-  const refuseAll = (waiting: Waiting): "blocked" => {
-    tried.add(waiting.ask.request);
+  const refuseAll = (waiting: QueuedRequest): "blocked" => {
+    tried.add(waiting.placementRequest.request);
     return "blocked";
   };
   for (let call = 0; call < 10; call++) queue.take(refuseAll);
@@ -179,15 +183,21 @@
 test("an idle account saves up no claim", (t) => {
   const queue = new WaitQueue({ maximumTokens: 1e6, maximumBytes: 1e6 });
   for (let index = 0; index < 20; index++) {
-    queue.push(buildAsk(`busy${index}`, { account: "busy" }), details(index));
+    queue.push(
+      buildPlacementRequest(`busy${index}`, { account: "busy" }),
+      details(index),
+    );
   }
   for (let index = 0; index < 10; index++) queue.take(() => "start");
   for (let index = 0; index < 10; index++) {
-    queue.push(buildAsk(`late${index}`, { account: "late" }), details(index));
+    queue.push(
+      buildPlacementRequest(`late${index}`, { account: "late" }),
+      details(index),
+    );
   }
   const next = Array.from(
     { length: 6 },
-    () => queue.take(() => "start")!.ask.account as string,
+    () => queue.take(() => "start")!.placementRequest.account as string,
   );
   t.is(next.filter((account) => account === "late").length, 3);
 });
--- a/packages/proof/src/decisionBench.ts
+++ b/packages/proof/src/decisionBench.ts
@@ -11,8 +11,8 @@
   type UpstreamId,
 } from "@wasabivane/common";
 import {
-  type Ask,
   type Decision,
+  type PlacementRequest,
   type PoolPolicy,
   PoolScheduler,
 } from "@wasabivane/decisions";
@@ -97,7 +97,7 @@
       const start = performance.now();
       this.#settle();
       const settled = performance.now();
-      const decisions = this.#scheduler.ask(ask, this.#now);
+      const decisions = this.#scheduler.submit(ask, this.#now);
       this.askMs += performance.now() - settled;
       this.otherMs += settled - start;
       this.#follow(decisions);
@@ -117,7 +117,7 @@
       this.#firstTokens[this.#nextFirstToken]?.firstTokenAt! <= this.#now
     ) {
       const { request } = this.#firstTokens[this.#nextFirstToken++]!;
-      this.#scheduler.firstToken(request, this.#now);
+      this.#scheduler.recordFirstToken(request, this.#now);
     }
     while (this.#running[this.#nextEnd]?.endsAt! <= this.#now) {
       const { request, upstream } = this.#running[this.#nextEnd++]!;
@@ -132,7 +132,7 @@
     for (const decision of decisions) {
       if (decision.kind === "refuse") continue;
       const running = {
-        request: decision.ask.request,
+        request: decision.placementRequest.request,
         upstream: decision.upstream,
         firstTokenAt: this.#now + FIRST_TOKEN_MS,
         endsAt: this.#now + ANSWER_MS,
@@ -143,7 +143,7 @@
     }
   }
 
-  #buildAsk(): Ask {
+  #buildAsk(): PlacementRequest {
     const number = this.#asked++;
     const account = `account-${this.#random.int(ACCOUNTS)}`;
     const prefix = this.#random.int(64);
--- a/packages/proof/src/experiment.ts
+++ b/packages/proof/src/experiment.ts
@@ -9,9 +9,9 @@
   VirtualTimer,
 } from "@wasabivane/common";
 import type {
-  Ask,
   AttemptOutcome,
   Decision,
+  PlacementRequest,
   PoolPolicy,
   Scheduler,
 } from "@wasabivane/decisions";
@@ -35,7 +35,7 @@
 /** One request as its caller sent it; a resend is another. */
 interface Sending {
   readonly arrival: Arrival;
-  readonly ask: Ask;
+  readonly ask: PlacementRequest;
   readonly resends: number;
   state: "waiting" | "running" | "ended";
   engine?: Engine;
@@ -141,12 +141,12 @@
 
   #ask(sending: Sending): void {
     this.#waiting.set(sending.ask.request, sending);
-    this.#follow(this.#scheduler.ask(sending.ask, this.#timer.now()));
+    this.#follow(this.#scheduler.submit(sending.ask, this.#timer.now()));
   }
 
   #follow(decisions: readonly Decision[]): void {
     for (const decision of decisions) {
-      const sending = this.#sendings.get(decision.ask.request)!;
+      const sending = this.#sendings.get(decision.placementRequest.request)!;
       if (decision.kind === "refuse") {
         this.#refuse(sending, decision);
       } else {
@@ -237,7 +237,7 @@
       case "firstToken":
         sending.outputTokens = 1;
         this.tally.firstToken(arrival, this.#timer.now() - arrival.at);
-        this.#scheduler.firstToken(ask.request, this.#timer.now());
+        this.#scheduler.recordFirstToken(ask.request, this.#timer.now());
         if (arrival.isKiller) this.#crashSoon(engine);
         return;
       case "tokens":
@@ -348,7 +348,7 @@
       const now = this.#timer.now();
       const load = engine.model.loadReport();
       if (load === undefined) continue;
-      this.#follow(this.#scheduler.reportLoad({
+      this.#follow(this.#scheduler.applyLoadReport({
         upstream,
         takenAt: load.takenAt,
         runningRequests: load.running,
@@ -357,7 +357,7 @@
       }, now));
       for (const event of engine.model.cacheEvents(engine.cacheSequence)) {
         engine.cacheSequence = event.sequence;
-        this.#scheduler.reportCache({ upstream, ...event }, now);
+        this.#scheduler.applyCacheEvent({ upstream, ...event }, now);
       }
     }
   }
@@ -403,7 +403,7 @@
   }
 }
 
-function buildAsk(arrival: Arrival, resends: number): Ask {
+function buildAsk(arrival: Arrival, resends: number): PlacementRequest {
   return {
     request: asId<RequestId>(`${arrival.id}/${resends}`),
     origin: asId<HostId>("entry"),
--- a/packages/proof/src/experimentPolicies.ts
+++ b/packages/proof/src/experimentPolicies.ts
@@ -1,7 +1,7 @@
 import {
-  FirstComeScheduler,
   LeastOutstandingScheduler,
   PoolScheduler,
+  RoundRobinScheduler,
 } from "@wasabivane/decisions";
 import type { Deployment } from "./arrivals.ts";
 import { buildScenario, type Pattern } from "./arrivalPatterns.ts";
@@ -11,7 +11,7 @@
 
 /** The policies that are compared, by name. */
 export const POLICIES: Readonly<Record<string, SchedulerBuilder>> = {
-  naive: (policy) => new FirstComeScheduler(policy),
+  naive: (policy) => new RoundRobinScheduler(policy),
   leastOutstanding: (policy, random) =>
     new LeastOutstandingScheduler(policy, { random }),
   wasabivane: (policy, random) => new PoolScheduler(policy, { random }),
--- a/packages/proof/src/slopePool.ts
+++ b/packages/proof/src/slopePool.ts
@@ -17,7 +17,7 @@
   PoolKeeper,
   type PoolMember,
 } from "@wasabivane/coordination";
-import { type Ask, PoolScheduler } from "@wasabivane/decisions";
+import { type PlacementRequest, PoolScheduler } from "@wasabivane/decisions";
 import { processorMsSince } from "./slopeMeasure.ts";
 import type { SlopePoint } from "./slope.ts";
 import { slopeAsk, slopePolicy } from "./slopeScheduler.ts";
@@ -118,7 +118,7 @@
   /** Takes one request from its ask to its end. */
   run(
     service: ServiceId,
-    { ask, lengthMs }: { ask: Ask; lengthMs: Milliseconds },
+    { ask, lengthMs }: { ask: PlacementRequest; lengthMs: Milliseconds },
   ): void {
     this.#client.submit(service, ask, {
       decide: (decision) => {
--- a/packages/proof/src/slopeScheduler.ts
+++ b/packages/proof/src/slopeScheduler.ts
@@ -12,8 +12,8 @@
   type UpstreamId,
 } from "@wasabivane/common";
 import {
-  type Ask,
   type Decision,
+  type PlacementRequest,
   type PoolPolicy,
   PoolScheduler,
 } from "@wasabivane/decisions";
@@ -85,7 +85,7 @@
     accounts?: number;
     origin?: string;
   } = {},
-): Ask {
+): PlacementRequest {
   const account = accountId(number % accounts);
   const prompt = `request ${number}`.padEnd(PROMPT_BYTES, " word");
   return {
@@ -143,7 +143,7 @@
         slopePolicy(1, { initialConcurrency: 1, maximumConcurrency: 1 }),
       );
       for (let number = 0; number <= count; number++) {
-        scheduler.ask(slopeAsk(number), number / 100);
+        scheduler.submit(slopeAsk(number), number / 100);
       }
       return scheduler;
     }),
@@ -200,7 +200,7 @@
   from: number,
   count: number,
   options: { accounts?: number } = {},
-): Ask[] {
+): PlacementRequest[] {
   return Array.from(
     { length: count },
     (_, index) => slopeAsk(from + index, options),
@@ -213,8 +213,8 @@
   { from, count }: { from: number; count: number },
 ): void {
   for (const ask of asksFrom(from, count)) {
-    scheduler.ask(ask, 0);
-    scheduler.firstToken(ask.request, 0);
+    scheduler.submit(ask, 0);
+    scheduler.recordFirstToken(ask.request, 0);
   }
 }
 
@@ -224,13 +224,13 @@
  */
 function serve(
   scheduler: PoolScheduler,
-  asks: readonly Ask[],
+  asks: readonly PlacementRequest[],
   { from = 0 }: { from?: Milliseconds } = {},
 ): Milliseconds {
   let now = from;
   const running: Grant[] = [];
   const endOldest = (): void => {
-    const { ask, upstream } = running.shift()!;
+    const { placementRequest: ask, upstream } = running.shift()!;
     const { request } = ask;
     const outcome = "whole";
     running.push(...grantsOf(
@@ -240,10 +240,10 @@
   for (const [index, ask] of asks.entries()) {
     now += ARRIVAL_MS;
     const due = { ...ask, deadline: now + HOUR_MS };
-    running.push(...grantsOf(scheduler.ask(due, now)));
+    running.push(...grantsOf(scheduler.submit(due, now)));
     const youngest = running.at(-PREFILLING);
     if (youngest !== undefined) {
-      scheduler.firstToken(youngest.ask.request, now);
+      scheduler.recordFirstToken(youngest.placementRequest.request, now);
     }
     if (running.length > RUNNING_AT_ONCE) endOldest();
     if (index % ARRIVALS_PER_TICK !== 0) continue;
