--- a/apps/entry/src/answerRelay.ts
+++ b/apps/entry/src/answerRelay.ts
@@ -9,10 +9,10 @@
   type TimerSubscription,
 } from "@wasabivane/common";
 import {
-  ANSWER_PIECE,
-  ANSWER_READ,
-  type AnswerPiece,
-  type AnswerRead,
+  RESPONSE_CHUNK,
+  RESPONSE_READ_REQUEST,
+  type ResponseChunk,
+  type ResponseReadRequest,
   sendMessage,
   subscribeMessage,
 } from "@wasabivane/coordination";
@@ -79,12 +79,12 @@
     this.#subscriptions.push(
       subscribeMessage(
         link,
-        ANSWER_READ,
+        RESPONSE_READ_REQUEST,
         (from, body) => this.#onRead(from, body),
       ),
       subscribeMessage(
         link,
-        ANSWER_PIECE,
+        RESPONSE_CHUNK,
         (from, body) => this.#onPiece(from, body),
       ),
     );
@@ -133,8 +133,8 @@
     const read = this.#reads;
     relay.read = read;
     this.#relays.set(read, relay);
-    const body: AnswerRead = { request, read, position };
-    sendMessage(link, ANSWER_READ, { to: owner, body });
+    const body: ResponseReadRequest = { request, read, position };
+    sendMessage(link, RESPONSE_READ_REQUEST, { to: owner, body });
     relay.retry = timer.after(RETRY_MS, () => {
       relay.retries++;
       if (relay.retries > MAX_RETRIES) relay.finish("owner-lost");
@@ -149,14 +149,14 @@
     relay.read = undefined;
   }
 
-  #onPiece(from: HostId, piece: AnswerPiece): void {
+  #onPiece(from: HostId, piece: ResponseChunk): void {
     const relay = this.#relays.get(piece.read);
     if (relay === undefined || relay.owner !== from) return;
     this.#endRead(relay);
     this.#take(relay, piece);
   }
 
-  #take(relay: Relay, piece: AnswerPiece): void {
+  #take(relay: Relay, piece: ResponseChunk): void {
     relay.retries = 0;
     if (!piece.isKept) {
       relay.finish("not-kept");
@@ -177,7 +177,7 @@
     void record.whenRoom().then(() => this.#read(relay));
   }
 
-  #onRead(from: HostId, asked: AnswerRead): void {
+  #onRead(from: HostId, asked: ResponseReadRequest): void {
     const { request, position } = asked;
     const record = this.#options.recordOf(request);
     if (record === undefined || !record.canReplay) {
@@ -193,7 +193,7 @@
 
   #holdUntilNews(
     record: AnswerRecord,
-    { asked, from }: { asked: AnswerRead; from: HostId },
+    { asked, from }: { asked: ResponseReadRequest; from: HostId },
   ): void {
     let isSent = false;
     const send = (): void => {
@@ -208,16 +208,19 @@
     void reader?.next().then(send);
   }
 
-  #reply(to: HostId, body: AnswerPiece): void {
+  #reply(to: HostId, body: ResponseChunk): void {
     this.#options.metrics.count("answer.piece_sent");
-    sendMessage(this.#options.link, ANSWER_PIECE, { to, body });
+    sendMessage(this.#options.link, RESPONSE_CHUNK, { to, body });
   }
 }
 
-function pieceOf(record: AnswerRecord, asked: AnswerRead): AnswerPiece {
+function pieceOf(
+  record: AnswerRecord,
+  asked: ResponseReadRequest,
+): ResponseChunk {
   const parts: Uint8Array[] = [];
-  let head: Partial<AnswerPiece> = {};
-  let end: Partial<AnswerPiece> = {};
+  let head: Partial<ResponseChunk> = {};
+  let end: Partial<ResponseChunk> = {};
   let bytes = 0;
   let at = asked.position;
   while (bytes < MAX_PIECE_BYTES && parts.length < MAX_PIECE_PARTS) {
@@ -241,7 +244,7 @@
   return { ...asked, isKept: true, parts, ...head, ...end };
 }
 
-function headersOf({ headers = [] }: AnswerPiece): Record<string, string> {
+function headersOf({ headers = [] }: ResponseChunk): Record<string, string> {
   return Object.fromEntries(headers.map(({ name, value }) => [name, value]));
 }
 
--- a/apps/entry/src/entryHost.ts
+++ b/apps/entry/src/entryHost.ts
@@ -126,7 +126,7 @@
     const { settings } = this.#options;
     const { keeper, pools, service, keyed, jobs } = this.#parts;
     const signed = this.#blackboard.read(BUNDLE_IN_FORCE);
-    const kept = [...keeper.kept()].map(([service, scheduler]) => ({
+    const kept = [...keeper.schedulers()].map(([service, scheduler]) => ({
       service,
       ...scheduler.status(),
     }));
--- a/apps/entry/src/exchange.ts
+++ b/apps/entry/src/exchange.ts
@@ -346,7 +346,10 @@
       signal: this.#abort.signal,
       onFirstToken: () => {
         this.#metrics.firstToken();
-        pools.firstToken(this.request.service.service, this.request.request);
+        pools.recordFirstToken(
+          this.request.service.service,
+          this.request.request,
+        );
       },
       onToken: () => this.#metrics.token(),
       onSafeguard: (name) => metrics.count(`safeguard.${name}`),
--- a/apps/entry/src/hostParts.ts
+++ b/apps/entry/src/hostParts.ts
@@ -17,19 +17,19 @@
   BUNDLE_IN_FORCE,
   type ConfigurationChange,
   ConfigurationController,
-  FLEET_SHARE,
   HOST_LIST,
   JobController,
   KeyService,
   type Member,
   MEMBERS,
   MembershipController,
+  POISON_RECORDS,
+  PoisonRecordController,
   PoolClient,
-  PoolKeeper,
-  type SharedSuspicion,
+  PoolCoordinator,
+  REACHABLE_SHARE,
+  type SharedPoisonRecord,
   StopController,
-  SuspicionController,
-  SUSPICIONS,
   ViewController,
 } from "@wasabivane/coordination";
 import {
@@ -52,7 +52,7 @@
 /** Everything that runs on an entry host, joined through the blackboard. */
 export interface HostParts {
   readonly pools: PoolClient;
-  readonly keeper: PoolKeeper;
+  readonly keeper: PoolCoordinator;
   readonly service: EntryService;
   readonly keys: KeyService;
   readonly keyed: KeyedService;
@@ -85,7 +85,7 @@
   const shared = sharedOf(options, { blackboard, metrics });
   const pools: PoolClient = new PoolClient({
     ...shared,
-    localKeeper: () => keeper,
+    localCoordinator: () => keeper,
   });
   const keeper = createKeeper(shared, pools);
   const services: ExchangeServices = {
@@ -171,19 +171,19 @@
   };
 }
 
-function createKeeper(shared: Shared, pools: PoolClient): PoolKeeper {
+function createKeeper(shared: Shared, pools: PoolClient): PoolCoordinator {
   const { blackboard, random } = shared;
-  return new PoolKeeper({
+  return new PoolCoordinator({
     ...shared,
-    fleetShare: FLEET_SHARE,
+    reachableShare: REACHABLE_SHARE,
     policyOf: (service) => policyOf(service, blackboard),
     createScheduler: (service, policy) => {
       const scheduler = new PoolScheduler(policy, { random });
       recallSuspicions(scheduler, { service, shared });
       return scheduler;
     },
-    decideLocally: (service, decision) =>
-      pools.decideLocally(service, decision),
+    onLocalDecision: (service, decision) =>
+      pools.applyLocalDecision(service, decision),
   });
 }
 
@@ -196,7 +196,7 @@
   scheduler: Scheduler,
   { service, shared }: { service: ServiceId; shared: Shared },
 ): void {
-  const known = shared.blackboard.read(SUSPICIONS)
+  const known = shared.blackboard.read(POISON_RECORDS)
     .filter((suspicion) => suspicion.service === service);
   scheduler.importPoisonRecords(known.flatMap(suspicionOf), shared.timer.now());
 }
@@ -252,14 +252,14 @@
 
 function createUpstreamWatch(
   { client }: EntryHostOptions,
-  { shared, keeper }: { shared: Shared; keeper: PoolKeeper },
+  { shared, keeper }: { shared: Shared; keeper: PoolCoordinator },
 ): UpstreamWatch {
   const { blackboard } = shared;
   return new UpstreamWatch({
     ...shared,
     client,
     bundle: () => blackboard.read(BUNDLE_IN_FORCE)?.bundle,
-    keptServices: () => keeper.kept().keys(),
+    keptServices: () => keeper.schedulers().keys(),
     onLoad: (service, report) => keeper.reportLoad(service, report),
     onCache: (service, event) => keeper.reportCache(service, event),
   });
@@ -267,24 +267,27 @@
 
 function createSuspicions(
   shared: Shared,
-  keeper: PoolKeeper,
-): SuspicionController {
+  keeper: PoolCoordinator,
+): PoisonRecordController {
   const { timer } = shared;
-  return new SuspicionController({
+  return new PoisonRecordController({
     ...shared,
     drain: () =>
-      [...keeper.kept()].map(([service, scheduler]) => ({
+      [...keeper.schedulers()].map(([service, scheduler]) => ({
         service,
         suspicions: scheduler.drainPoisonRecords(timer.now()),
       })).filter(({ suspicions }) => suspicions.length > 0),
-    absorb: ({ service, suspicions }) =>
-      keeper.kept().get(service)?.importPoisonRecords(suspicions, timer.now()),
+    importPoisonRecords: ({ service, suspicions }) =>
+      keeper.schedulers().get(service)?.importPoisonRecords(
+        suspicions,
+        timer.now(),
+      ),
   });
 }
 
 /** Ejections concern upstreams; each keeper judges those by its own signals. */
 function suspicionOf(
-  { kind, subject, remainingMs }: SharedSuspicion,
+  { kind, subject, remainingMs }: SharedPoisonRecord,
 ): PoisonRecord[] {
   if (kind === "ejected") return [];
   return [{ kind, fingerprint: subject as Digest, remainingMs }];
--- a/apps/entry/src/jobDesk.ts
+++ b/apps/entry/src/jobDesk.ts
@@ -13,8 +13,8 @@
 import { sleep } from "@wasabivane/common";
 import {
   JOB_KEY_LIFETIME_MS,
-  type JobAnswer,
   type JobRefusal,
+  type JobResponse,
   type JobService,
   type KeyService,
   type OwnedKey,
@@ -176,7 +176,7 @@
     { account, outgoing, answer }: {
       account: ClientAccountId;
       outgoing: ServerResponse;
-      answer: JobAnswer;
+      answer: JobResponse;
     },
   ): void {
     outgoing.once(
--- a/apps/entry/src/jobRunner.ts
+++ b/apps/entry/src/jobRunner.ts
@@ -14,8 +14,8 @@
 import type { SignedBundle } from "@wasabivane/bundle";
 import type {
   Job,
-  JobAnswer,
   JobDispatch,
+  JobResponse,
   JobService,
   JobTakeover,
   ReadyJob,
@@ -264,7 +264,7 @@
 function jobAnswerOf(
   end: AnswerEnd,
   whole?: { head: AnswerHead | undefined; body: Buffer },
-): JobAnswer {
+): JobResponse {
   if (end.kind === "whole") {
     const { status = 200, headers = {} } = whole?.head ?? {};
     return {
--- a/apps/entry/tests/tls.test.ts
+++ b/apps/entry/tests/tls.test.ts
@@ -9,7 +9,7 @@
   SystemTimer,
 } from "@wasabivane/common";
 import {
-  ANSWER_READ,
+  RESPONSE_READ_REQUEST,
   sendMessage,
   WebSocketLink,
 } from "@wasabivane/coordination";
@@ -169,7 +169,7 @@
     addresses: new Map([[ENTRY, `127.0.0.1:${peerPort}`]]),
   });
   t.teardown(() => link.close());
-  sendMessage(link, ANSWER_READ, {
+  sendMessage(link, RESPONSE_READ_REQUEST, {
     to: ENTRY,
     body: { request: asId("request"), read: 1, position: 0 },
   });
--- a/packages/coordination/src/keyOwner.ts
+++ b/packages/coordination/src/claimTable.ts
@@ -1,6 +1,6 @@
 import type { EpochMilliseconds, HostId } from "@wasabivane/common";
-import { HOST_SKEW_MS } from "./idempotencyKeys.ts";
-import type { Claim, ClaimAnswer } from "./keyClaims.ts";
+import { MAX_HOST_CLOCK_SKEW_MS } from "./idempotencyKeys.ts";
+import type { Claim, ClaimReply } from "./keyClaims.ts";
 
 /** What became of one own claim. */
 export type OwnClaimState =
@@ -17,11 +17,11 @@
   readonly home: HostId;
   readonly state: OwnClaimState;
   /** Updates sent to the home so far. */
-  readonly updates: number;
+  readonly lastSequence: number;
 }
 
 /** What to do about an answer of a home. */
-export type AnswerAction =
+export type ReplyAction =
   | "ignore"
   /** The claim ended with it. */
   | "settle"
@@ -34,7 +34,7 @@
  * The claims of one process. A grant allows one dispatch: it is spent by the
  * first one and void after a release, whatever messages arrive late or twice.
  */
-export class KeyOwner {
+export class ClaimTable {
   readonly claims: Map<string, OwnClaim>;
 
   constructor(
@@ -43,21 +43,21 @@
     this.claims = claims;
   }
 
-  begin(claim: Claim, home: HostId): void {
+  add(claim: Claim, home: HostId): void {
     this.claims.set(claim.claimId, {
       claim,
       home,
       state: "pending",
-      updates: 0,
+      lastSequence: 0,
     });
   }
 
   /** Takes a home's answer. */
-  take(
+  applyReply(
     claimId: string,
-    answer: ClaimAnswer,
+    answer: ClaimReply,
     { from }: { from: HostId },
-  ): AnswerAction {
+  ): ReplyAction {
     const own = this.claims.get(claimId);
     if (own === undefined || own.home !== from) return "ignore";
     const isGrant = answer.kind === "granted";
@@ -83,7 +83,7 @@
    * may be written. A process that slept past the key's lifetime must not write:
    * the home forgot the key, and callers were told so.
    */
-  spend(claimId: string, wallNow: EpochMilliseconds): boolean {
+  consumeGrant(claimId: string, wallNow: EpochMilliseconds): boolean {
     const own = this.claims.get(claimId);
     if (own?.state !== "owned") return false;
     if (wallNow >= expiryOf(own.claim)) return false;
@@ -92,7 +92,7 @@
   }
 
   /** Takes a spent grant back whose connection was refused before a byte left; false when it was not spent. */
-  refund(claimId: string): boolean {
+  restoreGrant(claimId: string): boolean {
     const own = this.claims.get(claimId);
     if (own?.state !== "dispatched") return false;
     this.#setState(own, "owned");
@@ -100,11 +100,11 @@
   }
 
   /** Numbers the next update to the home. */
-  nextUpdate(claimId: string): number {
+  nextSequence(claimId: string): number {
     const own = this.claims.get(claimId);
     if (own === undefined) return 1;
-    const updates = own.updates + 1;
-    this.claims.set(claimId, { ...own, updates });
+    const updates = own.lastSequence + 1;
+    this.claims.set(claimId, { ...own, lastSequence: updates });
     return updates;
   }
 
@@ -117,9 +117,9 @@
   }
 
   /** Forgets claims whose key is past use; until then a late grant finds its claim. */
-  purge(wallNow: EpochMilliseconds): void {
+  removeExpired(wallNow: EpochMilliseconds): void {
     for (const [claimId, { claim, state }] of this.claims) {
-      const isOver = expiryOf(claim) + 2 * HOST_SKEW_MS < wallNow;
+      const isOver = expiryOf(claim) + 2 * MAX_HOST_CLOCK_SKEW_MS < wallNow;
       if (isOver && state !== "pending") this.claims.delete(claimId);
     }
   }
--- a/packages/coordination/src/configurationController.ts
+++ b/packages/coordination/src/configurationController.ts
@@ -20,22 +20,22 @@
 import type { Result } from "neverthrow";
 import { ConfigurationDocuments } from "./configurationDocuments.ts";
 import {
-  ConfigurationFetches,
-  type KnownConfiguration,
-} from "./configurationFetches.ts";
+  ConfigurationFetcher,
+  type LocalConfiguration,
+} from "./configurationFetcher.ts";
 import {
   CONFIGURATION_NOTICE,
   DOCUMENT_CHUNK,
   DOCUMENT_REQUEST,
 } from "./configurationMessages.ts";
 import {
-  type BundleMark,
-  compareMarks,
+  type BundleIdentity,
+  bundleIdentityOf,
+  compareBundles,
+  ConfigurationGossip,
   type ConfigurationNotice,
-  ConfigurationSpread,
-  markOf,
-  shouldTake,
-} from "./configurationSpread.ts";
+  shouldReplace,
+} from "./configurationGossip.ts";
 import { sendMessage, subscribeMessage } from "./peerMessages.ts";
 import { PlatformWatch } from "./platformWatch.ts";
 
@@ -46,13 +46,13 @@
 /** Peers told at once of a change; each of them tells as many on. */
 const CHANGE_FANOUT = 4;
 /** How long a fresh host hears out its peers before the service alone suffices. */
-export const PEER_WAIT_MS: Milliseconds = 1_000;
+export const PEER_CONFIRMATION_WAIT_MS: Milliseconds = 1_000;
 /** The same while peers name a newer bundle that they have not passed on yet. */
 const OUTDONE_WAIT_MS: Milliseconds = 4_000;
 
 /** A version that some host has in force, as last heard. */
 export interface HostVersion {
-  readonly mark: BundleMark | undefined;
+  readonly mark: BundleIdentity | undefined;
   readonly hostListVersion: number;
   /** On this host's monotonic clock. */
   readonly heardAt: Milliseconds;
@@ -96,7 +96,7 @@
 
 /** A change of state worth a log line. */
 export type ConfigurationChange =
-  | { readonly kind: "in-force"; readonly mark: BundleMark }
+  | { readonly kind: "in-force"; readonly mark: BundleIdentity }
   | {
     readonly kind: "rejected";
     readonly from: string;
@@ -104,8 +104,8 @@
   }
   | {
     readonly kind: "conflict";
-    readonly kept: BundleMark;
-    readonly dropped: BundleMark;
+    readonly kept: BundleIdentity;
+    readonly dropped: BundleIdentity;
   };
 
 /**
@@ -114,9 +114,9 @@
  */
 export class ConfigurationController extends Controller {
   readonly #options: ConfigurationControllerOptions;
-  readonly #spread: ConfigurationSpread;
+  readonly #spread: ConfigurationGossip;
   readonly #documents = new ConfigurationDocuments();
-  readonly #fetches: ConfigurationFetches;
+  readonly #fetches: ConfigurationFetcher;
   readonly #bundleWatch: PlatformWatch<SignedBundle>;
   readonly #hostListWatch: PlatformWatch<HostList>;
   readonly #endings: (() => void)[] = [];
@@ -130,13 +130,13 @@
     const { link, timer, random, metrics } = options;
     this.#options = options;
     this.#startedAt = timer.now();
-    this.#spread = new ConfigurationSpread(link.self, this.#startedAt);
-    this.#fetches = new ConfigurationFetches({
+    this.#spread = new ConfigurationGossip(link.self, this.#startedAt);
+    this.#fetches = new ConfigurationFetcher({
       link,
       timer,
       random,
       metrics,
-      spread: this.#spread,
+      gossip: this.#spread,
       documents: this.#documents,
       onBundle: (signed, from) => this.#onBundleFetched(signed, from),
       onHostList: (hostList) => this.#takeHostList(hostList),
@@ -145,7 +145,7 @@
       timer,
       random,
       metrics,
-      onAnswer: () => this.#spread.noteOwnRead(timer.now()),
+      onResponse: () => this.#spread.recordOwnRead(timer.now()),
     };
     this.#bundleWatch = new PlatformWatch({
       ...shared,
@@ -156,7 +156,7 @@
     this.#hostListWatch = new PlatformWatch({
       ...shared,
       value: "host-list",
-      onAnswer: () => {},
+      onResponse: () => {},
       read: (watch) => options.hostListSource.read(watch),
       onValue: (hostList) => this.#takeHostList(hostList),
     });
@@ -184,7 +184,7 @@
       subscribeMessage(
         link,
         DOCUMENT_CHUNK,
-        (from, chunk) => this.#fetches.take(from, chunk),
+        (from, chunk) => this.#fetches.onChunk(from, chunk),
       ),
     );
     this.#ticking = [
@@ -219,7 +219,9 @@
     this.#confirm();
     this.#fetches.poll(this.#known());
     // A fresh host asks its peers first; they may know more than a stale service.
-    if (this.#inForce === undefined && this.#age(now) < PEER_WAIT_MS) return;
+    if (
+      this.#inForce === undefined && this.#age(now) < PEER_CONFIRMATION_WAIT_MS
+    ) return;
     if (!this.#spread.shouldRead(now)) return;
     this.#bundleWatch.poll();
     this.#hostListWatch.poll();
@@ -229,13 +231,13 @@
     return now - this.#startedAt;
   }
 
-  #known(): KnownConfiguration {
+  #known(): LocalConfiguration {
     return { inForce: this.#inForce, hostListVersion: this.#hostListVersion };
   }
 
   #onNotice(from: HostId, notice: ConfigurationNotice): void {
     const now = this.#options.timer.now();
-    this.#spread.hear(from, { notice, now });
+    this.#spread.applyNotice(from, { notice, now });
     this.#publishVersions();
     if (this.#isBehind(notice)) this.#tell(from);
     this.#confirm();
@@ -244,8 +246,8 @@
 
   #isBehind(notice: ConfigurationNotice): boolean {
     if (notice.hostListVersion < this.#hostListVersion) return true;
-    const own = this.#inForce && markOf(this.#inForce);
-    return own !== undefined && shouldTake(own, notice.inForce);
+    const own = this.#inForce && bundleIdentityOf(this.#inForce);
+    return own !== undefined && shouldReplace(own, notice.inForce);
   }
 
   #onBundleRead(signed: SignedBundle): void {
@@ -253,7 +255,10 @@
     if (verified === undefined) return;
     if (this.#inForce !== undefined) return this.#take(verified);
     const isNewer = this.#unconfirmed === undefined ||
-      shouldTake(markOf(verified), markOf(this.#unconfirmed));
+      shouldReplace(
+        bundleIdentityOf(verified),
+        bundleIdentityOf(this.#unconfirmed),
+      );
     if (isNewer) this.#unconfirmed = verified;
     this.#confirm();
   }
@@ -266,11 +271,11 @@
   #confirm(): void {
     const candidate = this.#unconfirmed;
     if (candidate === undefined) return;
-    const heard = this.#spread.newestHeard(this.#options.timer.now());
+    const heard = this.#spread.newestAnnouncedBundle(this.#options.timer.now());
     const isOutdone = heard !== undefined &&
-      shouldTake(heard.mark, markOf(candidate));
+      shouldReplace(heard.mark, bundleIdentityOf(candidate));
     const isConfirmed = heard !== undefined && !isOutdone;
-    const wait = isOutdone ? OUTDONE_WAIT_MS : PEER_WAIT_MS;
+    const wait = isOutdone ? OUTDONE_WAIT_MS : PEER_CONFIRMATION_WAIT_MS;
     const hasWaited = this.#age(this.#options.timer.now()) >= wait;
     if (!isConfirmed && !hasWaited) return;
     this.#unconfirmed = undefined;
@@ -294,14 +299,14 @@
 
   #take(signed: SignedBundle): void {
     const { blackboard, metrics, log } = this.#options;
-    const offered = markOf(signed);
-    const inForce = this.#inForce && markOf(this.#inForce);
-    const order = compareMarks(offered, inForce);
+    const offered = bundleIdentityOf(signed);
+    const inForce = this.#inForce && bundleIdentityOf(this.#inForce);
+    const order = compareBundles(offered, inForce);
     if (order === "older") metrics.count("bundles_stale");
     if (inForce !== undefined && order.startsWith("conflict")) {
       this.#alarm(offered, inForce);
     }
-    if (!shouldTake(offered, inForce)) return;
+    if (!shouldReplace(offered, inForce)) return;
     this.#documents.setBundle(signed);
     blackboard.write(BUNDLE_IN_FORCE, signed);
     metrics.count("bundles_in_force");
@@ -310,13 +315,13 @@
     this.#tellSome(CHANGE_FANOUT);
   }
 
-  #alarm(offered: BundleMark, inForce: BundleMark): void {
+  #alarm(offered: BundleIdentity, inForce: BundleIdentity): void {
     const key = [offered.root, inForce.root].sort().join(" ");
     this.#options.metrics.count("bundle_conflicts");
     if (this.#knownConflicts.has(key)) return;
     this.#knownConflicts.clear();
     this.#knownConflicts.add(key);
-    const wins = shouldTake(offered, inForce);
+    const wins = shouldReplace(offered, inForce);
     const kept = wins ? offered : inForce;
     const dropped = wins ? inForce : offered;
     this.#options.log?.({ kind: "conflict", kept, dropped });
@@ -332,7 +337,7 @@
   #notice(): ConfigurationNotice {
     const signed = this.#inForce;
     return {
-      ...(signed && { inForce: markOf(signed) }),
+      ...(signed && { inForce: bundleIdentityOf(signed) }),
       hostListVersion: this.#hostListVersion,
       reads: this.#spread.recentReads(this.#options.timer.now()),
     };
@@ -355,9 +360,11 @@
 
   #publishVersions(): void {
     const { blackboard, link, timer } = this.#options;
-    const versions = new Map<HostId, HostVersion>(this.#spread.heard());
+    const versions = new Map<HostId, HostVersion>(
+      this.#spread.announcedVersions(),
+    );
     versions.set(link.self, {
-      mark: this.#inForce && markOf(this.#inForce),
+      mark: this.#inForce && bundleIdentityOf(this.#inForce),
       hostListVersion: this.#hostListVersion,
       heardAt: timer.now(),
     });
--- a/packages/coordination/src/configurationFetches.ts
+++ b/packages/coordination/src/configurationFetcher.ts
@@ -12,11 +12,11 @@
   type DocumentChunk,
 } from "./configurationMessages.ts";
 import {
-  type ConfigurationSpread,
-  markOf,
-  shouldTake,
-} from "./configurationSpread.ts";
-import { DocumentFetch, type DocumentWanted } from "./documentFetch.ts";
+  bundleIdentityOf,
+  type ConfigurationGossip,
+  shouldReplace,
+} from "./configurationGossip.ts";
+import { DocumentFetch, type DocumentReference } from "./documentFetch.ts";
 import { sendMessage } from "./peerMessages.ts";
 
 /** Timeouts in a row after which a peer is not asked for a while. */
@@ -26,18 +26,18 @@
 const MAX_WHOLE_WANTED = 16;
 
 /** What this host has. */
-export interface KnownConfiguration {
+export interface LocalConfiguration {
   readonly inForce: SignedBundle | undefined;
   readonly hostListVersion: number;
 }
 
-/** What {@link ConfigurationFetches} needs. */
-export interface ConfigurationFetchesOptions {
+/** What {@link ConfigurationFetcher} needs. */
+export interface ConfigurationFetcherOptions {
   readonly link: PeerLink;
   readonly timer: Timer;
   readonly random: Random;
   readonly metrics: Metrics;
-  readonly spread: ConfigurationSpread;
+  readonly gossip: ConfigurationGossip;
   readonly documents: ConfigurationDocuments;
   /** False when the bundle did not pass its checks. */
   readonly onBundle: (signed: SignedBundle, from: HostId) => boolean;
@@ -48,20 +48,20 @@
  * Fetches what peers have and this host lacks, one bundle and one host list at
  * a time: a difference where one applies, else the whole in chunks.
  */
-export class ConfigurationFetches {
-  readonly #options: ConfigurationFetchesOptions;
+export class ConfigurationFetcher {
+  readonly #options: ConfigurationFetcherOptions;
   readonly #wholeWanted = new Set<string>();
   readonly #timeouts = new Map<HostId, number>();
   #bundle: DocumentFetch | undefined;
   #hostList: DocumentFetch | undefined;
-  #known: KnownConfiguration = { inForce: undefined, hostListVersion: 0 };
+  #known: LocalConfiguration = { inForce: undefined, hostListVersion: 0 };
 
-  constructor(options: ConfigurationFetchesOptions) {
+  constructor(options: ConfigurationFetcherOptions) {
     this.#options = options;
   }
 
   /** Drops late fetches and starts those that are due. */
-  poll(known: KnownConfiguration): void {
+  poll(known: LocalConfiguration): void {
     this.#known = known;
     if (this.#isLate(this.#bundle)) this.#bundle = undefined;
     if (this.#isLate(this.#hostList)) this.#hostList = undefined;
@@ -70,12 +70,12 @@
   }
 
   /** Takes a chunk that a peer sent. */
-  take(from: HostId, chunk: DocumentChunk): void {
+  onChunk(from: HostId, chunk: DocumentChunk): void {
     const isHostList = chunk.document === "host-list";
     const fetch = isHostList ? this.#hostList : this.#bundle;
     if (fetch === undefined) return;
     const now = this.#options.timer.now();
-    const progress = fetch.take(from, { chunk, now });
+    const progress = fetch.addChunk(from, { chunk, now });
     if (progress.kind === "ignored") return;
     this.#timeouts.delete(from);
     if (progress.kind === "more") {
@@ -90,7 +90,7 @@
   }
 
   #isLate(fetch: DocumentFetch | undefined): boolean {
-    const { timer, spread } = this.#options;
+    const { timer, gossip: spread } = this.#options;
     const now = timer.now();
     if (fetch === undefined || !fetch.hasTimedOut(now)) return false;
     const timeouts = (this.#timeouts.get(fetch.peer) ?? 0) + 1;
@@ -102,30 +102,32 @@
   }
 
   #startBundle(): DocumentFetch | undefined {
-    const { spread, timer } = this.#options;
-    const newest = spread.newestHeard(timer.now());
+    const { gossip: spread, timer } = this.#options;
+    const newest = spread.newestAnnouncedBundle(timer.now());
     if (newest === undefined) return undefined;
     const { mark, holders } = newest;
     const { inForce } = this.#known;
-    if (!shouldTake(mark, inForce && markOf(inForce))) return undefined;
+    if (!shouldReplace(mark, inForce && bundleIdentityOf(inForce))) {
+      return undefined;
+    }
     const canPatch = inForce !== undefined &&
       mark.version > inForce.bundle.version &&
       !this.#wholeWanted.has(mark.root);
-    const wanted: DocumentWanted = canPatch
+    const wanted: DocumentReference = canPatch
       ? { document: "difference", ...mark, fromRoot: inForce.root }
       : { document: "bundle", ...mark };
     return this.#start(wanted, holders);
   }
 
   #startHostList(): DocumentFetch | undefined {
-    const { spread, timer } = this.#options;
-    const { version, holders } = spread.newestHostListHeard(timer.now());
+    const { gossip: spread, timer } = this.#options;
+    const { version, holders } = spread.newestAnnouncedHostList(timer.now());
     if (version <= this.#known.hostListVersion) return undefined;
     return this.#start({ document: "host-list", version, root: "" }, holders);
   }
 
   #start(
-    wanted: DocumentWanted,
+    wanted: DocumentReference,
     holders: readonly HostId[],
   ): DocumentFetch | undefined {
     if (holders.length === 0) return undefined;
@@ -133,12 +135,15 @@
     const peer = random.pick(holders);
     const fetch = new DocumentFetch({ peer, wanted, now: timer.now() });
     metrics.count("documents_fetched", 1, { document: wanted.document });
-    sendMessage(link, DOCUMENT_REQUEST, { to: peer, body: fetch.first() });
+    sendMessage(link, DOCUMENT_REQUEST, {
+      to: peer,
+      body: fetch.firstRequest(),
+    });
     return fetch;
   }
 
   #onHostList(from: HostId, text: string | undefined): void {
-    const { documents, spread, timer, onHostList } = this.#options;
+    const { documents, gossip: spread, timer, onHostList } = this.#options;
     this.#hostList = undefined;
     const hostList = text === undefined
       ? undefined
@@ -153,7 +158,7 @@
    * does not pass its checks is.
    */
   #onBundle(fetch: DocumentFetch, text: string | undefined): void {
-    const { documents, spread, timer, onBundle } = this.#options;
+    const { documents, gossip: spread, timer, onBundle } = this.#options;
     this.#bundle = undefined;
     const signed = text === undefined
       ? undefined
--- a/packages/coordination/src/configurationSpread.ts
+++ b/packages/coordination/src/configurationGossip.ts
@@ -18,26 +18,26 @@
  * is several one-way times, so that the next host is heard before another one
  * joins it.
  */
-export const READERS = 2;
+export const PLATFORM_READERS = 2;
 /** Longest wait of one watch; a watch that ended proves that the service answers. */
-export const WATCH_WAIT_MS: Milliseconds = 1_000;
+export const LONG_POLL_WAIT_MS: Milliseconds = 1_000;
 /** A host that read within this time is taken for a reader. */
-export const READ_SILENCE_MS: Milliseconds = 3_000;
+export const READ_FRESHNESS_MS: Milliseconds = 3_000;
 /** Each further host by rank waits so much longer before it reads, too. */
 export const READ_STAGGER_MS: Milliseconds = 250;
 /** A host that could not prove its claim is not asked for so long. */
-export const DISTRUST_MS: Milliseconds = 10_000;
+export const DISTRUST_PERIOD_MS: Milliseconds = 10_000;
 /** Reads that a notice tells of. */
-export const MAX_READS_TOLD = 2;
+export const MAX_READS_PER_NOTICE = 2;
 
 /** What identifies one bundle; roots differ when one version was signed twice. */
-export interface BundleMark {
+export interface BundleIdentity {
   readonly version: BundleVersion;
   readonly root: Digest;
 }
 
 /** The version and root of a signed bundle. */
-export function markOf(signed: SignedBundle): BundleMark {
+export function bundleIdentityOf(signed: SignedBundle): BundleIdentity {
   return { version: signed.bundle.version, root: signed.root };
 }
 
@@ -50,15 +50,15 @@
 /** What one host tells another about configuration, at each change and each second. */
 export interface ConfigurationNotice {
   /** Absent while nothing is in force. */
-  readonly inForce?: BundleMark;
+  readonly inForce?: BundleIdentity;
   /** 0 while no list is known. */
   readonly hostListVersion: number;
   readonly reads: readonly RecentRead[];
 }
 
 /** The last that was heard of a host. */
-export interface HeardVersion {
-  readonly mark: BundleMark | undefined;
+export interface AnnouncedVersion {
+  readonly mark: BundleIdentity | undefined;
   readonly hostListVersion: number;
   readonly heardAt: Milliseconds;
 }
@@ -79,9 +79,9 @@
  * the one with the lower root, whatever order they came in, so that the fleet
  * agrees and settles.
  */
-export function compareMarks(
-  offered: BundleMark,
-  inForce: BundleMark | undefined,
+export function compareBundles(
+  offered: BundleIdentity,
+  inForce: BundleIdentity | undefined,
 ): BundleOrder {
   if (inForce === undefined) return "newer";
   if (offered.version > inForce.version) return "newer";
@@ -91,18 +91,18 @@
 }
 
 /** Whether an offered bundle replaces the one in force. */
-export function shouldTake(
-  offered: BundleMark,
-  inForce: BundleMark | undefined,
+export function shouldReplace(
+  offered: BundleIdentity,
+  inForce: BundleIdentity | undefined,
 ): boolean {
-  const order = compareMarks(offered, inForce);
+  const order = compareBundles(offered, inForce);
   return order === "newer" || order === "conflict-wins";
 }
 
 /** Keeps who read last and who told which version; no timers and no messages. */
-export class ConfigurationSpread {
+export class ConfigurationGossip {
   readonly #self: HostId;
-  readonly #heard = new Map<HostId, HeardVersion>();
+  readonly #heard = new Map<HostId, AnnouncedVersion>();
   readonly #lastRead = new Map<HostId, Milliseconds>();
   readonly #memberSince = new Map<HostId, Milliseconds>();
   readonly #distrustedUntil = new Map<HostId, Milliseconds>();
@@ -133,11 +133,11 @@
     }
   }
 
-  noteOwnRead(now: Milliseconds): void {
+  recordOwnRead(now: Milliseconds): void {
     this.#lastRead.set(this.#self, now);
   }
 
-  hear(
+  applyNotice(
     from: HostId,
     { notice, now }: { notice: ConfigurationNotice; now: Milliseconds },
   ): void {
@@ -146,7 +146,7 @@
       hostListVersion: notice.hostListVersion,
       heardAt: now,
     });
-    for (const { host, ageMs } of notice.reads.slice(0, MAX_READS_TOLD)) {
+    for (const { host, ageMs } of notice.reads.slice(0, MAX_READS_PER_NOTICE)) {
       this.#mergeRead(host, now - Math.max(0, ageMs));
     }
   }
@@ -157,22 +157,22 @@
    * fetching the newest one that exists.
    */
   distrust(host: HostId, now: Milliseconds): void {
-    this.#distrustedUntil.set(host, now + DISTRUST_MS);
+    this.#distrustedUntil.set(host, now + DISTRUST_PERIOD_MS);
   }
 
   /**
-   * Whether this host reads: while fewer than {@link READERS} hosts before it
+   * Whether this host reads: while fewer than {@link PLATFORM_READERS} hosts before it
    * by rank are known to have read lately. Hosts further back wait longer, so
    * that a service that is down for all is not asked by all at once.
    */
   shouldRead(now: Milliseconds): boolean {
     const rank = this.#order.indexOf(this.#self);
-    const lateness = Math.max(0, rank - READERS + 1) * READ_STAGGER_MS;
-    const since = now - READ_SILENCE_MS - lateness;
+    const lateness = Math.max(0, rank - PLATFORM_READERS + 1) * READ_STAGGER_MS;
+    const since = now - READ_FRESHNESS_MS - lateness;
     const reading = this.#order.slice(0, rank).filter((host) =>
       this.#readOrJoinedAt(host) >= since
     );
-    return reading.length < READERS;
+    return reading.length < PLATFORM_READERS;
   }
 
   /** The freshest reads by the hosts of best rank, for a notice. */
@@ -180,26 +180,26 @@
     const reads: RecentRead[] = [];
     for (const host of this.#order) {
       const at = this.#lastRead.get(host);
-      if (at === undefined || now - at > READ_SILENCE_MS) continue;
+      if (at === undefined || now - at > READ_FRESHNESS_MS) continue;
       reads.push({ host, ageMs: now - at });
-      if (reads.length === MAX_READS_TOLD) break;
+      if (reads.length === MAX_READS_PER_NOTICE) break;
     }
     return reads;
   }
 
   /** What each peer last told. */
-  heard(): ReadonlyMap<HostId, HeardVersion> {
+  announcedVersions(): ReadonlyMap<HostId, AnnouncedVersion> {
     return this.#heard;
   }
 
   /** The newest bundle that trusted peers claim to have, with those who claim it. */
-  newestHeard(
+  newestAnnouncedBundle(
     now: Milliseconds,
-  ): { mark: BundleMark; holders: HostId[] } | undefined {
+  ): { mark: BundleIdentity; holders: HostId[] } | undefined {
     const trusted = this.#trusted(now);
-    let mark: BundleMark | undefined;
+    let mark: BundleIdentity | undefined;
     for (const [, heard] of trusted) {
-      if (heard.mark !== undefined && shouldTake(heard.mark, mark)) {
+      if (heard.mark !== undefined && shouldReplace(heard.mark, mark)) {
         mark = heard.mark;
       }
     }
@@ -212,7 +212,7 @@
   }
 
   /** The newest host list that trusted peers claim to have, with those who claim it. */
-  newestHostListHeard(
+  newestAnnouncedHostList(
     now: Milliseconds,
   ): { version: number; holders: HostId[] } {
     const trusted = this.#trusted(now);
@@ -226,7 +226,7 @@
     return { version, holders: holders.map(([host]) => host) };
   }
 
-  #trusted(now: Milliseconds): [HostId, HeardVersion][] {
+  #trusted(now: Milliseconds): [HostId, AnnouncedVersion][] {
     return [...this.#heard].filter(([host]) =>
       (this.#distrustedUntil.get(host) ?? 0) <= now
     );
--- a/packages/coordination/src/configurationMessages.ts
+++ b/packages/coordination/src/configurationMessages.ts
@@ -1,9 +1,9 @@
 import type { BundleVersion, Digest, HostId } from "@wasabivane/common";
 import type {
-  BundleMark,
+  BundleIdentity,
   ConfigurationNotice,
   RecentRead,
-} from "./configurationSpread.ts";
+} from "./configurationGossip.ts";
 import {
   listOf,
   numberOf,
@@ -51,7 +51,7 @@
   defineMessage<ConfigurationNotice>(
     "configuration-notice",
     objectOf({
-      inForce: optional<BundleMark>(isMark),
+      inForce: optional<BundleIdentity>(isMark),
       hostListVersion: numberOf<number>(),
       reads: listOf<RecentRead>(isRead, 8),
     }),
--- a/packages/coordination/src/documentFetch.ts
+++ b/packages/coordination/src/documentFetch.ts
@@ -9,7 +9,7 @@
 export const FETCH_TIMEOUT_MS: Milliseconds = 400;
 
 /** What a fetch wants, without the index of a chunk. */
-export type DocumentWanted = Omit<DocumentRequest, "index">;
+export type DocumentReference = Omit<DocumentRequest, "index">;
 
 /** What a chunk led to. */
 export type FetchProgress =
@@ -21,7 +21,7 @@
 /** Collects the chunks of one document from one peer. */
 export class DocumentFetch {
   readonly peer: HostId;
-  readonly wanted: DocumentWanted;
+  readonly wanted: DocumentReference;
   readonly #chunks = new Map<number, string>();
   #progressAt: Milliseconds;
   #count: number | undefined;
@@ -29,7 +29,7 @@
   constructor(
     { peer, wanted, now }: {
       peer: HostId;
-      wanted: DocumentWanted;
+      wanted: DocumentReference;
       now: Milliseconds;
     },
   ) {
@@ -39,7 +39,7 @@
   }
 
   /** The request that starts the fetch. */
-  first(): DocumentRequest {
+  firstRequest(): DocumentRequest {
     return { ...this.wanted, index: 0 };
   }
 
@@ -47,7 +47,7 @@
     return now - this.#progressAt >= FETCH_TIMEOUT_MS;
   }
 
-  take(
+  addChunk(
     from: HostId,
     { chunk, now }: { chunk: DocumentChunk; now: Milliseconds },
   ): FetchProgress {
--- a/packages/coordination/src/frameValues.ts
+++ b/packages/coordination/src/frameDecoder.ts
@@ -24,7 +24,7 @@
  * read under wrong names, from whomever it came. The table is compared after
  * each frame, mended, and the frame that touched it is not taken.
  */
-export class FrameValues {
+export class FrameDecoder {
   readonly #structures = copyOfTable();
   readonly #table: readonly string[][] = [...this.#structures];
   readonly #unpackr = new Unpackr({
@@ -33,7 +33,7 @@
     mapsAsObjects: true,
   });
 
-  read(frame: Uint8Array): Result<unknown, MalformedFrame> {
+  decode(frame: Uint8Array): Result<unknown, MalformedFrame> {
     try {
       const value: unknown = this.#unpackr.unpack(frame);
       if (this.#isTableWhole()) return ok(value);
--- a/packages/coordination/src/idempotencyKeys.ts
+++ b/packages/coordination/src/idempotencyKeys.ts
@@ -12,9 +12,9 @@
 import { err, ok, type Result } from "neverthrow";
 
 /** By how much a caller's clock may be ahead of an entry host's. */
-export const SKEW_BOUND_MS: Milliseconds = 2_000;
+export const MAX_CALLER_CLOCK_SKEW_MS: Milliseconds = 2_000;
 /** By how much the wall clocks of two entry hosts may differ. */
-export const HOST_SKEW_MS: Milliseconds = 500;
+export const MAX_HOST_CLOCK_SKEW_MS: Milliseconds = 500;
 /** How long a key of a request that waits for its answer is valid. */
 export const KEY_LIFETIME_MS: Milliseconds = 15 * 60_000;
 /** How long a key of a job is valid. */
--- a/packages/coordination/src/inboundPeer.ts
+++ b/packages/coordination/src/inboundConnection.ts
@@ -14,16 +14,16 @@
   HELLO,
   type Hello,
   isProofValid,
-  isVersionSpoken,
+  isVersionSupported,
   type ProofInput,
   PROTOCOL_VERSION,
   WELCOME,
 } from "./peerHandshake.ts";
 import type { FrameError, PeerCodec } from "./peerMessages.ts";
-import { HANDSHAKE_MS, type LinkIdentity } from "./linkIdentity.ts";
+import { HANDSHAKE_TIMEOUT_MS, type LinkIdentity } from "./linkIdentity.ts";
 
-/** What an {@link InboundPeer} needs. */
-export interface InboundPeerOptions {
+/** What an {@link InboundConnection} needs. */
+export interface InboundConnectionOptions {
   readonly socket: WebSocket;
   readonly channelBinding: string;
   readonly identity: LinkIdentity;
@@ -34,23 +34,26 @@
 }
 
 /** The receiving connection from one peer; nothing is delivered before its proof. */
-export class InboundPeer {
-  readonly #options: InboundPeerOptions;
+export class InboundConnection {
+  readonly #options: InboundConnectionOptions;
   readonly #challenge: string;
   readonly #handshake: TimerSubscription;
   #peer: HostId | undefined;
 
-  constructor(options: InboundPeerOptions) {
+  constructor(options: InboundConnectionOptions) {
     this.#options = options;
     this.#challenge = options.identity.random.hex(CHALLENGE_BYTES);
     const { socket, timer } = options;
-    this.#handshake = timer.after(HANDSHAKE_MS, () => socket.terminate());
+    this.#handshake = timer.after(
+      HANDSHAKE_TIMEOUT_MS,
+      () => socket.terminate(),
+    );
     socket.on("error", () => {});
     socket.on("close", () => this.#handshake.cancel());
   }
 
   /** Sends the challenge that the dialer has to answer. */
-  challenge(): void {
+  sendChallenge(): void {
     this.#send({ kind: CHALLENGE.kind, body: { challenge: this.#challenge } });
   }
 
@@ -68,7 +71,7 @@
   #verify(hello: Hello): void {
     const { identity } = this.#options;
     const input = this.#proofInput(hello, { side: "dialer" });
-    const isPeer = isVersionSpoken(hello.protocolVersion) &&
+    const isPeer = isVersionSupported(hello.protocolVersion) &&
       isProofValid(identity.sharedSecrets(), hello.proof, input);
     if (!isPeer) return this.#reject("handshake");
     this.#handshake.cancel();
--- a/packages/coordination/src/job.ts
+++ b/packages/coordination/src/job.ts
@@ -12,7 +12,7 @@
 } from "@wasabivane/common";
 
 /** What a caller gives to be run later, with everything a dispatch needs. */
-export interface JobOffer {
+export interface JobSubmission {
   readonly account: ClientAccountId;
   readonly service: ServiceId;
   readonly tier: Tier;
@@ -26,14 +26,14 @@
 }
 
 /** An offer that was accepted. */
-export interface Job extends JobOffer {
+export interface Job extends JobSubmission {
   /** Names the hosts that took it, so that any entry finds it again. */
   readonly id: JobId;
   readonly acceptedAt: EpochMilliseconds;
 }
 
 /** How a job ended; an answer only where one arrived. */
-export interface JobAnswer {
+export interface JobResponse {
   readonly ending: Ending;
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
@@ -73,7 +73,7 @@
 export type JobStatus =
   | { readonly kind: "waiting" }
   | { readonly kind: "running"; readonly upstream: UpstreamId }
-  | { readonly kind: "ended"; readonly answer: JobAnswer };
+  | { readonly kind: "ended"; readonly answer: JobResponse };
 
 /** Why a job was not found. */
 export type JobLookUpError =
@@ -102,7 +102,7 @@
 /** Jobs that outlive the host that took them, as the daemon sees them. */
 export abstract class JobService {
   /** Resolves once copies hold the job; only then is it accepted. */
-  abstract accept(offer: JobOffer): Promise<Result<Job, JobRefusal>>;
+  abstract accept(offer: JobSubmission): Promise<Result<Job, JobRefusal>>;
   /** Jobs that this host holds and that nobody has dispatched. */
   abstract readyJobs(): ReadyJob[];
   /** Must succeed before any byte of the job is written to the upstream. */
@@ -116,7 +116,7 @@
    */
   abstract recordUnsent(id: JobId): Promise<Result<void, DispatchRefusal>>;
   /** The dispatch, or a resume, has ended; copies keep the answer. */
-  abstract recordFinished(id: JobId, answer: JobAnswer): void;
+  abstract recordFinished(id: JobId, answer: JobResponse): void;
   /** Ends a job that has not been dispatched; it ends as not run. */
   abstract withdraw(id: JobId): Promise<Result<void, DispatchRefusal>>;
   /** What the hosts know of a job of this client account. */
--- a/packages/coordination/src/jobAcceptance.ts
+++ b/packages/coordination/src/jobAcceptance.ts
@@ -7,17 +7,17 @@
   type Timer,
 } from "@wasabivane/common";
 import { err, ok, type Result } from "neverthrow";
-import type { Job, JobOffer, JobRefusal } from "./job.ts";
-import type { JobCopying } from "./jobCopying.ts";
-import { MEMBERS_PER_JOB } from "./jobKeeping.ts";
+import type { Job, JobRefusal, JobSubmission } from "./job.ts";
+import type { JobReplication } from "./jobReplication.ts";
+import { REPLICAS_PER_JOB } from "./jobStep.ts";
 import type { JobLifecycle } from "./jobLifecycle.ts";
 import {
-  choosePlaces,
-  idOf,
+  chooseReplicaHosts,
   type JobMember,
   type JobMembers,
+  memberIdOf,
 } from "./jobMembers.ts";
-import { type Epoch, hostOf, type MemberId } from "./jobRegister.ts";
+import { type Epoch, hostOfMember, type MemberId } from "./jobRegister.ts";
 import type { JobRecord, JobStore } from "./jobStore.ts";
 
 const COPY_WAIT_MS: Milliseconds = 800;
@@ -26,20 +26,20 @@
 const ID_BYTES = 16;
 
 /** What one job may take. */
-export interface JobBounds {
+export interface JobLimits {
   readonly maximumBodyBytes: number;
   readonly maximumAgeMs: Milliseconds;
 }
 
 /** What {@link JobAcceptance} needs. */
-export interface JobAcceptanceOptions extends JobBounds {
+export interface JobAcceptanceOptions extends JobLimits {
   readonly self: MemberId;
   readonly timer: Timer;
   readonly random: Random;
   readonly metrics: Metrics;
   readonly store: JobStore;
   readonly members: JobMembers;
-  readonly copying: JobCopying;
+  readonly replication: JobReplication;
   readonly lifecycle: JobLifecycle;
 }
 
@@ -55,7 +55,7 @@
     this.#options = options;
   }
 
-  async accept(offer: JobOffer): Promise<Result<Job, JobRefusal>> {
+  async accept(offer: JobSubmission): Promise<Result<Job, JobRefusal>> {
     const result = await this.#accept(offer);
     const { metrics } = this.#options;
     if (result.isOk()) metrics.count("jobs_accepted");
@@ -63,7 +63,7 @@
     return result;
   }
 
-  async #accept(offer: JobOffer): Promise<Result<Job, JobRefusal>> {
+  async #accept(offer: JobSubmission): Promise<Result<Job, JobRefusal>> {
     const { self, timer, store, lifecycle, members } = this.#options;
     const refusal = this.#check(offer);
     if (refusal !== undefined) return err(refusal);
@@ -72,21 +72,21 @@
     const key = asId<JobId>(this.#options.random.hex(ID_BYTES));
     const places = this.#places(key, []);
     const id = asId<JobId>(
-      [key, hostOf(self), ...places.map(({ host }) => host)].join("~"),
+      [key, hostOfMember(self), ...places.map(({ host }) => host)].join("~"),
     );
     const job: Job = { ...offer, id, acceptedAt: timer.wallNow() };
-    if (!store.hasRoomFor(job)) return err(FULL);
+    if (!store.hasCapacityFor(job)) return err(FULL);
     const record = store.install(job, { now: timer.now() });
     const copies = await this.#copy(job, { places, needed });
-    record.keepers = [self, ...copies];
+    record.replicas = [self, ...copies];
     if (!this.#areEnough(copies, needed)) {
-      lifecycle.forget(record);
+      lifecycle.remove(record);
       return err({ kind: "no-copies" });
     }
     return this.#confirm(record, [self, ...copies]);
   }
 
-  #check(offer: JobOffer): JobRefusal | undefined {
+  #check(offer: JobSubmission): JobRefusal | undefined {
     const { maximumBodyBytes, maximumAgeMs, timer } = this.#options;
     if (offer.body.length > maximumBodyBytes) {
       return { kind: "too-large", maximumBytes: maximumBodyBytes };
@@ -102,29 +102,32 @@
     job: Job,
     { places, needed }: { places: readonly JobMember[]; needed: number },
   ): Promise<MemberId[]> {
-    const { copying } = this.#options;
-    const first = places.map(idOf);
-    const copies = await copying.copyTo(first, {
+    const { replication: copying } = this.#options;
+    const first = places.map(memberIdOf);
+    const copies = await copying.replicateTo(first, {
       job,
       withinMs: COPY_WAIT_MS,
     });
     if (copies.length === first.length || this.#areEnough(copies, needed)) {
       return copies;
     }
-    const others = this.#places(job.id, places).map(idOf);
-    const more = await copying.copyTo(others, { job, withinMs: COPY_WAIT_MS });
-    return [...copies, ...more].slice(0, MEMBERS_PER_JOB - 1);
+    const others = this.#places(job.id, places).map(memberIdOf);
+    const more = await copying.replicateTo(others, {
+      job,
+      withinMs: COPY_WAIT_MS,
+    });
+    return [...copies, ...more].slice(0, REPLICAS_PER_JOB - 1);
   }
 
   #places(id: JobId, excluded: readonly JobMember[]): JobMember[] {
     const { self, members } = this.#options;
-    const candidates = members.available().filter((member) =>
-      idOf(member) !== self && !excluded.includes(member)
+    const candidates = members.availableMembers().filter((member) =>
+      memberIdOf(member) !== self && !excluded.includes(member)
     );
-    return choosePlaces(id, {
+    return chooseReplicaHosts(id, {
       candidates,
       usedDomains: members.domainsOf([self]),
-      count: MEMBERS_PER_JOB - 1,
+      count: REPLICAS_PER_JOB - 1,
     });
   }
 
@@ -148,7 +151,7 @@
   ): Promise<Result<Job, JobRefusal>> {
     const { self, timer, lifecycle } = this.#options;
     const epoch: Epoch = { number: 0, members, holder: self };
-    lifecycle.confirm(record, epoch);
+    lifecycle.adoptEpoch(record, epoch);
     return new Promise((resolve) => {
       const timeout = timer.after(
         CONFIRM_WAIT_MS,
@@ -164,7 +167,7 @@
           timeout.cancel();
           resolve(ok(record.job));
         };
-        lifecycle.tellMoved(to, { record, epoch, onNoted });
+        lifecycle.notifyMoved(to, { record, epoch, onNoted });
       }
     });
   }
@@ -180,7 +183,7 @@
 function copiesNeeded(self: MemberId, members: JobMembers): number {
   const domains = new Set([
     ...members.domainsOf([self]),
-    ...members.available().map(({ failureDomain }) => failureDomain),
+    ...members.availableMembers().map(({ failureDomain }) => failureDomain),
   ]);
-  return Math.min(domains.size, MEMBERS_PER_JOB) - 1;
+  return Math.min(domains.size, REPLICAS_PER_JOB) - 1;
 }
--- a/packages/coordination/src/jobProposals.ts
+++ b/packages/coordination/src/jobConsensus.ts
@@ -1,37 +1,37 @@
 import type { Milliseconds, PeerLink, Random, Timer } from "@wasabivane/common";
 import type { JobLifecycle } from "./jobLifecycle.ts";
-import { endAttempt } from "./jobLifecycle.ts";
+import { abortProposal } from "./jobLifecycle.ts";
 import {
-  JOB_REGISTER,
-  JOB_REPLY,
+  JOB_REGISTER_REPLY,
+  JOB_REGISTER_REQUEST,
   type JobRegisterReply,
   type JobRegisterRequest,
 } from "./jobMessages.ts";
 import {
-  answerRequest,
-  type Attempt,
+  applyRegisterReply,
   epochKey,
-  hostOf,
+  handleRegisterRequest,
+  hostOfMember,
   type MemberId,
+  pendingRequest,
+  type ProposerState,
   type RegisterReply,
   type RegisterValue,
-  requestOf,
-  startAsHolder,
-  startAttempt,
-  takeReply,
+  startHolderProposal,
+  startProposal,
 } from "./jobRegister.ts";
-import type { AttemptEnd, JobRecord, JobStore } from "./jobStore.ts";
+import type { JobRecord, JobStore, ProposalResult } from "./jobStore.ts";
 import { sendMessage } from "./peerMessages.ts";
 
 const REPEAT_MS: Milliseconds = 250;
 /** An attempt that found no majority by then starts again later. */
-export const ATTEMPT_MS: Milliseconds = 2_000;
+export const PROPOSAL_TIMEOUT_MS: Milliseconds = 2_000;
 const MIN_RETRY_MS: Milliseconds = 100;
 /** Two members that outbid each other draw different pauses soon. */
 const RETRY_SPREAD_MS: Milliseconds = 400;
 
-/** What {@link JobProposals} needs. */
-export interface JobProposalsOptions {
+/** What {@link JobConsensus} needs. */
+export interface JobConsensusOptions {
   readonly self: MemberId;
   readonly link: PeerLink;
   readonly timer: Timer;
@@ -41,15 +41,15 @@
 }
 
 /** Carries requests and replies of the job registers between the members. */
-export class JobProposals {
-  readonly #options: JobProposalsOptions;
+export class JobConsensus {
+  readonly #options: JobConsensusOptions;
 
-  constructor(options: JobProposalsOptions) {
+  constructor(options: JobConsensusOptions) {
     this.#options = options;
   }
 
   /** Tries to have a value chosen in the job's epoch; one attempt at a time. */
-  propose(record: JobRecord, wish: RegisterValue): Promise<AttemptEnd> {
+  propose(record: JobRecord, wish: RegisterValue): Promise<ProposalResult> {
     const { self, timer } = this.#options;
     const epoch = record.epoch!;
     const canUseHolderRound = epoch.holder === self &&
@@ -58,23 +58,23 @@
     else record.highestRound++;
     const ballot = { round: record.highestRound, proposer: self };
     const attempt = canUseHolderRound
-      ? startAsHolder(epoch, wish)
-      : startAttempt(epoch, { ballot, wish });
+      ? startHolderProposal(epoch, wish)
+      : startProposal(epoch, { ballot, wish });
     return new Promise((onEnd) => {
       const startedAt = timer.now();
-      record.attempt = { attempt, startedAt, sentAt: startedAt, onEnd };
+      record.proposal = { state: attempt, startedAt, sentAt: startedAt, onEnd };
       this.#send(record);
     });
   }
 
   /** Repeats what got no reply and ends attempts that take too long. */
   poll(record: JobRecord): void {
-    const running = record.attempt;
+    const running = record.proposal;
     if (running === undefined) return;
     const now = this.#options.timer.now();
-    if (now - running.startedAt >= ATTEMPT_MS) {
+    if (now - running.startedAt >= PROPOSAL_TIMEOUT_MS) {
       this.#retryLater(record);
-      endAttempt(record);
+      abortProposal(record);
     } else if (now - running.sentAt >= REPEAT_MS) {
       this.#send(record);
     }
@@ -87,16 +87,16 @@
     if (!epoch.members.includes(self)) return;
     const record = store.find(id);
     // Only members of an epoch that was chosen propose in it.
-    if (record !== undefined) lifecycle.confirm(record, epoch);
+    if (record !== undefined) lifecycle.adoptEpoch(record, epoch);
     const reply = record && this.#answer(record, body);
     if (reply === undefined) {
-      lifecycle.tellLatest(by, { id, epochNumber: epoch.number });
+      lifecycle.sendLatestUpdate(by, { id, epochNumber: epoch.number });
       return;
     }
     record!.highestRound = Math.max(record!.highestRound, request.ballot.round);
     const key = epochKey(epoch);
-    sendMessage(link, JOB_REPLY, {
-      to: hostOf(by),
+    sendMessage(link, JOB_REGISTER_REPLY, {
+      to: hostOfMember(by),
       body: { id, key, member: self, reply },
     });
   }
@@ -104,7 +104,7 @@
   /** Takes a member's reply to the attempt of this process. */
   onReply({ id, key, member, reply }: JobRegisterReply): void {
     const record = this.#options.store.find(id);
-    if (record?.attempt === undefined || record.epoch === undefined) return;
+    if (record?.proposal === undefined || record.epoch === undefined) return;
     if (epochKey(record.epoch) !== key) return;
     this.#take(record, { from: member, reply });
   }
@@ -117,25 +117,28 @@
       record.outcome === undefined &&
       epochKey(record.epoch) === epochKey(epoch);
     if (!isCurrent) return undefined;
-    const { acceptor, reply } = answerRequest(record.acceptor, request);
+    const { acceptor, reply } = handleRegisterRequest(record.acceptor, request);
     record.acceptor = acceptor;
     return reply;
   }
 
   #send(record: JobRecord): void {
     const { self, link, timer } = this.#options;
-    const running = record.attempt;
+    const running = record.proposal;
     const epoch = record.epoch;
     if (running === undefined || epoch === undefined) return;
-    const request = requestOf(running.attempt);
+    const request = pendingRequest(running.state);
     if (request === undefined) return;
     running.sentAt = timer.now();
     const id = record.job.id;
     const body: JobRegisterRequest = { id, epoch, request, by: self };
-    for (const member of silentMembers(running.attempt, self)) {
-      sendMessage(link, JOB_REGISTER, { to: hostOf(member), body });
+    for (const member of silentMembers(running.state, self)) {
+      sendMessage(link, JOB_REGISTER_REQUEST, {
+        to: hostOfMember(member),
+        body,
+      });
     }
-    this.#answerOwn(record, running.attempt);
+    this.#answerOwn(record, running.state);
   }
 
   /**
@@ -143,15 +146,15 @@
    * the majority. Had it accepted first, a proposal that reached nobody would
    * still bind it to an upstream that may be gone when the copies answer again.
    */
-  #answerOwn(record: JobRecord, attempt: Attempt): void {
+  #answerOwn(record: JobRecord, attempt: ProposerState): void {
     const { self } = this.#options;
-    const request = requestOf(attempt);
+    const request = pendingRequest(attempt);
     if (request === undefined || hasReplied(attempt, self)) return;
     const othersNeeded = Math.floor(attempt.members.length / 2);
     if (
       attempt.ballot.round === 0 && attempt.acceptances.length < othersNeeded
     ) return;
-    const { acceptor, reply } = answerRequest(record.acceptor, request);
+    const { acceptor, reply } = handleRegisterRequest(record.acceptor, request);
     record.acceptor = acceptor;
     this.#take(record, { from: self, reply });
   }
@@ -161,15 +164,15 @@
     answer: { from: MemberId; reply: RegisterReply },
   ): void {
     const { lifecycle } = this.#options;
-    const running = record.attempt;
+    const running = record.proposal;
     if (running === undefined) return;
-    const before = running.attempt;
-    const attempt = takeReply(before, answer);
-    running.attempt = attempt;
+    const before = running.state;
+    const attempt = applyRegisterReply(before, answer);
+    running.state = attempt;
     if (attempt.phase === "chosen") {
-      delete record.attempt;
+      delete record.proposal;
       const value = attempt.value!;
-      lifecycle.choose(record, value);
+      lifecycle.applyChosenValue(record, value);
       running.onEnd({ kind: "chosen", value });
     } else if (attempt.phase === "outbid") {
       record.highestRound = Math.max(
@@ -177,7 +180,7 @@
         attempt.outbidBy ?? 0,
       );
       this.#retryLater(record);
-      endAttempt(record);
+      abortProposal(record);
     } else if (attempt.phase !== before.phase) {
       this.#send(record);
     } else {
@@ -192,13 +195,13 @@
   }
 }
 
-function silentMembers(attempt: Attempt, self: MemberId): MemberId[] {
+function silentMembers(attempt: ProposerState, self: MemberId): MemberId[] {
   return attempt.members.filter((member) =>
     member !== self && !hasReplied(attempt, member)
   );
 }
 
-function hasReplied(attempt: Attempt, member: MemberId): boolean {
+function hasReplied(attempt: ProposerState, member: MemberId): boolean {
   const replies = attempt.phase === "preparing"
     ? attempt.promises
     : attempt.acceptances;
--- a/packages/coordination/src/jobController.ts
+++ b/packages/coordination/src/jobController.ts
@@ -14,25 +14,25 @@
 import {
   type DispatchRefusal,
   type Job,
-  type JobAnswer,
   type JobDispatch,
   type JobLookUpError,
-  type JobOffer,
   type JobRefusal,
+  type JobResponse,
   JobService,
   type JobStatus,
+  type JobSubmission,
   type JobTakeover,
   type ReadyJob,
 } from "./job.ts";
-import { JobAcceptance, type JobBounds } from "./jobAcceptance.ts";
-import { JobAttendance, MOVE_COPY_WAIT_MS } from "./jobAttendance.ts";
-import { JobCopying } from "./jobCopying.ts";
+import { JobAcceptance, type JobLimits } from "./jobAcceptance.ts";
+import { JobReconciler, MOVE_COPY_WAIT_MS } from "./jobReconciler.ts";
+import { JobReplication } from "./jobReplication.ts";
 import { JobInbox } from "./jobInbox.ts";
-import { dispatchOf, JobLifecycle } from "./jobLifecycle.ts";
+import { JobLifecycle, knownDispatchOf } from "./jobLifecycle.ts";
 import { JobLookUps } from "./jobLookUps.ts";
 import { type JobMember, JobMembers } from "./jobMembers.ts";
 import { JobOutbox } from "./jobOutbox.ts";
-import { JobProposals } from "./jobProposals.ts";
+import { JobConsensus } from "./jobConsensus.ts";
 import { type MemberId, memberId, type RegisterValue } from "./jobRegister.ts";
 import { type JobRecord, JobStore, type JobStoreOptions } from "./jobStore.ts";
 
@@ -42,7 +42,7 @@
 
 /** What a {@link JobController} needs from its process. */
 export interface JobControllerOptions
-  extends JobStoreOptions, Partial<JobBounds> {
+  extends JobStoreOptions, Partial<JobLimits> {
   readonly blackboard: Blackboard;
   readonly link: PeerLink;
   readonly timer: Timer;
@@ -59,14 +59,14 @@
   readonly #self: MemberId;
   readonly #store: JobStore;
   readonly #members = new JobMembers();
-  readonly #copying: JobCopying;
+  readonly #copying: JobReplication;
   readonly #outbox: JobOutbox;
   readonly #lifecycle: JobLifecycle;
-  readonly #proposals: JobProposals;
+  readonly #proposals: JobConsensus;
   readonly #acceptance: JobAcceptance;
   readonly #lookUps: JobLookUps;
   readonly #inbox: JobInbox;
-  readonly #attendance: JobAttendance;
+  readonly #attendance: JobReconciler;
   #endings: (() => void)[] = [];
   #isStopping = false;
 
@@ -78,32 +78,32 @@
     this.#self = self;
     this.#store = new JobStore(options);
     const shared = { ...options, self, store: this.#store };
-    this.#copying = new JobCopying(options);
+    this.#copying = new JobReplication(options);
     this.#outbox = new JobOutbox({ ...options, members: this.#members });
     this.#lifecycle = new JobLifecycle({ ...shared, outbox: this.#outbox });
     const parts = {
       ...shared,
       members: this.#members,
-      copying: this.#copying,
+      replication: this.#copying,
       outbox: this.#outbox,
       lifecycle: this.#lifecycle,
     };
-    this.#proposals = new JobProposals(parts);
+    this.#proposals = new JobConsensus(parts);
     this.#acceptance = new JobAcceptance({
       ...parts,
       maximumBodyBytes: options.maximumBodyBytes ?? MAXIMUM_BODY_BYTES,
       maximumAgeMs: options.maximumAgeMs ?? MAXIMUM_AGE_MS,
     });
     this.#lookUps = new JobLookUps(parts);
-    this.#attendance = new JobAttendance({
+    this.#attendance = new JobReconciler({
       ...parts,
-      proposals: this.#proposals,
+      consensus: this.#proposals,
       isStopping: () => this.#isStopping,
     });
     this.#inbox = new JobInbox({
       ...parts,
-      proposals: this.#proposals,
-      isOpen: () => !this.#isStopping,
+      consensus: this.#proposals,
+      isAcceptingCopies: () => !this.#isStopping,
     });
   }
 
@@ -111,7 +111,7 @@
   start(): void {
     const { blackboard, members, timer } = this.#options;
     this.#members.set(blackboard.read(members));
-    const ticking = timer.every(TICK_MS, () => this.#attendance.attendAll());
+    const ticking = timer.every(TICK_MS, () => this.#attendance.reconcileAll());
     this.#endings = [
       blackboard.watch(members, (value) => this.#members.set(value)),
       ...this.#inbox.start(),
@@ -130,7 +130,7 @@
     return { jobs: this.#store.size, bytes: this.#store.bytes };
   }
 
-  override accept(offer: JobOffer): Promise<Result<Job, JobRefusal>> {
+  override accept(offer: JobSubmission): Promise<Result<Job, JobRefusal>> {
     if (this.#isStopping) return Promise.resolve(err({ kind: "stopping" }));
     return this.#acceptance.accept(offer);
   }
@@ -167,8 +167,8 @@
     if (record === undefined) return err({ kind: "not-held" });
     if (!this.#isReleasedHere(record)) return err({ kind: "settled" });
     record.isMoving = true;
-    const others = record.keepers.filter((member) => member !== this.#self);
-    const copies = await this.#copying.copyTo(others, {
+    const others = record.replicas.filter((member) => member !== this.#self);
+    const copies = await this.#copying.replicateTo(others, {
       job: record.job,
       withinMs: MOVE_COPY_WAIT_MS,
     });
@@ -178,7 +178,7 @@
     return ok(undefined);
   }
 
-  override recordFinished(id: JobId, answer: JobAnswer): void {
+  override recordFinished(id: JobId, answer: JobResponse): void {
     const record = this.#store.find(id);
     if (record !== undefined) this.#lifecycle.finish(record, answer);
   }
@@ -231,12 +231,12 @@
     if (this.#isExpired(record) || record.answer !== undefined) return [];
     if (outcome === undefined) {
       const isReady = epoch?.holder === this.#self &&
-        record.attempt === undefined && !record.isMoving &&
+        record.proposal === undefined && !record.isMoving &&
         !record.hasUsedHolderRound;
       return isReady ? [{ job }] : [];
     }
-    const dispatch = dispatchOf(record);
-    if (dispatch?.by !== this.#self || record.isReleased) return [];
+    const dispatch = knownDispatchOf(record);
+    if (dispatch?.by !== this.#self || record.isDispatchGranted) return [];
     const { upstream, nonce } = dispatch;
     return [{ job, pinned: { upstream, nonce } }];
   }
@@ -257,24 +257,24 @@
     { upstream, nonce }: JobDispatch,
   ): Result<void, DispatchRefusal> {
     const { outcome } = record;
-    if (record.attempt !== undefined || record.isMoving) {
+    if (record.proposal !== undefined || record.isMoving) {
       return err({ kind: "busy" });
     }
     const isMine = outcome?.kind === "dispatch" && outcome.by === this.#self &&
       outcome.upstream === upstream && outcome.nonce === nonce;
     const isOver = record.answer !== undefined || this.#isExpired(record);
-    if (!isMine || isOver || record.isReleased) {
+    if (!isMine || isOver || record.isDispatchGranted) {
       return err({ kind: "settled" });
     }
-    record.isReleased = true;
+    record.isDispatchGranted = true;
     this.#options.metrics.count("jobs_dispatched");
     return ok(undefined);
   }
 
   /** Whether the dispatch is this process's to make and nobody has ended it. */
   #isReleasedHere(record: JobRecord): boolean {
-    return record.isReleased && record.answer === undefined &&
-      dispatchOf(record)?.by === this.#self &&
+    return record.isDispatchGranted && record.answer === undefined &&
+      knownDispatchOf(record)?.by === this.#self &&
       this.#store.find(record.job.id) === record;
   }
 
@@ -283,7 +283,7 @@
   }
 
   #hasJobsToMove(): boolean {
-    const untold = this.#outbox.pendingJobs();
+    const untold = this.#outbox.jobsWithPendingUpdates();
     return this.#store.records().some(({ job, epoch, outcome, answer }) => {
       const isOpen = epoch !== undefined && outcome === undefined &&
         answer === undefined;
--- a/packages/coordination/src/jobLifecycle.ts
+++ b/packages/coordination/src/jobLifecycle.ts
@@ -1,6 +1,6 @@
 import type { JobId, Metrics, Milliseconds, Timer } from "@wasabivane/common";
-import type { Job, JobAnswer, JobTakeover } from "./job.ts";
-import type { JobNews } from "./jobMessages.ts";
+import type { Job, JobResponse, JobTakeover } from "./job.ts";
+import type { JobUpdate } from "./jobMessages.ts";
 import type { JobOutbox } from "./jobOutbox.ts";
 import type { Epoch, MemberId, RegisterValue } from "./jobRegister.ts";
 import type { JobOutcome, JobRecord, JobStore } from "./jobStore.ts";
@@ -12,7 +12,7 @@
 const BODY_KEPT_MS: Milliseconds = 30_000;
 
 /** An answer for a job that ended without one. */
-export function emptyAnswer(ending: "not-run" | "unknown"): JobAnswer {
+export function emptyResponse(ending: "not-run" | "unknown"): JobResponse {
   return { ending, status: 0, headers: {}, body: new Uint8Array() };
 }
 
@@ -40,14 +40,14 @@
   }
 
   /** An epoch is known to be the job's; a member that is not in it lets go. */
-  confirm(record: JobRecord, epoch: Epoch): void {
+  adoptEpoch(record: JobRecord, epoch: Epoch): void {
     const { self, store, metrics } = this.#options;
     if (record.outcome !== undefined && !voids(epoch, record)) return;
     const known = record.epoch ?? record.formerEpoch;
     if (known !== undefined && known.number >= epoch.number) return;
-    endAttempt(record);
+    abortProposal(record);
     if (!epoch.members.includes(self)) {
-      store.bury(record.job.id, epoch);
+      store.removeWithTombstone(record.job.id, epoch);
       return;
     }
     // Without the body this process could only dispatch an empty request.
@@ -55,88 +55,88 @@
     delete record.outcome;
     delete record.outcomeEpoch;
     delete record.runner;
-    record.isReleased = false;
+    record.isDispatchGranted = false;
     const isTakeover = record.epoch?.holder !== self && epoch.holder === self;
     record.epoch = epoch;
     record.acceptor = {};
     record.hasUsedHolderRound = false;
     record.highestRound = 0;
     record.retryAt = 0;
-    record.keepers = epoch.members;
-    record.lost.clear();
+    record.replicas = epoch.members;
+    record.lostMembers.clear();
     if (epoch.number === 0 || !isTakeover) return;
     metrics.count("jobs_taken_over");
     this.#tellTakeover({ job: record.job });
   }
 
   /** A value was chosen in the job's epoch. */
-  choose(record: JobRecord, value: RegisterValue): void {
+  applyChosenValue(record: JobRecord, value: RegisterValue): void {
     if (value.kind === "move") this.#move(record, value.epoch);
     else {
       const epochNumber = record.epoch!.number;
-      this.settle(record, { outcome: value, epochNumber });
+      this.applyOutcome(record, { outcome: value, epochNumber });
     }
   }
 
   /** The job's outcome is known, by an own attempt or from a peer. */
-  settle(
+  applyOutcome(
     record: JobRecord,
     { outcome, epochNumber, keepers, runner, answer, isNews = false }: {
       outcome: JobOutcome;
       epochNumber: number;
       keepers?: readonly MemberId[];
       runner?: MemberId;
-      answer?: JobAnswer;
+      answer?: JobResponse;
       isNews?: boolean;
     },
   ): void {
     const isStale = (record.epoch?.number ?? 0) > epochNumber;
     if (isNews && isStale) return;
-    endAttempt(record);
+    abortProposal(record);
     if (record.outcome === undefined) {
-      record.settledAt = this.#options.timer.now();
+      record.outcomeKnownSince = this.#options.timer.now();
     }
     record.outcome ??= outcome;
     record.outcomeEpoch ??= epochNumber;
-    if (keepers !== undefined) record.keepers = keepers;
+    if (keepers !== undefined) record.replicas = keepers;
     if (runner !== undefined) record.runner = runner;
     else if (outcome.kind === "dispatch") record.runner ??= outcome.by;
     if (outcome.kind === "withdraw") {
-      this.#keepAnswer(record, emptyAnswer("not-run"));
+      this.#keepAnswer(record, emptyResponse("not-run"));
     }
     if (answer !== undefined) this.#keepAnswer(record, answer);
-    if (!isNews) this.tellKeepers(record);
+    if (!isNews) this.notifyReplicas(record);
   }
 
   /** The job ended here. */
-  finish(record: JobRecord, answer: JobAnswer): void {
+  finish(record: JobRecord, answer: JobResponse): void {
     this.#keepAnswer(record, answer);
     this.#options.metrics.count("jobs_ended", 1, { ending: answer.ending });
-    if (record.outcome !== undefined) this.tellKeepers(record);
+    if (record.outcome !== undefined) this.notifyReplicas(record);
   }
 
   /**
    * Ends a job whose other members are gone. This member takes no part in the
    * register any more, so that what it says stays true if they come back.
    */
-  endAlone(record: JobRecord, ending: "not-run" | "unknown"): void {
+  endWithoutQuorum(record: JobRecord, ending: "not-run" | "unknown"): void {
     const { self, metrics } = this.#options;
-    endAttempt(record);
+    abortProposal(record);
     const promised = { round: LAST_ROUND, proposer: self };
     record.acceptor = { ...record.acceptor, promised };
     metrics.count("jobs_stranded", 1, { ending });
-    this.finish(record, emptyAnswer(ending));
+    this.finish(record, emptyResponse(ending));
   }
 
   /**
    * Drops a body that no dispatch needs any more. It stays a while after the
    * outcome, since the upstream may refuse the dispatch.
    */
-  dropIdleBody(record: JobRecord): void {
+  dropUnneededBody(record: JobRecord): void {
     const { self, timer, store } = this.#options;
     if (!record.hasBody || record.outcome === undefined) return;
-    const isOwn = dispatchOf(record)?.by === self;
-    const isRecent = timer.now() - record.settledAt < BODY_KEPT_MS;
+    const isOwn = knownDispatchOf(record)?.by === self;
+    const isRecent = timer.now() - record.outcomeKnownSince < BODY_KEPT_MS;
     if (record.answer === undefined && (isOwn || isRecent)) return;
     store.dropBody(record);
   }
@@ -144,11 +144,11 @@
   /** This process resumes the job's answer at its upstream. */
   resume(record: JobRecord): void {
     const { self, metrics } = this.#options;
-    const dispatch = dispatchOf(record);
+    const dispatch = knownDispatchOf(record);
     if (dispatch === undefined) return;
     record.runner = self;
     metrics.count("jobs_resumed");
-    if (record.outcome !== undefined) this.tellKeepers(record);
+    if (record.outcome !== undefined) this.notifyReplicas(record);
     const { upstream, nonce } = dispatch;
     this.#tellTakeover({
       job: record.job,
@@ -157,20 +157,20 @@
   }
 
   /** Drops a job everywhere: fetched, expired or never accepted. */
-  forget(
+  remove(
     record: JobRecord,
     { isTold = true }: { isTold?: boolean } = {},
   ): void {
     const { store } = this.#options;
-    endAttempt(record);
+    abortProposal(record);
     const others = this.#othersOf(record);
-    store.bury(record.job.id);
+    store.removeWithTombstone(record.job.id);
     if (!isTold) return;
     for (const to of others) this.#post(to, record.job.id, { kind: "gone" });
   }
 
   /** Tells the keepers the outcome, and the answer once there is one. */
-  tellKeepers(record: JobRecord): void {
+  notifyReplicas(record: JobRecord): void {
     const news = settledNews(record);
     if (news === undefined) return;
     for (const to of this.#othersOf(record)) {
@@ -179,7 +179,7 @@
   }
 
   /** Tells a process what it missed about a job; nothing when it is up to date. */
-  tellLatest(
+  sendLatestUpdate(
     to: MemberId,
     { id, epochNumber }: { id: JobId; epochNumber: number },
   ): void {
@@ -207,7 +207,7 @@
   reopen(record: JobRecord, copies: readonly MemberId[]): void {
     const { self, metrics } = this.#options;
     metrics.count("jobs_unsent");
-    record.isReleased = false;
+    record.isDispatchGranted = false;
     // With no other copy the recorded dispatch stands and may be made later.
     if (copies.length === 0) return;
     this.#move(record, {
@@ -222,12 +222,12 @@
     const told = new Set([...this.#othersOf(record), ...epoch.members]);
     told.delete(self);
     metrics.count("jobs_moved");
-    this.confirm(record, epoch);
-    for (const to of told) this.tellMoved(to, { record, epoch });
+    this.adoptEpoch(record, epoch);
+    for (const to of told) this.notifyMoved(to, { record, epoch });
   }
 
   /** Tells a process the job's epoch; one without a copy counts as lost. */
-  tellMoved(
+  notifyMoved(
     to: MemberId,
     { record, epoch, onNoted }: {
       record: JobRecord;
@@ -239,23 +239,23 @@
       id: record.job.id,
       news: { kind: "moved", epoch },
       onNoted: (isHeld) => {
-        if (!isHeld && epoch.members.includes(to)) record.lost.add(to);
+        if (!isHeld && epoch.members.includes(to)) record.lostMembers.add(to);
         onNoted?.(isHeld);
       },
     });
   }
 
-  #post(to: MemberId, id: JobId, news: JobNews): void {
+  #post(to: MemberId, id: JobId, news: JobUpdate): void {
     this.#options.outbox.post(to, { id, news });
   }
 
   #othersOf(record: JobRecord): MemberId[] {
-    const all = new Set([...record.keepers, ...record.epoch?.members ?? []]);
+    const all = new Set([...record.replicas, ...record.epoch?.members ?? []]);
     all.delete(this.#options.self);
     return [...all];
   }
 
-  #keepAnswer(record: JobRecord, answer: JobAnswer): void {
+  #keepAnswer(record: JobRecord, answer: JobResponse): void {
     // A whole answer that comes late is better than an ending without one.
     if (record.answer?.ending === "whole") return;
     this.#options.store.setAnswer(record, answer);
@@ -267,7 +267,7 @@
 }
 
 /** Where the job was or may have been dispatched, as far as this process knows. */
-export function dispatchOf(
+export function knownDispatchOf(
   record: JobRecord,
 ): Extract<JobOutcome, { kind: "dispatch" }> | undefined {
   const value = record.outcome ?? record.acceptor.accepted?.value;
@@ -275,9 +275,9 @@
 }
 
 /** Ends this process's attempt, if one is under way. */
-export function endAttempt(record: JobRecord): void {
-  const { attempt } = record;
-  delete record.attempt;
+export function abortProposal(record: JobRecord): void {
+  const { proposal: attempt } = record;
+  delete record.proposal;
   attempt?.onEnd({ kind: "failed" });
 }
 
@@ -291,8 +291,9 @@
   return { ...job, body: new Uint8Array() };
 }
 
-function settledNews(record: JobRecord): JobNews | undefined {
-  const { outcome, outcomeEpoch = 0, keepers, runner, answer } = record;
+function settledNews(record: JobRecord): JobUpdate | undefined {
+  const { outcome, outcomeEpoch = 0, replicas: keepers, runner, answer } =
+    record;
   if (outcome === undefined) return undefined;
   return {
     kind: "settled",
--- a/packages/coordination/src/jobLookUps.ts
+++ b/packages/coordination/src/jobLookUps.ts
@@ -8,13 +8,13 @@
 } from "@wasabivane/common";
 import { err, ok, type Result } from "neverthrow";
 import type { JobLookUpError, JobStatus } from "./job.ts";
-import { dispatchOf, type JobLifecycle } from "./jobLifecycle.ts";
-import { hostsInId, type JobMembers, orderFor } from "./jobMembers.ts";
+import { type JobLifecycle, knownDispatchOf } from "./jobLifecycle.ts";
+import { hostsInId, inRendezvousOrder, type JobMembers } from "./jobMembers.ts";
 import {
-  JOB_QUESTION,
-  JOB_STATUS,
-  type JobQuestion,
-  type JobStatusMessage,
+  JOB_STATUS_REPLY,
+  JOB_STATUS_REQUEST,
+  type JobStatusReply,
+  type JobStatusRequest,
 } from "./jobMessages.ts";
 import type { JobRecord, JobStore } from "./jobStore.ts";
 import { sendMessage, subscribeMessage } from "./peerMessages.ts";
@@ -28,7 +28,7 @@
 const MAX_HOSTS_BY_ORDER = 6;
 
 interface PendingQuestion {
-  readonly body: JobQuestion;
+  readonly body: JobStatusRequest;
   readonly hosts: readonly HostId[];
   readonly answered: Set<HostId>;
   best: JobStatus | undefined;
@@ -59,12 +59,12 @@
     return [
       subscribeMessage(
         link,
-        JOB_QUESTION,
+        JOB_STATUS_REQUEST,
         (from, body) => this.#onQuestion(from, body),
       ),
       subscribeMessage(
         link,
-        JOB_STATUS,
+        JOB_STATUS_REPLY,
         (from, body) => this.#onStatus(from, body),
       ),
     ];
@@ -86,7 +86,7 @@
     this.#forgetHere(id, account);
     const body = { id, account, question: 0, isFetched: true };
     for (const to of this.#hostsOf(id)) {
-      sendMessage(link, JOB_QUESTION, { to, body });
+      sendMessage(link, JOB_STATUS_REQUEST, { to, body });
     }
   }
 
@@ -125,11 +125,11 @@
   #send({ body, hosts, answered }: PendingQuestion): void {
     for (const to of hosts) {
       if (answered.has(to)) continue;
-      sendMessage(this.#options.link, JOB_QUESTION, { to, body });
+      sendMessage(this.#options.link, JOB_STATUS_REQUEST, { to, body });
     }
   }
 
-  #onStatus(from: HostId, { question, status }: JobStatusMessage): void {
+  #onStatus(from: HostId, { question, status }: JobStatusReply): void {
     const pending = this.#pending.get(question);
     if (pending === undefined || !pending.hosts.includes(from)) return;
     pending.answered.add(from);
@@ -140,11 +140,11 @@
     }
   }
 
-  #onQuestion(from: HostId, body: JobQuestion): void {
+  #onQuestion(from: HostId, body: JobStatusRequest): void {
     const { id, account, question, isFetched } = body;
     if (isFetched) return this.#forgetHere(id, account);
     const status = this.#statusHere(id, account);
-    sendMessage(this.#options.link, JOB_STATUS, {
+    sendMessage(this.#options.link, JOB_STATUS_REPLY, {
       to: from,
       body: { question, ...(status && { status }) },
     });
@@ -154,7 +154,7 @@
     const { store, lifecycle } = this.#options;
     const record = store.find(id);
     if (record?.job.account !== account) return;
-    if (record.answer !== undefined) lifecycle.forget(record);
+    if (record.answer !== undefined) lifecycle.remove(record);
   }
 
   #statusHere(id: JobId, account: ClientAccountId): JobStatus | undefined {
@@ -166,7 +166,7 @@
 
   #hostsOf(id: JobId): HostId[] {
     const { link, members } = this.#options;
-    const byOrder = orderFor(id, members.available())
+    const byOrder = inRendezvousOrder(id, members.availableMembers())
       .slice(0, MAX_HOSTS_BY_ORDER)
       .map(({ host }) => host);
     const named = hostsInId(id).filter((host) =>
@@ -182,7 +182,7 @@
   if (record.answer !== undefined) {
     return { kind: "ended", answer: record.answer };
   }
-  const dispatch = record.outcome && dispatchOf(record);
+  const dispatch = record.outcome && knownDispatchOf(record);
   if (dispatch) return { kind: "running", upstream: dispatch.upstream };
   return record.epoch === undefined ? undefined : { kind: "waiting" };
 }
--- a/packages/coordination/src/jobMembers.ts
+++ b/packages/coordination/src/jobMembers.ts
@@ -5,7 +5,7 @@
   type Milliseconds,
   rendezvousOrder,
 } from "@wasabivane/common";
-import { hostOf, type MemberId, memberId } from "./jobRegister.ts";
+import { hostOfMember, type MemberId, memberId } from "./jobRegister.ts";
 
 const MAX_REMEMBERED_DEAD = 4096;
 
@@ -36,9 +36,9 @@
   }
 
   isDead(id: MemberId): boolean {
-    const member = this.#byHost.get(hostOf(id));
+    const member = this.#byHost.get(hostOfMember(id));
     return member === undefined || member.state === "dead" ||
-      idOf(member) !== id;
+      memberIdOf(member) !== id;
   }
 
   /** How long a process has looked dead here; 0 for one that does not. */
@@ -55,16 +55,16 @@
 
   /** Whether the process is gone for certain: its host runs another one. */
   isReplaced(id: MemberId): boolean {
-    const member = this.#byHost.get(hostOf(id));
-    return member !== undefined && idOf(member) !== id;
+    const member = this.#byHost.get(hostOfMember(id));
+    return member !== undefined && memberIdOf(member) !== id;
   }
 
   isLeaving(id: MemberId): boolean {
-    return this.#byHost.get(hostOf(id))?.isLeaving === true;
+    return this.#byHost.get(hostOfMember(id))?.isLeaving === true;
   }
 
   /** Hosts that may take a copy. */
-  available(): JobMember[] {
+  availableMembers(): JobMember[] {
     return [...this.#byHost.values()].filter(({ state, isLeaving }) =>
       state === "alive" && !isLeaving
     );
@@ -72,13 +72,13 @@
 
   /** The failure domains of the given processes, as far as they are known. */
   domainsOf(ids: readonly MemberId[]): FailureDomain[] {
-    return ids.flatMap((id) => this.#byHost.get(hostOf(id)) ?? [])
+    return ids.flatMap((id) => this.#byHost.get(hostOfMember(id)) ?? [])
       .map(({ failureDomain }) => failureDomain);
   }
 }
 
 /** The process that runs on a member's host. */
-export function idOf({ host, incarnation }: JobMember): MemberId {
+export function memberIdOf({ host, incarnation }: JobMember): MemberId {
   return memberId(host, incarnation);
 }
 
@@ -97,7 +97,7 @@
  * failure domains that hold none, then hosts outside the first holder's domain,
  * then any. Any entry host knows that order, so that it finds a job that moved.
  */
-export function choosePlaces(
+export function chooseReplicaHosts(
   id: JobId,
   { candidates, usedDomains, count }: {
     candidates: readonly JobMember[];
@@ -105,7 +105,7 @@
     count: number;
   },
 ): JobMember[] {
-  const order = orderFor(id, candidates);
+  const order = inRendezvousOrder(id, candidates);
   const chosen: JobMember[] = [];
   const domains = new Set(usedDomains);
   const take = (accepts: (member: JobMember) => boolean): void => {
@@ -123,7 +123,7 @@
 }
 
 /** Members in the rendezvous order of a job. */
-export function orderFor(
+export function inRendezvousOrder(
   id: JobId,
   members: readonly JobMember[],
 ): JobMember[] {
--- a/packages/coordination/src/jobMessages.ts
+++ b/packages/coordination/src/jobMessages.ts
@@ -7,7 +7,7 @@
   Tier,
   UpstreamId,
 } from "@wasabivane/common";
-import type { Job, JobAnswer, JobStatus } from "./job.ts";
+import type { Job, JobResponse, JobStatus } from "./job.ts";
 import type {
   Ballot,
   Epoch,
@@ -33,12 +33,12 @@
 import { defineMessage, type MessageKind } from "./peerMessages.ts";
 
 /** Members of one epoch. */
-export const MAX_MEMBERS = 8;
+export const MAX_EPOCH_MEMBERS = 8;
 const MAX_HEADER_LENGTH = 8_192;
 
 const isMember = textOf<MemberId>(256);
 const isJobId = textOf<JobId>(512);
-const isMembers = listOf(isMember, MAX_MEMBERS);
+const isMembers = listOf(isMember, MAX_EPOCH_MEMBERS);
 
 function isHeaders(value: unknown): value is Readonly<Record<string, string>> {
   if (typeof value !== "object" || value === null) return false;
@@ -59,7 +59,7 @@
   acceptedAt: numberOf<number>(),
 });
 
-const isAnswer: Shape<JobAnswer> = objectOf({
+const isAnswer: Shape<JobResponse> = objectOf({
   ending: oneOf<Ending>("whole", "not-run", "unknown"),
   status: numberOf<number>(),
   headers: isHeaders,
@@ -114,7 +114,7 @@
 );
 
 /** A chosen fact about a job; each supersedes those before it. */
-export type JobNews =
+export type JobUpdate =
   | { readonly kind: "moved"; readonly epoch: Epoch }
   | {
     readonly kind: "settled";
@@ -125,12 +125,12 @@
     readonly epochNumber: number;
     readonly keepers: readonly MemberId[];
     readonly runner?: MemberId;
-    readonly answer?: JobAnswer;
+    readonly answer?: JobResponse;
   }
   /** Fetched, expired or never accepted. */
   | { readonly kind: "gone" };
 
-const isNews: Shape<JobNews> = anyOf<JobNews>(
+const isNews: Shape<JobUpdate> = anyOf<JobUpdate>(
   objectOf({ kind: oneOf("moved"), epoch: isEpoch }),
   objectOf({
     kind: oneOf("settled"),
@@ -151,13 +151,15 @@
 );
 
 /** Answers {@link JOB_COPY}. */
-export interface JobCopied {
+export interface JobCopyReply {
   readonly id: JobId;
   readonly member: MemberId;
   readonly isHeld: boolean;
 }
-/** See {@link JobCopied}. */
-export const JOB_COPIED: MessageKind<JobCopied> = defineMessage<JobCopied>(
+/** See {@link JobCopyReply}. */
+export const JOB_COPY_REPLY: MessageKind<JobCopyReply> = defineMessage<
+  JobCopyReply
+>(
   "job-copied",
   objectOf({ id: isJobId, member: isMember, isHeld: isBoolean }),
 );
@@ -170,14 +172,15 @@
   readonly by: MemberId;
 }
 /** See {@link JobRegisterRequest}. */
-export const JOB_REGISTER: MessageKind<JobRegisterRequest> = defineMessage<
-  JobRegisterRequest
->(
-  "job-register",
-  objectOf({ id: isJobId, epoch: isEpoch, request: isRequest, by: isMember }),
-);
+export const JOB_REGISTER_REQUEST: MessageKind<JobRegisterRequest> =
+  defineMessage<
+    JobRegisterRequest
+  >(
+    "job-register",
+    objectOf({ id: isJobId, epoch: isEpoch, request: isRequest, by: isMember }),
+  );
 
-/** A member's answer to {@link JOB_REGISTER}. */
+/** A member's answer to {@link JOB_REGISTER_REQUEST}. */
 export interface JobRegisterReply {
   readonly id: JobId;
   /** See `epochKey`. */
@@ -186,7 +189,7 @@
   readonly reply: RegisterReply;
 }
 /** See {@link JobRegisterReply}. */
-export const JOB_REPLY: MessageKind<JobRegisterReply> = defineMessage<
+export const JOB_REGISTER_REPLY: MessageKind<JobRegisterReply> = defineMessage<
   JobRegisterReply
 >(
   "job-reply",
@@ -199,15 +202,15 @@
 );
 
 /** News that the sender repeats until it is noted. */
-export interface JobNewsMessage {
+export interface JobUpdateMessage {
   readonly id: JobId;
   readonly sequence: number;
   readonly to: MemberId;
-  readonly news: JobNews;
+  readonly news: JobUpdate;
 }
-/** See {@link JobNewsMessage}. */
-export const JOB_NEWS: MessageKind<JobNewsMessage> = defineMessage<
-  JobNewsMessage
+/** See {@link JobUpdateMessage}. */
+export const JOB_UPDATE: MessageKind<JobUpdateMessage> = defineMessage<
+  JobUpdateMessage
 >(
   "job-news",
   objectOf({
@@ -218,16 +221,18 @@
   }),
 );
 
-/** Answers {@link JOB_NEWS}. */
-export interface JobNoted {
+/** Answers {@link JOB_UPDATE}. */
+export interface JobUpdateAck {
   readonly id: JobId;
   readonly sequence: number;
   readonly member: MemberId;
   /** False when the member has no copy. */
   readonly isHeld: boolean;
 }
-/** See {@link JobNoted}. */
-export const JOB_NOTED: MessageKind<JobNoted> = defineMessage<JobNoted>(
+/** See {@link JobUpdateAck}. */
+export const JOB_UPDATE_ACK: MessageKind<JobUpdateAck> = defineMessage<
+  JobUpdateAck
+>(
   "job-noted",
   objectOf({
     id: isJobId,
@@ -238,28 +243,30 @@
 );
 
 /** Asks whether a copy is still needed; answered by news where it is not. */
-export interface JobCheck {
+export interface JobCopyCheck {
   readonly id: JobId;
   readonly epochNumber: number;
   readonly by: MemberId;
 }
-/** See {@link JobCheck}. */
-export const JOB_CHECK: MessageKind<JobCheck> = defineMessage<JobCheck>(
+/** See {@link JobCopyCheck}. */
+export const JOB_COPY_CHECK: MessageKind<JobCopyCheck> = defineMessage<
+  JobCopyCheck
+>(
   "job-check",
   objectOf({ id: isJobId, epochNumber: numberOf<number>(), by: isMember }),
 );
 
 /** Asks what a host knows of a job. */
-export interface JobQuestion {
+export interface JobStatusRequest {
   readonly id: JobId;
   readonly account: ClientAccountId;
   readonly question: number;
   /** The caller has the answer; drop it. */
   readonly isFetched: boolean;
 }
-/** See {@link JobQuestion}. */
-export const JOB_QUESTION: MessageKind<JobQuestion> = defineMessage<
-  JobQuestion
+/** See {@link JobStatusRequest}. */
+export const JOB_STATUS_REQUEST: MessageKind<JobStatusRequest> = defineMessage<
+  JobStatusRequest
 >(
   "job-question",
   objectOf({
@@ -270,14 +277,14 @@
   }),
 );
 
-/** Answers {@link JOB_QUESTION}; no status when the host knows nothing. */
-export interface JobStatusMessage {
+/** Answers {@link JOB_STATUS_REQUEST}; no status when the host knows nothing. */
+export interface JobStatusReply {
   readonly question: number;
   readonly status?: JobStatus;
 }
-/** See {@link JobStatusMessage}. */
-export const JOB_STATUS: MessageKind<JobStatusMessage> = defineMessage<
-  JobStatusMessage
+/** See {@link JobStatusReply}. */
+export const JOB_STATUS_REPLY: MessageKind<JobStatusReply> = defineMessage<
+  JobStatusReply
 >(
   "job-status",
   objectOf({
--- a/packages/coordination/src/jobOutbox.ts
+++ b/packages/coordination/src/jobOutbox.ts
@@ -1,7 +1,11 @@
 import type { JobId, Milliseconds, PeerLink, Timer } from "@wasabivane/common";
-import { JOB_NEWS, type JobNews, type JobNoted } from "./jobMessages.ts";
+import {
+  JOB_UPDATE,
+  type JobUpdate,
+  type JobUpdateAck,
+} from "./jobMessages.ts";
 import type { JobMembers } from "./jobMembers.ts";
-import { hostOf, type MemberId } from "./jobRegister.ts";
+import { hostOfMember, type MemberId } from "./jobRegister.ts";
 import { sendMessage } from "./peerMessages.ts";
 
 const FIRST_REPEAT_MS: Milliseconds = 200;
@@ -12,7 +16,7 @@
 interface PendingNews {
   readonly to: MemberId;
   readonly id: JobId;
-  readonly news: JobNews;
+  readonly news: JobUpdate;
   readonly sequence: number;
   repeatAt: Milliseconds;
   pause: Milliseconds;
@@ -46,7 +50,7 @@
     to: MemberId,
     { id, news, onNoted }: {
       id: JobId;
-      news: JobNews;
+      news: JobUpdate;
       onNoted?: (isHeld: boolean) => void;
     },
   ): void {
@@ -63,7 +67,7 @@
     this.#send(pending);
   }
 
-  take({ id, sequence, member, isHeld }: JobNoted): void {
+  acknowledge({ id, sequence, member, isHeld }: JobUpdateAck): void {
     const place = placeOf(member, id);
     const pending = this.#pending.get(place);
     if (pending?.sequence !== sequence) return;
@@ -72,7 +76,7 @@
   }
 
   /** Repeats what is due. */
-  poll(): void {
+  resendDue(): void {
     const now = this.#timer.now();
     for (const [place, pending] of this.#pending) {
       if (now < pending.repeatAt) continue;
@@ -87,7 +91,7 @@
   }
 
   /** Jobs with news on its way to a process that answers. */
-  pendingJobs(): Set<JobId> {
+  jobsWithPendingUpdates(): Set<JobId> {
     const pending = [...this.#pending.values()].filter(({ to }) =>
       !this.#members.isDead(to)
     );
@@ -101,7 +105,7 @@
 
   #send({ to, id, news, sequence }: PendingNews): void {
     const body = { id, sequence, to, news };
-    sendMessage(this.#link, JOB_NEWS, { to: hostOf(to), body });
+    sendMessage(this.#link, JOB_UPDATE, { to: hostOfMember(to), body });
   }
 }
 
--- a/packages/coordination/src/jobAttendance.ts
+++ b/packages/coordination/src/jobReconciler.ts
@@ -4,14 +4,14 @@
   PeerLink,
   Timer,
 } from "@wasabivane/common";
-import type { JobCopying } from "./jobCopying.ts";
-import { type JobStep, MEMBERS_PER_JOB, nextStep } from "./jobKeeping.ts";
+import type { JobReplication } from "./jobReplication.ts";
+import { type JobStep, nextJobStep, REPLICAS_PER_JOB } from "./jobStep.ts";
 import type { JobLifecycle } from "./jobLifecycle.ts";
 import type { JobMembers } from "./jobMembers.ts";
-import { JOB_CHECK } from "./jobMessages.ts";
+import { JOB_COPY_CHECK } from "./jobMessages.ts";
 import type { JobOutbox } from "./jobOutbox.ts";
-import type { JobProposals } from "./jobProposals.ts";
-import { type Epoch, hostOf, type MemberId } from "./jobRegister.ts";
+import type { JobConsensus } from "./jobConsensus.ts";
+import { type Epoch, hostOfMember, type MemberId } from "./jobRegister.ts";
 import type { JobRecord, JobStore } from "./jobStore.ts";
 import { sendMessage } from "./peerMessages.ts";
 
@@ -23,39 +23,40 @@
 /** How often a copy asks whether it is still needed, after lost news. */
 const CHECK_PERIOD_MS: Milliseconds = 300_000;
 
-/** What {@link JobAttendance} needs. */
-export interface JobAttendanceOptions {
+/** What {@link JobReconciler} needs. */
+export interface JobReconcilerOptions {
   readonly self: MemberId;
   readonly link: PeerLink;
   readonly timer: Timer;
   readonly metrics: Metrics;
   readonly store: JobStore;
   readonly members: JobMembers;
-  readonly copying: JobCopying;
+  readonly replication: JobReplication;
   readonly outbox: JobOutbox;
   readonly lifecycle: JobLifecycle;
-  readonly proposals: JobProposals;
+  readonly consensus: JobConsensus;
   /** Whether this host hands its jobs over. */
   readonly isStopping: () => boolean;
 }
 
 /** Carries out what `nextStep` decides for each job, period by period. */
-export class JobAttendance {
-  readonly #options: JobAttendanceOptions;
+export class JobReconciler {
+  readonly #options: JobReconcilerOptions;
 
-  constructor(options: JobAttendanceOptions) {
+  constructor(options: JobReconcilerOptions) {
     this.#options = options;
   }
 
   /** Takes the next step for each job that this process holds. */
-  attendAll(): void {
-    const { timer, store, outbox, proposals, lifecycle } = this.#options;
-    outbox.poll();
-    store.dropOldTombstones(timer.wallNow());
+  reconcileAll(): void {
+    const { timer, store, outbox, consensus: proposals, lifecycle } =
+      this.#options;
+    outbox.resendDue();
+    store.removeExpiredTombstones(timer.wallNow());
     for (const record of store.records()) {
       if (this.#dropIfOver(record)) continue;
       proposals.poll(record);
-      lifecycle.dropIdleBody(record);
+      lifecycle.dropUnneededBody(record);
       this.#take(record, this.#nextStep(record));
       this.#check(record);
     }
@@ -63,7 +64,7 @@
 
   #nextStep(record: JobRecord): JobStep {
     const { self, timer, members, isStopping } = this.#options;
-    return nextStep(record, {
+    return nextJobStep(record, {
       self,
       now: timer.now(),
       members,
@@ -75,7 +76,7 @@
     const { timer, metrics, store, lifecycle } = this.#options;
     if (record.job.expiresAt <= timer.wallNow()) {
       metrics.count("jobs_expired");
-      lifecycle.forget(record, { isTold: false });
+      lifecycle.remove(record, { isTold: false });
       return true;
     }
     const isUnconfirmed = record.epoch === undefined &&
@@ -90,25 +91,32 @@
     const { lifecycle } = this.#options;
     if (step.kind === "move") void this.#move(record, step);
     else if (step.kind === "end-alone") {
-      lifecycle.endAlone(record, step.ending);
+      lifecycle.endWithoutQuorum(record, step.ending);
     } else if (step.kind === "resume") lifecycle.resume(record);
     else if (step.kind === "replenish") {
-      record.keepers = step.keepers;
-      lifecycle.tellKeepers(record);
+      record.replicas = step.replicas;
+      lifecycle.notifyReplicas(record);
     }
   }
 
   async #move(
     record: JobRecord,
-    { staying, fresh, spare, holder, isRequired }: Extract<
+    {
+      remaining: staying,
+      added: fresh,
+      unreachable: spare,
+      holder,
+      isRequired,
+    }: Extract<
       JobStep,
       { kind: "move" }
     >,
   ): Promise<void> {
-    const { self, timer, store, copying, proposals } = this.#options;
+    const { self, timer, store, replication: copying, consensus: proposals } =
+      this.#options;
     const epoch = record.epoch!;
     record.isMoving = true;
-    const copies = await copying.copyTo(fresh, {
+    const copies = await copying.replicateTo(fresh, {
       job: record.job,
       withinMs: MOVE_COPY_WAIT_MS,
     });
@@ -136,9 +144,9 @@
     record.checkedAt = now;
     const epochNumber = record.epoch?.number ?? 0;
     const body = { id: record.job.id, epochNumber, by: self };
-    for (const member of record.keepers) {
+    for (const member of record.replicas) {
       if (member === self) continue;
-      sendMessage(link, JOB_CHECK, { to: hostOf(member), body });
+      sendMessage(link, JOB_COPY_CHECK, { to: hostOfMember(member), body });
     }
   }
 }
@@ -150,6 +158,6 @@
 ): MemberId[] {
   return [...members, ...spare].slice(
     0,
-    Math.max(members.length, MEMBERS_PER_JOB),
+    Math.max(members.length, REPLICAS_PER_JOB),
   );
 }
--- a/packages/coordination/src/jobRegister.ts
+++ b/packages/coordination/src/jobRegister.ts
@@ -23,7 +23,7 @@
 }
 
 /** The host of a member. */
-export function hostOf(member: MemberId): HostId {
+export function hostOfMember(member: MemberId): HostId {
   return member.slice(0, member.lastIndexOf("@")) as HostId;
 }
 
@@ -66,7 +66,7 @@
 }
 
 /** What one member remembers of one register. */
-export interface Acceptor {
+export interface AcceptorState {
   readonly promised?: Ballot;
   readonly accepted?: Proposal;
 }
@@ -96,12 +96,12 @@
   };
 
 /** One attempt of one proposer. */
-export interface Attempt {
+export interface ProposerState {
   readonly members: readonly MemberId[];
   readonly ballot: Ballot;
   readonly phase: "preparing" | "accepting" | "chosen" | "outbid";
   /** What the proposer wants, if nothing else may have been chosen before. */
-  readonly wish: RegisterValue;
+  readonly preferredValue: RegisterValue;
   /** What it proposes; set once it accepts. */
   readonly value?: RegisterValue;
   readonly promises: readonly MemberId[];
@@ -113,19 +113,22 @@
 }
 
 /** Whether the left ballot is earlier than the right one. */
-export function isEarlier(left: Ballot, right: Ballot | undefined): boolean {
+export function isEarlierBallot(
+  left: Ballot,
+  right: Ballot | undefined,
+): boolean {
   if (right === undefined) return false;
   if (left.round !== right.round) return left.round < right.round;
   return left.proposer < right.proposer;
 }
 
 /** A member's answer and what it remembers afterwards. */
-export function answerRequest(
-  acceptor: Acceptor,
+export function handleRegisterRequest(
+  acceptor: AcceptorState,
   request: RegisterRequest,
-): { acceptor: Acceptor; reply: RegisterReply } {
+): { acceptor: AcceptorState; reply: RegisterReply } {
   const { ballot } = request;
-  if (isEarlier(ballot, acceptor.promised)) {
+  if (isEarlierBallot(ballot, acceptor.promised)) {
     const promisedRound = acceptor.promised?.round ?? 0;
     return { acceptor, reply: { kind: "refused", ballot, promisedRound } };
   }
@@ -148,12 +151,15 @@
  * use round 0, so nothing can have been accepted before it. The holder must
  * make at most one such attempt per epoch.
  */
-export function startAsHolder(epoch: Epoch, wish: RegisterValue): Attempt {
+export function startHolderProposal(
+  epoch: Epoch,
+  wish: RegisterValue,
+): ProposerState {
   return {
     members: epoch.members,
     ballot: { round: 0, proposer: epoch.holder },
     phase: "accepting",
-    wish,
+    preferredValue: wish,
     value: wish,
     promises: [],
     acceptances: [],
@@ -161,22 +167,24 @@
 }
 
 /** An attempt by any member; `round` is above 0 and above any it has seen. */
-export function startAttempt(
+export function startProposal(
   epoch: Epoch,
   { ballot, wish }: { ballot: Ballot; wish: RegisterValue },
-): Attempt {
+): ProposerState {
   return {
     members: epoch.members,
     ballot,
     phase: "preparing",
-    wish,
+    preferredValue: wish,
     promises: [],
     acceptances: [],
   };
 }
 
 /** What the attempt asks of its members now; nothing once it has ended. */
-export function requestOf(attempt: Attempt): RegisterRequest | undefined {
+export function pendingRequest(
+  attempt: ProposerState,
+): RegisterRequest | undefined {
   const { ballot, phase, value } = attempt;
   if (phase === "preparing") return { kind: "prepare", ballot };
   if (phase === "accepting" && value !== undefined) {
@@ -186,10 +194,10 @@
 }
 
 /** The attempt after a member's reply; doubled and late replies change nothing. */
-export function takeReply(
-  attempt: Attempt,
+export function applyRegisterReply(
+  attempt: ProposerState,
   { from, reply }: { from: MemberId; reply: RegisterReply },
-): Attempt {
+): ProposerState {
   if (!attempt.members.includes(from)) return attempt;
   if (!isSameBallot(reply.ballot, attempt.ballot)) return attempt;
   if (reply.kind === "refused") return takeRefusal(attempt, reply);
@@ -198,31 +206,35 @@
 }
 
 function takeRefusal(
-  attempt: Attempt,
+  attempt: ProposerState,
   { promisedRound }: { promisedRound: number },
-): Attempt {
+): ProposerState {
   if (attempt.phase === "chosen") return attempt;
   const outbidBy = Math.max(promisedRound, attempt.outbidBy ?? 0);
   return { ...attempt, phase: "outbid", outbidBy };
 }
 
 function takePromise(
-  attempt: Attempt,
+  attempt: ProposerState,
   { from, reply }: {
     from: MemberId;
     reply: Extract<RegisterReply, { kind: "promised" }>;
   },
-): Attempt {
+): ProposerState {
   if (attempt.phase !== "preparing") return attempt;
   const promises = withMember(attempt.promises, from);
   const latest = laterOf(attempt.latest, reply.accepted);
   const next = { ...attempt, promises, ...(latest && { latest }) };
   if (!isMajority(promises, attempt.members)) return next;
   // A value that some member accepted may have been chosen, so it goes first.
-  return { ...next, phase: "accepting", value: latest?.value ?? attempt.wish };
+  return {
+    ...next,
+    phase: "accepting",
+    value: latest?.value ?? attempt.preferredValue,
+  };
 }
 
-function takeAcceptance(attempt: Attempt, from: MemberId): Attempt {
+function takeAcceptance(attempt: ProposerState, from: MemberId): ProposerState {
   if (attempt.phase !== "accepting") return attempt;
   const acceptances = withMember(attempt.acceptances, from);
   const isChosen = isMajority(acceptances, attempt.members);
@@ -249,7 +261,7 @@
   right: Proposal | undefined,
 ): Proposal | undefined {
   if (left === undefined || right === undefined) return left ?? right;
-  return isEarlier(left.ballot, right.ballot) ? right : left;
+  return isEarlierBallot(left.ballot, right.ballot) ? right : left;
 }
 
 function isSameBallot(left: Ballot, right: Ballot): boolean {
--- a/packages/coordination/src/jobCopying.ts
+++ b/packages/coordination/src/jobReplication.ts
@@ -1,7 +1,7 @@
 import type { JobId, Milliseconds, PeerLink, Timer } from "@wasabivane/common";
 import type { Job } from "./job.ts";
-import { JOB_COPY, type JobCopied } from "./jobMessages.ts";
-import { hostOf, type MemberId } from "./jobRegister.ts";
+import { JOB_COPY, type JobCopyReply } from "./jobMessages.ts";
+import { hostOfMember, type MemberId } from "./jobRegister.ts";
 import { sendMessage } from "./peerMessages.ts";
 
 const REPEAT_MS: Milliseconds = 250;
@@ -13,7 +13,7 @@
 }
 
 /** Places unconfirmed copies at other hosts. */
-export class JobCopying {
+export class JobReplication {
   readonly #link: PeerLink;
   readonly #timer: Timer;
   readonly #copying = new Map<JobId, Set<Copying>>();
@@ -24,7 +24,7 @@
   }
 
   /** The targets that hold a copy when all have answered or the time is up. */
-  copyTo(
+  replicateTo(
     targets: readonly MemberId[],
     { job, withinMs }: { job: Job; withinMs: Milliseconds },
   ): Promise<MemberId[]> {
@@ -52,7 +52,7 @@
   }
 
   /** Takes a host's answer. */
-  take({ id, member, isHeld }: JobCopied): void {
+  onReply({ id, member, isHeld }: JobCopyReply): void {
     for (const copying of this.#copying.get(id) ?? []) {
       if (!copying.targets.includes(member)) continue;
       copying.answers.set(member, isHeld);
@@ -63,7 +63,10 @@
   #send(job: Job, { targets, answers }: Copying): void {
     for (const target of targets) {
       if (answers.has(target)) continue;
-      sendMessage(this.#link, JOB_COPY, { to: hostOf(target), body: { job } });
+      sendMessage(this.#link, JOB_COPY, {
+        to: hostOfMember(target),
+        body: { job },
+      });
     }
   }
 
--- a/packages/coordination/src/jobKeeping.ts
+++ b/packages/coordination/src/jobStep.ts
@@ -1,6 +1,10 @@
 import type { Milliseconds } from "@wasabivane/common";
-import { dispatchOf } from "./jobLifecycle.ts";
-import { choosePlaces, idOf, type JobMembers } from "./jobMembers.ts";
+import { knownDispatchOf } from "./jobLifecycle.ts";
+import {
+  chooseReplicaHosts,
+  type JobMembers,
+  memberIdOf,
+} from "./jobMembers.ts";
 import { type Epoch, isMajority, type MemberId } from "./jobRegister.ts";
 import type { JobRecord } from "./jobStore.ts";
 
@@ -12,15 +16,15 @@
  * Three members survive any one loss and need one round trip to one of two
  * copies per dispatch; five would survive two at twice the memory.
  */
-export const MEMBERS_PER_JOB = 3;
+export const REPLICAS_PER_JOB = 3;
 /** A process that looks dead for so long is replaced. */
 export const DEAD_GRACE_MS: Milliseconds = 500;
 /** Each further copy waits so much longer before it takes over. */
 export const TAKEOVER_STAGGER_MS: Milliseconds = 2_000;
 /** Copies whose other members are certainly gone end a job after so long. */
-export const STRANDED_CERTAIN_MS: Milliseconds = 5_000;
+export const QUORUM_LOST_WAIT_MS: Milliseconds = 5_000;
 /** The same where they may only be cut off. */
-export const STRANDED_MS: Milliseconds = 600_000;
+export const QUORUM_UNREACHABLE_WAIT_MS: Milliseconds = 600_000;
 
 /** What a process does for a job. */
 export type JobStep =
@@ -28,10 +32,10 @@
   /** Have this epoch follow; `fresh` members need copies first. */
   | {
     readonly kind: "move";
-    readonly staying: readonly MemberId[];
-    readonly fresh: readonly MemberId[];
+    readonly remaining: readonly MemberId[];
+    readonly added: readonly MemberId[];
     /** Members that do not answer now but may come back with their copies. */
-    readonly spare: readonly MemberId[];
+    readonly unreachable: readonly MemberId[];
     readonly holder: "self" | "other";
     /** Worth it also without a fresh member. */
     readonly isRequired: boolean;
@@ -39,10 +43,10 @@
   | { readonly kind: "end-alone"; readonly ending: "not-run" | "unknown" }
   | { readonly kind: "resume" }
   /** Give the outcome or the answer to more hosts. */
-  | { readonly kind: "replenish"; readonly keepers: readonly MemberId[] };
+  | { readonly kind: "replenish"; readonly replicas: readonly MemberId[] };
 
 /** What a decision rests on. */
-export interface JobView {
+export interface JobStepContext {
   readonly self: MemberId;
   readonly now: Milliseconds;
   readonly members: JobMembers;
@@ -53,8 +57,8 @@
 const WAIT: JobStep = { kind: "wait" };
 
 /** The next step for a job. */
-export function nextStep(record: JobRecord, view: JobView): JobStep {
-  if (record.attempt !== undefined || record.isMoving) return WAIT;
+export function nextJobStep(record: JobRecord, view: JobStepContext): JobStep {
+  if (record.proposal !== undefined || record.isMoving) return WAIT;
   if (record.outcome !== undefined) return stepWhenSettled(record, view);
   if (record.epoch === undefined || record.answer !== undefined) return WAIT;
   if (view.now < record.retryAt) return WAIT;
@@ -63,7 +67,7 @@
 
 function stepWhenOpen(
   record: JobRecord,
-  { epoch, view }: { epoch: Epoch; view: JobView },
+  { epoch, view }: { epoch: Epoch; view: JobStepContext },
 ): JobStep {
   const answering = epoch.members.filter((member) =>
     isAnswering(member, { record, view })
@@ -88,7 +92,7 @@
   { epoch, answering, view }: {
     epoch: Epoch;
     answering: readonly MemberId[];
-    view: JobView;
+    view: JobStepContext;
   },
 ): JobStep {
   const { members, now } = view;
@@ -98,11 +102,12 @@
     staying.length < answering.length;
   if (mustMove) return move(record, { epoch, staying, view, isRequired: true });
   const isAnyGone = epoch.members.some((member) =>
-    record.lost.has(member) || members.deadFor(member, now) >= DEAD_GRACE_MS
+    record.lostMembers.has(member) ||
+    members.deadFor(member, now) >= DEAD_GRACE_MS
   );
-  if (!isAnyGone && epoch.members.length >= MEMBERS_PER_JOB) return WAIT;
+  if (!isAnyGone && epoch.members.length >= REPLICAS_PER_JOB) return WAIT;
   const step = move(record, { epoch, staying, view, isRequired: false });
-  const isHelped = step.kind === "move" && step.fresh.length > 0;
+  const isHelped = step.kind === "move" && step.added.length > 0;
   return isHelped ? step : WAIT;
 }
 
@@ -111,19 +116,26 @@
   { epoch, staying, view, isRequired }: {
     epoch: Epoch;
     staying: readonly MemberId[];
-    view: JobView;
+    view: JobStepContext;
     isRequired: boolean;
   },
 ): JobStep {
   const { self, members } = view;
   const fresh = freshMembers(record, { staying, view });
   const spare = epoch.members.filter((member) =>
-    !staying.includes(member) && !record.lost.has(member) &&
+    !staying.includes(member) && !record.lostMembers.has(member) &&
     !members.isReplaced(member) && !isLeaving(member, view)
   );
   if (staying.length + fresh.length < 2) return WAIT;
   const holder = staying.includes(self) ? "self" : "other";
-  return { kind: "move", staying, fresh, spare, holder, isRequired };
+  return {
+    kind: "move",
+    remaining: staying,
+    added: fresh,
+    unreachable: spare,
+    holder,
+    isRequired,
+  };
 }
 
 /**
@@ -138,20 +150,20 @@
   { epoch, answering, view }: {
     epoch: Epoch;
     answering: readonly MemberId[];
-    view: JobView;
+    view: JobStepContext;
   },
 ): JobStep {
   const { self, members, now } = view;
   const missing = epoch.members.filter((member) => !answering.includes(member));
   const isCertain = missing.every((member) =>
-    record.lost.has(member) || members.isReplaced(member)
+    record.lostMembers.has(member) || members.isReplaced(member)
   );
-  const patience = isCertain ? STRANDED_CERTAIN_MS : STRANDED_MS;
-  const silences = missing.filter((member) => !record.lost.has(member))
+  const patience = isCertain ? QUORUM_LOST_WAIT_MS : QUORUM_UNREACHABLE_WAIT_MS;
+  const silences = missing.filter((member) => !record.lostMembers.has(member))
     .map((member) => members.deadFor(member, now));
   if (silences.some((silence) => silence < patience)) return WAIT;
   const accepted = record.acceptor.accepted?.value;
-  const dispatch = dispatchOf(record);
+  const dispatch = knownDispatchOf(record);
   if (dispatch !== undefined && dispatch.by !== self) {
     return record.runner === self ? WAIT : { kind: "resume" };
   }
@@ -161,9 +173,9 @@
   return { kind: "end-alone", ending: hasNotRun ? "not-run" : "unknown" };
 }
 
-function stepWhenSettled(record: JobRecord, view: JobView): JobStep {
+function stepWhenSettled(record: JobRecord, view: JobStepContext): JobStep {
   const { self, members, now } = view;
-  const answering = record.keepers.filter((member) =>
+  const answering = record.replicas.filter((member) =>
     isAnswering(member, { record, view })
   );
   const runner = record.runner;
@@ -175,42 +187,42 @@
   }
   const staying = answering.filter((member) => !isLeaving(member, view));
   const leader = isOpen && !members.isDead(runner) ? runner : answering[0];
-  if (leader !== self || staying.length >= MEMBERS_PER_JOB) return WAIT;
-  const isSettling = record.keepers.some((member) =>
+  if (leader !== self || staying.length >= REPLICAS_PER_JOB) return WAIT;
+  const isSettling = record.replicas.some((member) =>
     members.isDead(member) && members.deadFor(member, now) < DEAD_GRACE_MS
   );
   if (isSettling) return WAIT;
   const fresh = freshMembers(record, { staying, view });
   if (fresh.length === 0) return WAIT;
-  return { kind: "replenish", keepers: [...staying, ...fresh] };
+  return { kind: "replenish", replicas: [...staying, ...fresh] };
 }
 
 function freshMembers(
   record: JobRecord,
-  { staying, view }: { staying: readonly MemberId[]; view: JobView },
+  { staying, view }: { staying: readonly MemberId[]; view: JobStepContext },
 ): MemberId[] {
   const { self, members, isStopping } = view;
-  const taken = new Set([...staying, ...record.lost]);
-  const candidates = members.available().filter((member) => {
-    const id = idOf(member);
+  const taken = new Set([...staying, ...record.lostMembers]);
+  const candidates = members.availableMembers().filter((member) => {
+    const id = memberIdOf(member);
     return !taken.has(id) && !(isStopping && id === self);
   });
-  return choosePlaces(record.job.id, {
+  return chooseReplicaHosts(record.job.id, {
     candidates,
     usedDomains: members.domainsOf(staying),
-    count: Math.max(0, MEMBERS_PER_JOB - staying.length),
-  }).map(idOf);
+    count: Math.max(0, REPLICAS_PER_JOB - staying.length),
+  }).map(memberIdOf);
 }
 
 function isAnswering(
   member: MemberId,
-  { record, view }: { record: JobRecord; view: JobView },
+  { record, view }: { record: JobRecord; view: JobStepContext },
 ): boolean {
   if (member === view.self) return true;
-  return !record.lost.has(member) && !view.members.isDead(member);
+  return !record.lostMembers.has(member) && !view.members.isDead(member);
 }
 
-function isLeaving(member: MemberId, view: JobView): boolean {
+function isLeaving(member: MemberId, view: JobStepContext): boolean {
   if (member === view.self) return view.isStopping;
   return view.members.isLeaving(member);
 }
--- a/packages/coordination/src/jobStore.ts
+++ b/packages/coordination/src/jobStore.ts
@@ -3,12 +3,12 @@
   JobId,
   Milliseconds,
 } from "@wasabivane/common";
-import type { Job, JobAnswer } from "./job.ts";
+import type { Job, JobResponse } from "./job.ts";
 import type {
-  Acceptor,
-  Attempt,
+  AcceptorState,
   Epoch,
   MemberId,
+  ProposerState,
   RegisterValue,
 } from "./jobRegister.ts";
 
@@ -16,16 +16,16 @@
 export type JobOutcome = Exclude<RegisterValue, { kind: "move" }>;
 
 /** How an attempt to settle a job ended. */
-export type AttemptEnd =
+export type ProposalResult =
   | { readonly kind: "chosen"; readonly value: RegisterValue }
   | { readonly kind: "failed" };
 
 /** An attempt of this process that is under way. */
-export interface RunningAttempt {
-  attempt: Attempt;
+export interface RunningProposal {
+  state: ProposerState;
   readonly startedAt: Milliseconds;
   sentAt: Milliseconds;
-  readonly onEnd: (end: AttemptEnd) => void;
+  readonly onEnd: (end: ProposalResult) => void;
 }
 
 /** One job as this process holds it. */
@@ -43,26 +43,26 @@
    */
   formerEpoch?: Epoch;
   /** What this process has promised and accepted in the epoch. */
-  acceptor: Acceptor;
-  attempt?: RunningAttempt;
+  acceptor: AcceptorState;
+  proposal?: RunningProposal;
   /** The holder's round 0 serves once per epoch. */
   hasUsedHolderRound: boolean;
   highestRound: number;
   retryAt: Milliseconds;
   isMoving: boolean;
   /** Members that answer but hold no copy any more. */
-  readonly lost: Set<MemberId>;
+  readonly lostMembers: Set<MemberId>;
   outcome?: JobOutcome;
-  settledAt: Milliseconds;
+  outcomeKnownSince: Milliseconds;
   /** Number of the epoch that settled on the outcome. */
   outcomeEpoch?: number;
   /** Processes that hold the job or its outcome now. */
-  keepers: readonly MemberId[];
+  replicas: readonly MemberId[];
   /** Who dispatches or resumes. */
   runner?: MemberId;
   /** `recordDispatch` has given the right here; it gives it once. */
-  isReleased: boolean;
-  answer?: JobAnswer;
+  isDispatchGranted: boolean;
+  answer?: JobResponse;
   checkedAt: Milliseconds;
 }
 
@@ -81,7 +81,7 @@
 }
 
 /** Largest clock difference between hosts that tombstones allow for. */
-export const CLOCK_SKEW_MS: Milliseconds = 600_000;
+export const TOMBSTONE_MARGIN_MS: Milliseconds = 600_000;
 /** Bytes that a job without body is charged with. */
 const RECORD_BYTES = 1024;
 
@@ -130,7 +130,7 @@
     return this.#tombstones.get(id);
   }
 
-  hasRoomFor(job: Job): boolean {
+  hasCapacityFor(job: Job): boolean {
     const { maximumJobs, maximumBytes, maximumTombstones } = this.#options;
     return this.#records.size < maximumJobs &&
       this.#bytes + bytesOf(job) <= maximumBytes &&
@@ -138,7 +138,7 @@
   }
 
   /** Whether a copy may come here: the job has not ended here before. */
-  isWelcome(id: JobId): boolean {
+  canInstall(id: JobId): boolean {
     const tombstone = this.#tombstones.get(id);
     return tombstone === undefined || tombstone.movedTo !== undefined;
   }
@@ -160,10 +160,10 @@
       highestRound: 0,
       retryAt: 0,
       isMoving: false,
-      lost: new Set(),
-      keepers: [],
-      isReleased: false,
-      settledAt: now,
+      lostMembers: new Set(),
+      replicas: [],
+      isDispatchGranted: false,
+      outcomeKnownSince: now,
       checkedAt: now,
     };
     this.#records.set(job.id, record);
@@ -186,24 +186,24 @@
     record.hasBody = true;
   }
 
-  setAnswer(record: JobRecord, answer: JobAnswer): void {
+  setAnswer(record: JobRecord, answer: JobResponse): void {
     this.#bytes += answer.body.length - (record.answer?.body.length ?? 0);
     record.answer = answer;
   }
 
   /** Removes a job and leaves a tombstone. */
-  bury(id: JobId, movedTo?: Epoch): void {
+  removeWithTombstone(id: JobId, movedTo?: Epoch): void {
     const record = this.#records.get(id);
     if (record === undefined) return;
     this.#remove(id);
-    const until = record.job.expiresAt + CLOCK_SKEW_MS;
+    const until = record.job.expiresAt + TOMBSTONE_MARGIN_MS;
     this.#tombstones.set(id, { until, ...(movedTo && { movedTo }) });
   }
 
   /** Removes a copy that was never confirmed; it has promised nothing. */
   removeUnconfirmed({ job, formerEpoch }: JobRecord): void {
     if (formerEpoch === undefined) this.#remove(job.id);
-    else this.bury(job.id, formerEpoch);
+    else this.removeWithTombstone(job.id, formerEpoch);
   }
 
   #remove(id: JobId): void {
@@ -213,7 +213,7 @@
     this.#records.delete(id);
   }
 
-  dropOldTombstones(wallNow: EpochMilliseconds): void {
+  removeExpiredTombstones(wallNow: EpochMilliseconds): void {
     for (const [id, { until }] of this.#tombstones) {
       if (until <= wallNow) this.#tombstones.delete(id);
     }
--- a/packages/coordination/src/keyClaims.ts
+++ b/packages/coordination/src/keyClaims.ts
@@ -66,7 +66,7 @@
   | "released";
 
 /** What a home says to a {@link Claim}. */
-export type ClaimAnswer =
+export type ClaimReply =
   /** The claimant owns the key; nobody else is told so until it is released. */
   | { readonly kind: "granted"; readonly attempt: number }
   | {
--- a/packages/coordination/src/keyHomeController.ts
+++ b/packages/coordination/src/keyHomeController.ts
@@ -10,20 +10,20 @@
   type Timer,
   type TimerSubscription,
 } from "@wasabivane/common";
-import type { Claim, ClaimAnswer } from "./keyClaims.ts";
-import { type ClaimContext, KeyHome } from "./keyHome.ts";
+import type { Claim, ClaimReply } from "./keyClaims.ts";
+import { type ClaimContext, KeyTable } from "./keyTable.ts";
 import { type BareKey, parseKey, type Ticket } from "./idempotencyKeys.ts";
 import {
-  KEY_ANSWER,
   KEY_CLAIM,
+  KEY_CLAIM_REPLY,
   KEY_UPDATE,
-  KEY_UPDATE_TAKEN,
+  KEY_UPDATE_ACK,
   type KeyUpdate,
 } from "./keyMessages.ts";
 import { MEMBERS } from "./membershipController.ts";
 import { sendMessage, subscribeMessage } from "./peerMessages.ts";
 import type { ViewController } from "./viewController.ts";
-import { type Activity, homeOf, tenureStartOf } from "./views.ts";
+import { type ActiveView, homeOf, tenureStartOf } from "./views.ts";
 
 const EXPIRY_PERIOD_MS: Milliseconds = 10_000;
 /** More starts than a host has tenures at once; all are worked out again after that. */
@@ -45,7 +45,7 @@
 /** Decides claims of the keys whose home this host is, and of its own tickets. */
 export class KeyHomeController extends Controller {
   readonly #options: KeyControllerOptions;
-  readonly #home: KeyHome;
+  readonly #home: KeyTable;
   readonly #subscriptions: (() => void)[] = [];
   /**
    * Wall-clock starts of tenures. Worked out anew at each claim, a start moved
@@ -55,7 +55,7 @@
   readonly #wallStarts = new Map<Milliseconds, EpochMilliseconds>();
   #expiry: TimerSubscription | undefined;
 
-  constructor(options: KeyControllerOptions, home: KeyHome = new KeyHome()) {
+  constructor(options: KeyControllerOptions, home: KeyTable = new KeyTable()) {
     super();
     this.#options = options;
     this.#home = home;
@@ -71,7 +71,7 @@
         const isReleased = this.update(update);
         const { claimId, sequence } = update;
         const body = { claimId, sequence, isReleased };
-        sendMessage(link, KEY_UPDATE_TAKEN, { to: from, body });
+        sendMessage(link, KEY_UPDATE_ACK, { to: from, body });
       }),
     );
     this.#expiry = timer.every(EXPIRY_PERIOD_MS, () => {
@@ -85,7 +85,7 @@
   }
 
   /** Decides a claim as home; the home's own requests call it directly. */
-  claim(claim: Claim): ClaimAnswer {
+  claim(claim: Claim): ClaimReply {
     const { account, key } = claim;
     const parsed = parseKey(key, { account, secrets: this.#options.secrets() });
     if (parsed.isErr()) return { kind: "unknown", reason: "unauthenticated" };
@@ -105,7 +105,7 @@
    * another one may have granted the key meanwhile.
    */
   update(update: KeyUpdate): boolean {
-    if (this.#home.isNews(update)) this.#apply(update);
+    if (this.#home.advanceSequence(update)) this.#apply(update);
     return this.#home.isReleasedBy(update) && this.#isHomeOf(update);
   }
 
@@ -125,17 +125,17 @@
     const parsed = parseKey(key, { account, secrets: secrets() });
     if (parsed.isErr()) return false;
     if (parsed.value.kind === "ticket") return true;
-    const activity = views.activity();
+    const activity = views.activeView();
     return activity !== undefined && homeOf(key, activity.view) === host;
   }
 
   #onClaim(from: HostId, claim: Claim): void {
     if (claim.claimant.host !== from) return;
     const body = { claimId: claim.claimId, answer: this.claim(claim) };
-    sendMessage(this.#options.link, KEY_ANSWER, { to: from, body });
+    sendMessage(this.#options.link, KEY_CLAIM_REPLY, { to: from, body });
   }
 
-  #claimTicket(claim: Claim, ticket: Ticket): ClaimAnswer {
+  #claimTicket(claim: Claim, ticket: Ticket): ClaimReply {
     const { host, incarnation } = this.#options;
     const isOwn = ticket.host === host && ticket.incarnation === incarnation;
     if (!isOwn) return { kind: "unknown", reason: "home-restarted" };
@@ -143,8 +143,8 @@
     return this.#home.claim(checked, this.#context(-Infinity));
   }
 
-  #claimBare(claim: Claim, key: BareKey): ClaimAnswer {
-    const activity = this.#options.views.activity();
+  #claimBare(claim: Claim, key: BareKey): ClaimReply {
+    const activity = this.#options.views.activeView();
     const isHome = activity !== undefined &&
       homeOf(claim.key, activity.view) === this.#options.host;
     if (!isHome) return { kind: "unknown", reason: "home-inactive" };
@@ -153,7 +153,7 @@
     return this.#home.claim(checked, this.#context(tenureStartedAt));
   }
 
-  #tenureStart(key: string, { tenures }: Activity): EpochMilliseconds {
+  #tenureStart(key: string, { tenures }: ActiveView): EpochMilliseconds {
     const { host, views, timer } = this.#options;
     const startedAt = tenureStartOf(key, { host, tenures });
     const known = this.#wallStarts.get(startedAt);
@@ -168,7 +168,7 @@
     return {
       wallNow: this.#options.timer.wallNow(),
       tenureStartedAt,
-      isGone: (host, incarnation) => this.#isGone(host, incarnation),
+      isTerminated: (host, incarnation) => this.#isGone(host, incarnation),
     };
   }
 
--- a/packages/coordination/src/keyMessages.ts
+++ b/packages/coordination/src/keyMessages.ts
@@ -10,8 +10,8 @@
 } from "@wasabivane/common";
 import type {
   Claim,
-  ClaimAnswer,
   Claimant,
+  ClaimReply,
   Dispatch,
   NotRunReason,
   UnknownReason,
@@ -40,13 +40,13 @@
 }
 
 /** Body of `key-answer`. */
-export interface KeyAnswer {
+export interface KeyClaimReply {
   readonly claimId: string;
-  readonly answer: ClaimAnswer;
+  readonly answer: ClaimReply;
 }
 
 /** Body of `key-update-taken`. */
-export interface KeyUpdateTaken {
+export interface KeyUpdateAck {
   readonly claimId: string;
   readonly sequence: number;
   /** Whether the key is given back and granted to nobody else. */
@@ -62,7 +62,7 @@
   upstream: textOf<UpstreamId>(),
   nonce: textOf<Nonce>(),
 });
-const answerShape: Shape<ClaimAnswer> = anyOf<ClaimAnswer>(
+const answerShape: Shape<ClaimReply> = anyOf<ClaimReply>(
   objectOf({ kind: oneOf("granted"), attempt: numberOf<number>() }),
   objectOf({
     kind: oneOf("owned-by"),
@@ -94,8 +94,10 @@
     claimant: claimantShape,
   }),
 );
-/** See {@link KeyAnswer}. */
-export const KEY_ANSWER: MessageKind<KeyAnswer> = defineMessage<KeyAnswer>(
+/** See {@link KeyClaimReply}. */
+export const KEY_CLAIM_REPLY: MessageKind<KeyClaimReply> = defineMessage<
+  KeyClaimReply
+>(
   "key-answer",
   objectOf({ claimId: textOf<string>(), answer: answerShape }),
 );
@@ -115,9 +117,9 @@
     dispatch: optional(dispatchShape),
   }),
 );
-/** See {@link KeyUpdateTaken}. */
-export const KEY_UPDATE_TAKEN: MessageKind<KeyUpdateTaken> = defineMessage<
-  KeyUpdateTaken
+/** See {@link KeyUpdateAck}. */
+export const KEY_UPDATE_ACK: MessageKind<KeyUpdateAck> = defineMessage<
+  KeyUpdateAck
 >(
   "key-update-taken",
   objectOf({
--- a/packages/coordination/src/keyService.ts
+++ b/packages/coordination/src/keyService.ts
@@ -12,26 +12,26 @@
 } from "@wasabivane/common";
 import {
   canonicalKey,
-  HOST_SKEW_MS,
   KEY_LIFETIME_MS,
+  MAX_CALLER_CLOCK_SKEW_MS,
+  MAX_HOST_CLOCK_SKEW_MS,
   mintTicket,
   type ParsedKey,
   parseKey,
-  SKEW_BOUND_MS,
 } from "./idempotencyKeys.ts";
-import type { Claim, ClaimAnswer, Dispatch } from "./keyClaims.ts";
+import type { Claim, ClaimReply, Dispatch } from "./keyClaims.ts";
 import {
   type KeyControllerOptions,
   KeyHomeController,
 } from "./keyHomeController.ts";
 import {
-  KEY_ANSWER,
   KEY_CLAIM,
+  KEY_CLAIM_REPLY,
   KEY_UPDATE,
-  KEY_UPDATE_TAKEN,
+  KEY_UPDATE_ACK,
   type KeyUpdate,
 } from "./keyMessages.ts";
-import { expiryOf, KeyOwner, type OwnClaim } from "./keyOwner.ts";
+import { ClaimTable, expiryOf, type OwnClaim } from "./claimTable.ts";
 import { sendMessage, subscribeMessage } from "./peerMessages.ts";
 import { homeOf } from "./views.ts";
 
@@ -74,7 +74,7 @@
 /** What a claim ended with. */
 export type ClaimOutcome =
   | { readonly kind: "granted"; readonly owned: OwnedKey }
-  | Exclude<ClaimAnswer, { kind: "granted" }>;
+  | Exclude<ClaimReply, { kind: "granted" }>;
 
 interface Waiter {
   readonly resolve: (outcome: ClaimOutcome) => void;
@@ -102,7 +102,7 @@
 export class KeyService extends Controller {
   readonly #options: KeyServiceOptions;
   readonly #home: KeyHomeController;
-  readonly #owner = new KeyOwner();
+  readonly #owner = new ClaimTable();
   readonly #waiters = new Map<string, Waiter>();
   readonly #updates = new Map<string, PendingUpdate>();
   readonly #subscriptions: (() => void)[] = [];
@@ -118,15 +118,15 @@
     const { link, timer } = this.#options;
     this.#home.start();
     this.#subscriptions.push(
-      subscribeMessage(link, KEY_ANSWER, (from, { claimId, answer }) => {
+      subscribeMessage(link, KEY_CLAIM_REPLY, (from, { claimId, answer }) => {
         this.#onAnswer(claimId, answer, { from });
       }),
-      subscribeMessage(link, KEY_UPDATE_TAKEN, (_from, taken) => {
+      subscribeMessage(link, KEY_UPDATE_ACK, (_from, taken) => {
         this.#endUpdate(updateKey(taken), taken.isReleased === true);
       }),
     );
     this.#purging = timer.every(PURGE_PERIOD_MS, () => {
-      this.#owner.purge(timer.wallNow());
+      this.#owner.removeExpired(timer.wallNow());
     });
   }
 
@@ -181,14 +181,14 @@
    */
   markDispatched(owned: OwnedKey, dispatch: Dispatch): boolean {
     const now = this.#options.timer.wallNow();
-    if (!this.#owner.spend(owned.claimId, now)) return false;
+    if (!this.#owner.consumeGrant(owned.claimId, now)) return false;
     void this.#update(owned, { state: "dispatched", dispatch });
     return true;
   }
 
   /** The upstream refused the connection: no byte has left, so the right to dispatch is back. */
   markRefused(owned: OwnedKey): void {
-    if (!this.#owner.refund(owned.claimId)) return;
+    if (!this.#owner.restoreGrant(owned.claimId)) return;
     void this.#update(owned, { state: "refused" });
   }
 
@@ -210,13 +210,13 @@
 
   /** Every host refuses such a key, however its clock stands, so that it never ran. */
   #isTooEarly({ issuedAt }: ParsedKey): boolean {
-    const bound = SKEW_BOUND_MS + 2 * HOST_SKEW_MS;
+    const bound = MAX_CALLER_CLOCK_SKEW_MS + 2 * MAX_HOST_CLOCK_SKEW_MS;
     return issuedAt > this.#options.timer.wallNow() + bound;
   }
 
   #homeOf(key: string, parsed: ParsedKey): HostId | undefined {
     if (parsed.kind === "ticket") return parsed.host;
-    const view = this.#options.views.newest();
+    const view = this.#options.views.newestView();
     return view === undefined ? undefined : homeOf(key, view);
   }
 
@@ -244,7 +244,7 @@
   ): Promise<ClaimOutcome> {
     const { timer } = this.#options;
     const { claimId } = claim;
-    this.#owner.begin(claim, home);
+    this.#owner.add(claim, home);
     return new Promise((resolve) => {
       const fallback = { kind: "unknown", reason: "unreachable" } as const;
       const waiter: Waiter = { resolve, fallback, timers: [] };
@@ -271,10 +271,10 @@
 
   #onAnswer(
     claimId: string,
-    answer: ClaimAnswer,
+    answer: ClaimReply,
     { from }: { from: HostId },
   ): void {
-    const action = this.#owner.take(claimId, answer, { from });
+    const action = this.#owner.applyReply(claimId, answer, { from });
     const own = this.#owner.claims.get(claimId);
     if (action === "settle") {
       this.#settle(claimId, toOutcome(own!, answer));
@@ -304,7 +304,7 @@
   ): Promise<boolean> {
     const { host, timer } = this.#options;
     const { account, key, claimId, home } = owned;
-    const sequence = this.#owner.nextUpdate(claimId);
+    const sequence = this.#owner.nextSequence(claimId);
     const update: KeyUpdate = { account, key, claimId, sequence, ...change };
     if (home === host) return Promise.resolve(this.#home.update(update));
     return new Promise((resolve) => {
@@ -341,7 +341,7 @@
   }
 }
 
-function toOutcome(own: OwnClaim, answer: ClaimAnswer): ClaimOutcome {
+function toOutcome(own: OwnClaim, answer: ClaimReply): ClaimOutcome {
   if (answer.kind !== "granted") return answer;
   return { kind: "granted", owned: ownedKey(own, answer.attempt) };
 }
--- a/packages/coordination/src/keyHome.ts
+++ b/packages/coordination/src/keyTable.ts
@@ -7,16 +7,17 @@
   Milliseconds,
 } from "@wasabivane/common";
 import {
-  HOST_SKEW_MS,
   KEY_LIFETIME_MS,
-  SKEW_BOUND_MS,
+  MAX_CALLER_CLOCK_SKEW_MS,
+  MAX_HOST_CLOCK_SKEW_MS,
 } from "./idempotencyKeys.ts";
-import type { Claim, ClaimAnswer, Claimant, Dispatch } from "./keyClaims.ts";
+import type { Claim, Claimant, ClaimReply, Dispatch } from "./keyClaims.ts";
 
 /** Keys that one home holds; a full table refuses new ones. */
 export const MAX_HELD_KEYS = 200_000;
 /** How long after the start of a tenure keys must be issued: no former home took them, whatever the clocks. */
-export const TENURE_MARGIN_MS = SKEW_BOUND_MS + 2 * HOST_SKEW_MS;
+export const TENURE_MARGIN_MS = MAX_CALLER_CLOCK_SKEW_MS +
+  2 * MAX_HOST_CLOCK_SKEW_MS;
 
 /**
  * How long a key that was given back is granted to nobody. Its caller has been
@@ -36,7 +37,7 @@
   state: "waiting" | "dispatched" | "finished" | "released" | "unknown";
   dispatch: Dispatch | undefined;
   /** Sequence of the newest update of the owner. */
-  updates: number;
+  lastSequence: number;
   /** When its last owner gave it back. */
   releasedAt: EpochMilliseconds;
 }
@@ -46,19 +47,19 @@
   readonly wallNow: EpochMilliseconds;
   /** Since when this home alone decides about the key, on its wall clock. */
   readonly tenureStartedAt: EpochMilliseconds;
-  readonly isGone: (host: HostId, incarnation: Incarnation) => boolean;
+  readonly isTerminated: (host: HostId, incarnation: Incarnation) => boolean;
 }
 
 /** Names the owner's claim whose state changed. */
-export interface ClaimUpdate {
+export interface ClaimReference {
   readonly account: ClientAccountId;
   readonly key: IdempotencyKey;
   readonly claimId: string;
   readonly sequence: number;
 }
 
-/** Bounds of a {@link KeyHome}. */
-export interface KeyHomeOptions {
+/** Bounds of a {@link KeyTable}. */
+export interface KeyTableOptions {
   readonly maximum?: number;
   /** Least time that a key is held; also how old a key may be that it takes anew. */
   readonly lifetimeMs?: Milliseconds;
@@ -71,7 +72,7 @@
  * The table of a key's home. It grants each key to one owner: who may dispatch
  * is decided here and nowhere else, as long as this home alone is active.
  */
-export class KeyHome {
+export class KeyTable {
   readonly records: Map<string, KeyRecord>;
   readonly #maximum: number;
   readonly #lifetimeMs: Milliseconds;
@@ -85,7 +86,7 @@
       tenureMarginMs = TENURE_MARGIN_MS,
       releaseGraceMs = RELEASE_GRACE_MS,
       records = new Map(),
-    }: KeyHomeOptions = {},
+    }: KeyTableOptions = {},
   ) {
     this.#maximum = maximum;
     this.#lifetimeMs = lifetimeMs;
@@ -95,7 +96,7 @@
   }
 
   /** Decides a claim; the caller of this has checked that the home is active. */
-  claim(claim: Claim, context: ClaimContext): ClaimAnswer {
+  claim(claim: Claim, context: ClaimContext): ClaimReply {
     const record = this.records.get(recordKey(claim));
     if (record === undefined) return this.#claimUnheard(claim, context);
     if (record.bodyDigest !== claim.bodyDigest) return { kind: "mismatch" };
@@ -103,15 +104,17 @@
   }
 
   /** Notes an update's sequence; false for one that was overtaken by a newer one. */
-  isNews(update: ClaimUpdate): boolean {
+  advanceSequence(update: ClaimReference): boolean {
     const record = this.#find(update);
-    if (record === undefined || update.sequence <= record.updates) return false;
-    record.updates = update.sequence;
+    if (record === undefined || update.sequence <= record.lastSequence) {
+      return false;
+    }
+    record.lastSequence = update.sequence;
     return true;
   }
 
   /** The upstream refused the connection: no byte left, the owner may try another. */
-  markRefused(update: ClaimUpdate): void {
+  markRefused(update: ClaimReference): void {
     const record = this.#find(update);
     if (record?.state !== "dispatched") return;
     record.state = "waiting";
@@ -119,7 +122,7 @@
   }
 
   /** The owner is about to write to an upstream. */
-  markDispatched(update: ClaimUpdate, dispatch: Dispatch): void {
+  markDispatched(update: ClaimReference, dispatch: Dispatch): void {
     const record = this.#find(update);
     if (record === undefined || record.state === "finished") return;
     record.state = "dispatched";
@@ -127,7 +130,7 @@
   }
 
   /** The owner has the whole answer. */
-  markFinished(update: ClaimUpdate, dispatch: Dispatch): void {
+  markFinished(update: ClaimReference, dispatch: Dispatch): void {
     const record = this.#find(update);
     if (record === undefined) return;
     record.state = "finished";
@@ -138,7 +141,7 @@
    * The owner gave up without having written a byte, and never will under this
    * claim. Where a caller was told "unknown" meanwhile, that stays the answer.
    */
-  release(update: ClaimUpdate, wallNow: EpochMilliseconds): void {
+  release(update: ClaimReference, wallNow: EpochMilliseconds): void {
     const record = this.#find(update);
     if (record?.state !== "waiting") return;
     record.state = "released";
@@ -148,14 +151,14 @@
   }
 
   /** Whether the key was given back under this claim and nobody was granted it since. */
-  isReleasedBy(update: ClaimUpdate): boolean {
+  isReleasedBy(update: ClaimReference): boolean {
     return this.#find(update)?.state === "released";
   }
 
   /** Forgets keys that no host takes any more. */
   expire(wallNow: EpochMilliseconds): void {
     for (const [key, record] of this.records) {
-      if (record.expiresAt + 2 * HOST_SKEW_MS <= wallNow) {
+      if (record.expiresAt + 2 * MAX_HOST_CLOCK_SKEW_MS <= wallNow) {
         this.records.delete(key);
       }
     }
@@ -166,7 +169,7 @@
    * taken here could be the second one. The bound is the same for all claims:
    * how long a former record was held for is not known any more.
    */
-  protected isForgettable(claim: Claim, { wallNow }: ClaimContext): boolean {
+  protected isPastLifetime(claim: Claim, { wallNow }: ClaimContext): boolean {
     return wallNow >= claim.issuedAt + this.#lifetimeMs;
   }
 
@@ -182,11 +185,11 @@
     return claim.issuedAt <= tenureStartedAt + this.#tenureMarginMs;
   }
 
-  #claimUnheard(claim: Claim, context: ClaimContext): ClaimAnswer {
-    if (claim.issuedAt > context.wallNow + SKEW_BOUND_MS) {
+  #claimUnheard(claim: Claim, context: ClaimContext): ClaimReply {
+    if (claim.issuedAt > context.wallNow + MAX_CALLER_CLOCK_SKEW_MS) {
       return { kind: "not-run", reason: "issued-in-future" };
     }
-    if (this.isForgettable(claim, context)) {
+    if (this.isPastLifetime(claim, context)) {
       return { kind: "unknown", reason: "expired" };
     }
     const isOlder = this.isOlderThanTenure(claim, context);
@@ -208,14 +211,14 @@
   #claimHeld(
     claim: Claim,
     { record, context }: { record: KeyRecord; context: ClaimContext },
-  ): ClaimAnswer {
+  ): ClaimReply {
     if (record.state === "released") {
       return this.#claimReleased(claim, { record, context });
     }
     const { owner, dispatch } = record;
     if (record.claimId === claim.claimId) return repeatAnswer(record);
     const isOwnerGone = owner === undefined ||
-      context.isGone(owner.host, owner.incarnation);
+      context.isTerminated(owner.host, owner.incarnation);
     if (!isOwnerGone && record.state !== "unknown") {
       return { kind: "owned-by", owner, state: record.state, dispatch };
     }
@@ -226,7 +229,7 @@
   #claimReleased(
     claim: Claim,
     { record, context }: { record: KeyRecord; context: ClaimContext },
-  ): ClaimAnswer {
+  ): ClaimReply {
     const isRepeat = record.claimId === claim.claimId;
     // Sent before its caller was told "not run", however late it was read.
     const sentAt = context.wallNow - (claim.ageMs ?? 0);
@@ -238,7 +241,7 @@
   }
 
   /** Nobody can tell whether the owner dispatched; only an idempotent request may run anew. */
-  #claimLost(claim: Claim, record: KeyRecord): ClaimAnswer {
+  #claimLost(claim: Claim, record: KeyRecord): ClaimReply {
     const reason = record.owner === undefined
       ? "older-than-tenure"
       : "owner-lost";
@@ -247,7 +250,7 @@
     return isAnew ? grant(record, claim) : { kind: "unknown", reason };
   }
 
-  #find(update: ClaimUpdate): KeyRecord | undefined {
+  #find(update: ClaimReference): KeyRecord | undefined {
     const record = this.records.get(recordKey(update));
     return record?.claimId === update.claimId ? record : undefined;
   }
@@ -260,7 +263,7 @@
 }
 
 /** A doubled claim gets the answer that the first one got. */
-function repeatAnswer({ owner, attempt }: KeyRecord): ClaimAnswer {
+function repeatAnswer({ owner, attempt }: KeyRecord): ClaimReply {
   return owner === undefined
     ? { kind: "unknown", reason: "older-than-tenure" }
     : { kind: "granted", attempt };
@@ -276,15 +279,15 @@
     attempt: 0,
     state: "waiting",
     dispatch: undefined,
-    updates: 0,
+    lastSequence: 0,
     releasedAt: 0,
   };
 }
 
-function grant(record: KeyRecord, claim: Claim): ClaimAnswer {
+function grant(record: KeyRecord, claim: Claim): ClaimReply {
   record.claimId = claim.claimId;
   record.owner = claim.claimant;
-  record.updates = 0;
+  record.lastSequence = 0;
   record.attempt++;
   record.state = "waiting";
   return { kind: "granted", attempt: record.attempt };
--- a/packages/coordination/src/linkIdentity.ts
+++ b/packages/coordination/src/linkIdentity.ts
@@ -2,7 +2,7 @@
 import type { HostId, Incarnation, Random } from "@wasabivane/common";
 
 /** Time for connecting and proving both sides. */
-export const HANDSHAKE_MS = 2_000;
+export const HANDSHAKE_TIMEOUT_MS = 2_000;
 
 /** Who this side is and how it proves it. */
 export interface LinkIdentity {
--- a/packages/coordination/src/memberNews.ts
+++ b/packages/coordination/src/memberMessages.ts
@@ -33,7 +33,7 @@
 }
 
 /** What one host says about another, or about itself. */
-export interface MemberNews extends Member {
+export interface MemberUpdate extends Member {
   /** Counts the words of that incarnation; orders what it says itself. */
   readonly sequence: number;
   /** Counts its denials of being silent; orders what others say of it. */
@@ -42,20 +42,20 @@
 
 /** Sent by a host once a period. */
 export interface Heartbeat {
-  readonly sender: MemberNews;
+  readonly sender: MemberUpdate;
   /** The receiver may expect the next one after a period. */
   readonly isRegular: boolean;
   /** The receiver shall answer with a heartbeat of its own. */
   readonly isProbe?: boolean;
   /** Changes of the last seconds, for hosts that the first telling missed. */
-  readonly news?: readonly MemberNews[];
+  readonly news?: readonly MemberUpdate[];
   /** Small values that other controllers spread. */
   readonly extras?: Readonly<Record<string, unknown>>;
 }
 
 /** Changes that the sender saw or heard of. */
-export interface MemberNewsMessage {
-  readonly news: readonly MemberNews[];
+export interface MemberUpdateMessage {
+  readonly news: readonly MemberUpdate[];
   /** The sender is new and wants to hear of all members. */
   readonly wantsAll?: boolean;
 }
@@ -63,7 +63,7 @@
 const NAME_LENGTH = 128;
 const MAX_NEWS = 4096;
 
-const newsShape: Shape<MemberNews> = objectOf({
+const newsShape: Shape<MemberUpdate> = objectOf({
   host: textOf<HostId>(NAME_LENGTH),
   incarnation: textOf<Incarnation>(NAME_LENGTH),
   state: oneOf<MemberState>("alive", "suspect", "dead"),
@@ -89,9 +89,9 @@
     extras: optional(isExtras),
   }),
 );
-/** See {@link MemberNewsMessage}. */
-export const MEMBER_NEWS: MessageKind<MemberNewsMessage> = defineMessage<
-  MemberNewsMessage
+/** See {@link MemberUpdateMessage}. */
+export const MEMBER_UPDATE: MessageKind<MemberUpdateMessage> = defineMessage<
+  MemberUpdateMessage
 >(
   "member-news",
   objectOf({
--- a/packages/coordination/src/membership.ts
+++ b/packages/coordination/src/membership.ts
@@ -9,22 +9,22 @@
 import type {
   Heartbeat,
   Member,
-  MemberNews,
   MemberState,
-} from "./memberNews.ts";
+  MemberUpdate,
+} from "./memberMessages.ts";
 
 /** Time between heartbeats to one peer. */
-export const HEARTBEAT_MS: Milliseconds = 1_000;
+export const HEARTBEAT_PERIOD_MS: Milliseconds = 1_000;
 /** Silence after which a host is suspect: one heartbeat and a half. */
-export const SUSPECT_MS: Milliseconds = 1_500;
+export const SUSPECT_TIMEOUT_MS: Milliseconds = 1_500;
 /** Silence after which a host counts as dead; two heartbeats may be lost before. */
-export const DEAD_MS: Milliseconds = 3_000;
+export const DEAD_TIMEOUT_MS: Milliseconds = 3_000;
 /** Up to so many hosts everybody sends to everybody; above, to a bounded subset. */
-export const ALL_TO_ALL_HOSTS = 16;
+export const FULL_MESH_HOSTS = 16;
 /** Hosts that watch one host in a larger fleet. */
-export const WATCHERS = 4;
+export const MONITORS_PER_HOST = 4;
 /** Random hosts that are probed each period in a larger fleet. */
-export const PROBES = 2;
+export const PROBES_PER_PERIOD = 2;
 /** How long an unlisted dead host is remembered. */
 const FORGET_MS: Milliseconds = 60_000;
 
@@ -38,7 +38,7 @@
 export type MemberIdentity = Omit<Member, "state">;
 
 interface PeerRecord {
-  news: MemberNews;
+  news: MemberUpdate;
   /** When something last spoke for the host; silence counts from then. */
   heardAt: Milliseconds;
   /** Whether silence of this peer means something: it sends here each period. */
@@ -84,7 +84,7 @@
   }
 
   /** Takes the published list as seed; what peers say of themselves stays. */
-  setList(list: HostList, now: Milliseconds): void {
+  setHostList(list: HostList, now: Milliseconds): void {
     for (const record of this.#records.values()) record.isListed = false;
     for (const listed of list.entryHosts) {
       if (listed.host === this.#self.host) continue;
@@ -112,13 +112,13 @@
   }
 
   /** What is told of a host that now speaks for itself, for it to deny. */
-  silenceOf(host: HostId): MemberNews | undefined {
+  failureReportOf(host: HostId): MemberUpdate | undefined {
     const news = this.#records.get(host)?.news;
     return news === undefined || news.state === "alive" ? undefined : news;
   }
 
   /** Takes a peer's own word; true when it changed something. */
-  hear(heartbeat: Heartbeat, now: Milliseconds): boolean {
+  applyHeartbeat(heartbeat: Heartbeat, now: Milliseconds): boolean {
     const { sender, isRegular } = heartbeat;
     if (sender.host === this.#self.host) return false;
     const record = this.#records.get(sender.host);
@@ -136,16 +136,19 @@
   }
 
   /** Takes what others say; gives back what was new and is worth passing on. */
-  hearNews(news: readonly MemberNews[], now: Milliseconds): MemberNews[] {
+  applyUpdates(
+    news: readonly MemberUpdate[],
+    now: Milliseconds,
+  ): MemberUpdate[] {
     return news.filter((item) =>
       item.host === this.#self.host
         ? this.#refute(item)
         : this.#takeNews(item, now)
-    ).map((item) => item.host === this.#self.host ? this.selfNews() : item);
+    ).map((item) => item.host === this.#self.host ? this.selfUpdate() : item);
   }
 
   /** This host's word about itself. */
-  selfNews(): MemberNews {
+  selfUpdate(): MemberUpdate {
     return {
       ...this.#self,
       state: "alive",
@@ -155,15 +158,15 @@
   }
 
   /** All that is known, for a host that is new. */
-  allNews(): MemberNews[] {
+  allUpdates(): MemberUpdate[] {
     const known = [...this.#records.values()].map(({ news }) => news);
-    return [this.selfNews(), ...known];
+    return [this.selfUpdate(), ...known];
   }
 
   /** Judges silence; gives back the changes. */
-  tick(now: Milliseconds): MemberNews[] {
+  detectFailures(now: Milliseconds): MemberUpdate[] {
     this.#forgiveOwnPause(now);
-    const changes: MemberNews[] = [];
+    const changes: MemberUpdate[] = [];
     for (const [host, record] of this.#records) {
       if (!record.isListed && now - record.heardAt > FORGET_MS) {
         this.#records.delete(host);
@@ -181,7 +184,7 @@
   nextTargets(now: Milliseconds): HeartbeatTargets {
     this.#sequence++;
     const peers = [...this.#records.keys()];
-    if (this.isAllToAll()) {
+    if (this.isFullMesh()) {
       return { regular: peers, probes: [], ended: [] };
     }
     const former = this.#regular;
@@ -193,22 +196,22 @@
   }
 
   /** Makes the next word of this host newer than all before, as an answer to a probe has to be. */
-  countWord(): void {
+  incrementSequence(): void {
     this.#sequence++;
   }
 
   /** Whether a peer may expect a heartbeat each period. */
   isRegularTarget(host: HostId): boolean {
-    return this.isAllToAll() || this.#regular.includes(host);
+    return this.isFullMesh() || this.#regular.includes(host);
   }
 
   /** Whether the fleet is small enough for everybody to hear everybody. */
-  isAllToAll(): boolean {
-    return this.#records.size < ALL_TO_ALL_HOSTS;
+  isFullMesh(): boolean {
+    return this.#records.size < FULL_MESH_HOSTS;
   }
 
   /** Random hosts that get news at once. */
-  pickHearers(count: number): HostId[] {
+  pickGossipTargets(count: number): HostId[] {
     const answering = [...this.#records.values()]
       .filter(({ news }) => news.state !== "dead")
       .map(({ news }) => news.host);
@@ -218,13 +221,13 @@
   /** Every known host, this one first. */
   members(): Member[] {
     return [
-      this.selfNews(),
+      this.selfUpdate(),
       ...[...this.#records.values()].map(({ news }) => news),
     ];
   }
 
   /** Share of the listed hosts that answer, this one included; below 1 here may be one side of a partition. */
-  fleetShare(): number {
+  reachableShare(): number {
     const listed = [...this.#records.values()].filter(({ isListed }) =>
       isListed
     );
@@ -232,7 +235,7 @@
     return (heard.length + 1) / (listed.length + 1);
   }
 
-  #takeNews(item: MemberNews, now: Milliseconds): boolean {
+  #takeNews(item: MemberUpdate, now: Milliseconds): boolean {
     const record = this.#records.get(item.host);
     if (record === undefined) {
       if (item.state === "dead") return false;
@@ -247,7 +250,7 @@
     const isWorse = item.incarnation === record.news.incarnation &&
       item.revision === record.news.revision &&
       STATE_RANK[item.state] > STATE_RANK[record.news.state] &&
-      now - record.heardAt > SUSPECT_MS;
+      now - record.heardAt > SUSPECT_TIMEOUT_MS;
     const isNews = isWorse ||
       isNewer(record, item, { now, counter: "revision" });
     if (!isNews) return false;
@@ -262,7 +265,7 @@
   }
 
   /** Somebody says that this host is silent: a higher revision denies it. */
-  #refute(item: MemberNews): boolean {
+  #refute(item: MemberUpdate): boolean {
     if (item.incarnation !== this.#self.incarnation) return false;
     if (item.state === "alive") return false;
     if (item.revision < this.#revision) return false;
@@ -275,10 +278,10 @@
    * miss this host, so that it judges only what it probed itself.
    */
   #silentSince(record: PeerRecord, now: Milliseconds): Milliseconds {
-    if (record.isWatched || this.isAllToAll()) return record.heardAt;
+    if (record.isWatched || this.isFullMesh()) return record.heardAt;
     if (record.probedAt === undefined) return now;
     const isSuspect = record.news.state === "suspect";
-    return isSuspect ? record.probedAt - SUSPECT_MS : record.probedAt;
+    return isSuspect ? record.probedAt - SUSPECT_TIMEOUT_MS : record.probedAt;
   }
 
   /**
@@ -288,7 +291,7 @@
   #forgiveOwnPause(now: Milliseconds): void {
     const gap = now - (this.#tickedAt ?? now);
     this.#tickedAt = now;
-    if (gap < HEARTBEAT_MS) return;
+    if (gap < HEARTBEAT_PERIOD_MS) return;
     for (const record of this.#records.values()) {
       record.heardAt = Math.min(now, record.heardAt + gap);
     }
@@ -304,7 +307,7 @@
     ]);
     const start = ring.indexOf(this.#self.host);
     const rotated = [...ring.slice(start + 1), ...ring.slice(0, start)];
-    return rotated.slice(0, WATCHERS);
+    return rotated.slice(0, MONITORS_PER_HOST);
   }
 
   /** One host that seems silent, since it may be told wrong, and any others. */
@@ -314,7 +317,7 @@
     const dead = this.#pick(this.#inState(unwatched, "dead"), 1);
     const silent = [...suspect, ...dead].slice(0, 1);
     const rest = unwatched.filter((host) => !silent.includes(host));
-    return [...silent, ...this.#pick(rest, PROBES - silent.length)];
+    return [...silent, ...this.#pick(rest, PROBES_PER_PERIOD - silent.length)];
   }
 
   #inState(hosts: readonly HostId[], state: MemberState): HostId[] {
@@ -340,23 +343,23 @@
  */
 function isNewer(
   record: PeerRecord,
-  news: MemberNews,
+  news: MemberUpdate,
   { now, counter }: { now: Milliseconds; counter: "sequence" | "revision" },
 ): boolean {
   const known = record.news;
   if (news.incarnation === known.incarnation) {
     return news[counter] > known[counter];
   }
-  const isSilent = now - record.heardAt > SUSPECT_MS;
+  const isSilent = now - record.heardAt > SUSPECT_TIMEOUT_MS;
   return news.incarnation > known.incarnation || isSilent;
 }
 
 function silenceState(silence: Milliseconds): MemberState {
-  if (silence >= DEAD_MS) return "dead";
-  return silence >= SUSPECT_MS ? "suspect" : "alive";
+  if (silence >= DEAD_TIMEOUT_MS) return "dead";
+  return silence >= SUSPECT_TIMEOUT_MS ? "suspect" : "alive";
 }
 
-function differs(known: MemberNews, news: MemberNews): boolean {
+function differs(known: MemberUpdate, news: MemberUpdate): boolean {
   return known.state !== news.state ||
     known.incarnation !== news.incarnation ||
     known.isLeaving !== news.isLeaving ||
--- a/packages/coordination/src/membershipController.ts
+++ b/packages/coordination/src/membershipController.ts
@@ -16,11 +16,15 @@
   HEARTBEAT,
   type Heartbeat,
   type Member,
-  MEMBER_NEWS,
-  type MemberNews,
-  type MemberNewsMessage,
-} from "./memberNews.ts";
-import { HEARTBEAT_MS, type MemberIdentity, Membership } from "./membership.ts";
+  MEMBER_UPDATE,
+  type MemberUpdate,
+  type MemberUpdateMessage,
+} from "./memberMessages.ts";
+import {
+  HEARTBEAT_PERIOD_MS,
+  type MemberIdentity,
+  Membership,
+} from "./membership.ts";
 import { sendMessage, subscribeMessage } from "./peerMessages.ts";
 
 /** Every entry host known here, this one included. */
@@ -29,7 +33,7 @@
   [],
 );
 /** Share of the listed entry hosts that answer, 0 to 1, this one included. */
-export const FLEET_SHARE: Topic<number> = createTopic("fleet-share", 1);
+export const REACHABLE_SHARE: Topic<number> = createTopic("fleet-share", 1);
 
 const TICK_MS = 250;
 /** Peers that get a change at once; each passes it on once, so that it reaches all in a few steps. */
@@ -58,17 +62,17 @@
   readonly metrics: Metrics;
   readonly heartbeatExtras?: readonly HeartbeatExtra[];
   /** Called at each change of a member's state worth a log line. */
-  readonly log?: (change: MemberNews) => void;
+  readonly log?: (change: MemberUpdate) => void;
 }
 
-/** Exchanges heartbeats and writes {@link MEMBERS} and {@link FLEET_SHARE}. */
+/** Exchanges heartbeats and writes {@link MEMBERS} and {@link REACHABLE_SHARE}. */
 export class MembershipController extends Controller {
   readonly #options: MembershipControllerOptions;
   readonly #membership: Membership;
   readonly #extras: HeartbeatExtra[];
   readonly #subscriptions: (() => void)[] = [];
   readonly #timers: TimerSubscription[] = [];
-  #recent: { readonly news: MemberNews; readonly at: Milliseconds }[] = [];
+  #recent: { readonly news: MemberUpdate; readonly at: Milliseconds }[] = [];
   #isFresh = true;
 
   constructor(options: MembershipControllerOptions) {
@@ -88,18 +92,18 @@
       ),
       subscribeMessage(
         link,
-        MEMBER_NEWS,
+        MEMBER_UPDATE,
         (from, body) => this.#onNews(from, body),
       ),
       blackboard.watch(HOST_LIST, () => this.#adoptList()),
     );
     this.#adoptList();
     this.#beat();
-    const firstBeat = random.float() * HEARTBEAT_MS;
+    const firstBeat = random.float() * HEARTBEAT_PERIOD_MS;
     this.#timers.push(
       timer.every(TICK_MS, () => this.#tick()),
       timer.after(firstBeat, () => {
-        this.#timers.push(timer.every(HEARTBEAT_MS, () => this.#beat()));
+        this.#timers.push(timer.every(HEARTBEAT_PERIOD_MS, () => this.#beat()));
         this.#beat();
       }),
     );
@@ -125,7 +129,7 @@
   #adoptList(): void {
     const { blackboard, timer } = this.#options;
     const list = blackboard.read(HOST_LIST);
-    if (list !== undefined) this.#membership.setList(list, timer.now());
+    if (list !== undefined) this.#membership.setHostList(list, timer.now());
     this.#publish();
   }
 
@@ -145,7 +149,7 @@
   ): void {
     if (targets.length === 0) return;
     const body: Heartbeat = {
-      sender: this.#membership.selfNews(),
+      sender: this.#membership.selfUpdate(),
       ...flags,
       news: this.#recentNews(),
       extras: Object.fromEntries(
@@ -158,23 +162,23 @@
 
   /** In a large fleet a fresh host hears only few heartbeats and asks for the rest. */
   #askForAll(): void {
-    if (!this.#isFresh || this.#membership.isAllToAll()) return;
+    if (!this.#isFresh || this.#membership.isFullMesh()) return;
     this.#isFresh = false;
-    const body = { news: [this.#membership.selfNews()], wantsAll: true };
-    for (const to of this.#membership.pickHearers(NEWS_FANOUT)) {
-      sendMessage(this.#options.link, MEMBER_NEWS, { to, body });
+    const body = { news: [this.#membership.selfUpdate()], wantsAll: true };
+    for (const to of this.#membership.pickGossipTargets(NEWS_FANOUT)) {
+      sendMessage(this.#options.link, MEMBER_UPDATE, { to, body });
     }
   }
 
   #onHeartbeat(from: HostId, heartbeat: Heartbeat): void {
     if (from !== heartbeat.sender.host) return;
     const now = this.#options.timer.now();
-    const silence = this.#membership.silenceOf(from);
-    const isChange = this.#membership.hear(heartbeat, now);
+    const silence = this.#membership.failureReportOf(from);
+    const isChange = this.#membership.applyHeartbeat(heartbeat, now);
     if (isChange && silence !== undefined) this.#askForDenial(silence);
     if (heartbeat.isProbe) {
       const isRegular = this.#membership.isRegularTarget(from);
-      this.#membership.countWord();
+      this.#membership.incrementSequence();
       this.#sendHeartbeat([from], { isRegular });
     }
     for (const { name, receive } of this.#extras) {
@@ -185,19 +189,22 @@
     if (heartbeat.news !== undefined) this.#hearNews(heartbeat.news);
   }
 
-  #onNews(from: HostId, { news, wantsAll }: MemberNewsMessage): void {
+  #onNews(from: HostId, { news, wantsAll }: MemberUpdateMessage): void {
     this.#hearNews(news);
     if (!wantsAll) return;
-    const body = { news: this.#membership.allNews() };
-    sendMessage(this.#options.link, MEMBER_NEWS, { to: from, body });
+    const body = { news: this.#membership.allUpdates() };
+    sendMessage(this.#options.link, MEMBER_UPDATE, { to: from, body });
   }
 
-  #hearNews(news: readonly MemberNews[]): void {
-    const fresh = this.#membership.hearNews(news, this.#options.timer.now());
+  #hearNews(news: readonly MemberUpdate[]): void {
+    const fresh = this.#membership.applyUpdates(
+      news,
+      this.#options.timer.now(),
+    );
     if (fresh.length > 0) this.#onChanges(fresh);
   }
 
-  #recentNews(): MemberNews[] | undefined {
+  #recentNews(): MemberUpdate[] | undefined {
     const since = this.#options.timer.now() - RECENT_MS;
     this.#recent = this.#recent.filter(({ at }) => at > since);
     if (this.#recent.length === 0) return undefined;
@@ -205,18 +212,18 @@
   }
 
   /** Others hold the host for silent too; only its own denial tells all of them. */
-  #askForDenial(silence: MemberNews): void {
-    if (this.#membership.isAllToAll()) return;
+  #askForDenial(silence: MemberUpdate): void {
+    if (this.#membership.isFullMesh()) return;
     const body = { news: [silence] };
-    sendMessage(this.#options.link, MEMBER_NEWS, { to: silence.host, body });
+    sendMessage(this.#options.link, MEMBER_UPDATE, { to: silence.host, body });
   }
 
   #tick(): void {
-    const changes = this.#membership.tick(this.#options.timer.now());
+    const changes = this.#membership.detectFailures(this.#options.timer.now());
     if (changes.length > 0) this.#onChanges(changes);
   }
 
-  #onChanges(changes: readonly MemberNews[]): void {
+  #onChanges(changes: readonly MemberUpdate[]): void {
     const { metrics, log } = this.#options;
     for (const change of changes) {
       metrics.count("member_changes", 1, { state: change.state });
@@ -226,12 +233,12 @@
     this.#publish();
   }
 
-  #spread(news: readonly MemberNews[]): void {
-    if (this.#membership.isAllToAll()) return;
+  #spread(news: readonly MemberUpdate[]): void {
+    if (this.#membership.isFullMesh()) return;
     const at = this.#options.timer.now();
     this.#recent.push(...news.map((item) => ({ news: item, at })));
-    const message = { kind: MEMBER_NEWS.kind, body: { news } };
-    for (const host of this.#membership.pickHearers(NEWS_FANOUT)) {
+    const message = { kind: MEMBER_UPDATE.kind, body: { news } };
+    for (const host of this.#membership.pickGossipTargets(NEWS_FANOUT)) {
       this.#options.link.send(host, message);
     }
   }
@@ -239,6 +246,6 @@
   #publish(): void {
     const { blackboard } = this.#options;
     blackboard.write(MEMBERS, this.#membership.members());
-    blackboard.write(FLEET_SHARE, this.#membership.fleetShare());
+    blackboard.write(REACHABLE_SHARE, this.#membership.reachableShare());
   }
 }
--- a/packages/coordination/src/memoryLink.ts
+++ b/packages/coordination/src/memoryLink.ts
@@ -79,7 +79,7 @@
   }
 
   /** Cuts messages from one host to another, in that direction only. */
-  cutDirection(from: HostId, to: HostId): void {
+  blockDirection(from: HostId, to: HostId): void {
     this.#cuts.add(directionKey(from, to));
   }
 
@@ -89,7 +89,7 @@
     for (const group of groups) {
       const others = groups.filter((other) => other !== group).flat();
       for (const from of group) {
-        for (const to of others) this.cutDirection(from, to);
+        for (const to of others) this.blockDirection(from, to);
       }
     }
   }
@@ -99,7 +99,7 @@
   }
 
   /** Takes a frame from a link of this network. */
-  carry(from: HostId, to: HostId, options: { frame: Buffer }): void {
+  transmit(from: HostId, to: HostId, options: { frame: Buffer }): void {
     const { frame } = options;
     this.sentMessages++;
     this.sentBytes += frame.length;
@@ -149,7 +149,7 @@
     if (this.#isClosed) return;
     const frame = this.#codec.encode(message);
     if (frame.isErr()) return this.#network.countRejected(frame.error.kind);
-    this.#network.carry(this.self, to, { frame: frame.value });
+    this.#network.transmit(this.self, to, { frame: frame.value });
   }
 
   override subscribe(kind: string, listener: PeerListener): () => void {
--- a/packages/coordination/src/outboundPeer.ts
+++ b/packages/coordination/src/outboundConnection.ts
@@ -16,13 +16,13 @@
   HELLO,
   type Hello,
   isProofValid,
-  isVersionSpoken,
+  isVersionSupported,
   type ProofInput,
   PROTOCOL_VERSION,
   WELCOME,
 } from "./peerHandshake.ts";
 import { MAX_FRAME_BYTES, type PeerCodec } from "./peerMessages.ts";
-import { HANDSHAKE_MS, type LinkIdentity } from "./linkIdentity.ts";
+import { HANDSHAKE_TIMEOUT_MS, type LinkIdentity } from "./linkIdentity.ts";
 
 /** Bytes that wait for one peer before messages to it are dropped. */
 export const MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
@@ -37,8 +37,8 @@
 /** A connection that nobody used for so long is closed. */
 const IDLE_MS = 60_000;
 
-/** What an {@link OutboundPeer} needs. */
-export interface OutboundPeerOptions {
+/** What an {@link OutboundConnection} needs. */
+export interface OutboundConnectionOptions {
   readonly peer: HostId;
   /** Address of the peer port, `ip:port`. */
   readonly address: string;
@@ -52,9 +52,9 @@
  * The sending connection to one peer. It is dialed at the first message and
  * again, with jittered backoff, while messages come.
  */
-export class OutboundPeer {
+export class OutboundConnection {
   readonly address: string;
-  readonly #options: OutboundPeerOptions;
+  readonly #options: OutboundConnectionOptions;
   readonly #waiting: Buffer[] = [];
   #waitingBytes = 0;
   #waitingSince: Milliseconds = 0;
@@ -71,7 +71,7 @@
   #heardAt: Milliseconds = 0;
   #usedAt: Milliseconds = 0;
 
-  constructor(options: OutboundPeerOptions) {
+  constructor(options: OutboundConnectionOptions) {
     this.#options = options;
     this.address = options.address;
   }
@@ -115,7 +115,10 @@
       maxPayload: MAX_FRAME_BYTES,
     });
     this.#socket = socket;
-    this.#handshake = timer.after(HANDSHAKE_MS, () => socket.terminate());
+    this.#handshake = timer.after(
+      HANDSHAKE_TIMEOUT_MS,
+      () => socket.terminate(),
+    );
     socket.on("upgrade", (response) => {
       this.#channelBinding = channelBindingOf(response.socket as TLSSocket);
     });
@@ -159,7 +162,7 @@
       verifier: identity.host,
     };
     const isPeer = hello.host === peer &&
-      isVersionSpoken(hello.protocolVersion) &&
+      isVersionSupported(hello.protocolVersion) &&
       isProofValid(identity.sharedSecrets(), hello.proof, input);
     if (!isPeer) return this.#reject(socket, "handshake");
     this.#becomeReady(socket);
--- a/packages/coordination/src/peerHandshake.ts
+++ b/packages/coordination/src/peerHandshake.ts
@@ -10,7 +10,7 @@
  */
 export const PROTOCOL_VERSION = 2;
 /** Oldest version that this release still speaks with. */
-export const OLDEST_PROTOCOL_VERSION = 2;
+export const MIN_PROTOCOL_VERSION = 2;
 /** Bytes of chance in a challenge. */
 export const CHALLENGE_BYTES = 16;
 
@@ -101,6 +101,6 @@
 }
 
 /** Whether this release can speak with a peer of that version. */
-export function isVersionSpoken(version: number): boolean {
-  return version >= OLDEST_PROTOCOL_VERSION;
+export function isVersionSupported(version: number): boolean {
+  return version >= MIN_PROTOCOL_VERSION;
 }
--- a/packages/coordination/src/peerMessages.ts
+++ b/packages/coordination/src/peerMessages.ts
@@ -1,7 +1,7 @@
 import { Buffer } from "node:buffer";
 import type { HostId, PeerLink, PeerMessage } from "@wasabivane/common";
 import { err, ok, type Result } from "neverthrow";
-import { createPacker, FrameValues } from "./frameValues.ts";
+import { createPacker, FrameDecoder } from "./frameDecoder.ts";
 import type { Shape } from "./messageShapes.ts";
 
 /**
@@ -41,15 +41,15 @@
 }
 
 /** The kinds of this process; modules add theirs with {@link defineMessage}. */
-export const PEER_MESSAGES: MessageRegistry = new MessageRegistry();
+export const PEER_MESSAGE_REGISTRY: MessageRegistry = new MessageRegistry();
 
-/** Declares a kind of message and adds it to {@link PEER_MESSAGES}. */
+/** Declares a kind of message and adds it to {@link PEER_MESSAGE_REGISTRY}. */
 export function defineMessage<Body>(
   kind: string,
   isBody: Shape<Body>,
 ): MessageKind<Body> {
   const defined = { kind, isBody };
-  PEER_MESSAGES.register(defined);
+  PEER_MESSAGE_REGISTRY.register(defined);
   return defined;
 }
 
@@ -80,11 +80,11 @@
 export class PeerCodec {
   readonly #registry: MessageRegistry;
   readonly #packer = createPacker();
-  readonly #values = new FrameValues();
+  readonly #values = new FrameDecoder();
   readonly #frames = new WeakMap<PeerMessage, Buffer>();
 
   constructor(
-    { registry = PEER_MESSAGES }: { registry?: MessageRegistry } = {},
+    { registry = PEER_MESSAGE_REGISTRY }: { registry?: MessageRegistry } = {},
   ) {
     this.#registry = registry;
   }
@@ -102,7 +102,7 @@
     if (frame.length > MAX_FRAME_BYTES) {
       return err({ kind: "too-large", bytes: frame.length });
     }
-    return this.#values.read(frame).andThen((value) => this.#check(value));
+    return this.#values.decode(frame).andThen((value) => this.#check(value));
   }
 
   #pack(message: PeerMessage): Buffer {
--- a/packages/coordination/src/platformWatch.ts
+++ b/packages/coordination/src/platformWatch.ts
@@ -1,14 +1,14 @@
 import type { PlatformError, Revised } from "@wasabivane/bundle";
 import type { Metrics, Milliseconds, Random, Timer } from "@wasabivane/common";
 import type { Result } from "neverthrow";
-import { WATCH_WAIT_MS } from "./configurationSpread.ts";
+import { LONG_POLL_WAIT_MS } from "./configurationGossip.ts";
 
 const FIRST_BACKOFF_MS: Milliseconds = 250;
 const MAX_BACKOFF_MS: Milliseconds = 8_000;
 /** Share of a pause that chance adds, so that readers do not fall into step. */
 const JITTER_SHARE = 0.5;
 /** A source that never answers must not end the watch for good. */
-const GIVE_UP_MS: Milliseconds = WATCH_WAIT_MS + 4_000;
+const GIVE_UP_MS: Milliseconds = LONG_POLL_WAIT_MS + 4_000;
 
 /** A read of one platform value, as the sources offer it. */
 export type PlatformRead<Value> = (
@@ -25,7 +25,7 @@
   readonly value: "bundle" | "host-list";
   readonly onValue: (value: Value) => void;
   /** The service answered, with news or without. */
-  readonly onAnswer: () => void;
+  readonly onResponse: () => void;
 }
 
 /**
@@ -63,7 +63,7 @@
     metrics.count("platform_reads", 1, { value });
     const result = await read({
       afterRevision: this.#revision,
-      waitMs: WATCH_WAIT_MS,
+      waitMs: LONG_POLL_WAIT_MS,
     });
     if (this.#reading !== reading) return;
     this.#reading = undefined;
@@ -74,10 +74,10 @@
   #onAnswer(news: Revised<Value> | undefined, since: Milliseconds): void {
     this.#backoff = FIRST_BACKOFF_MS;
     // A service that ignores the wait would otherwise be read without pause.
-    const earliest = since + WATCH_WAIT_MS;
+    const earliest = since + LONG_POLL_WAIT_MS;
     const now = this.#options.timer.now();
     this.#nextReadAt = news === undefined ? Math.max(now, earliest) : now;
-    this.#options.onAnswer();
+    this.#options.onResponse();
     if (news === undefined) return;
     // A service restored from an older state may count revisions anew.
     if (news.revision <= this.#revision) this.#nextReadAt = earliest;
--- a/packages/coordination/src/suspicionController.ts
+++ b/packages/coordination/src/poisonRecordController.ts
@@ -29,7 +29,10 @@
   sendMessage,
   subscribeMessage,
 } from "./peerMessages.ts";
-import { type SharedSuspicion, SuspicionBook } from "./suspicionBook.ts";
+import {
+  PoisonRecordTable,
+  type SharedPoisonRecord,
+} from "./poisonRecordTable.ts";
 
 const TICK_MS: Milliseconds = 200;
 /** Peers told at once; each passes news on, so that it reaches all in a few steps. */
@@ -44,17 +47,17 @@
 const MAX_PER_MESSAGE = 64;
 
 /** Suspicions that hold now, for keepers that start later. */
-export const SUSPICIONS: Topic<readonly SharedSuspicion[]> = createTopic<
-  readonly SharedSuspicion[]
+export const POISON_RECORDS: Topic<readonly SharedPoisonRecord[]> = createTopic<
+  readonly SharedPoisonRecord[]
 >("suspicions", []);
 
 /** Tells suspicions that are news to the sender. */
-export const SUSPICION_NEWS: MessageKind<
-  { readonly suspicions: readonly SharedSuspicion[] }
+export const POISON_RECORD_UPDATE: MessageKind<
+  { readonly suspicions: readonly SharedPoisonRecord[] }
 > = defineMessage(
   "suspicion-news",
   objectOf({
-    suspicions: listOf<SharedSuspicion>(
+    suspicions: listOf<SharedPoisonRecord>(
       objectOf({
         service: textOf<ServiceId>(64),
         subject: textOf<Digest | UpstreamId>(128),
@@ -67,64 +70,65 @@
 );
 
 /** Compares two books. */
-export interface SuspicionDigest {
+export interface PoisonRecordDigest {
   readonly count: number;
   readonly checksum: number;
   /** Set on the way back, which gets no digest in return. */
   readonly isAnswer: boolean;
 }
-/** See {@link SuspicionDigest}. */
-export const SUSPICION_DIGEST: MessageKind<SuspicionDigest> = defineMessage<
-  SuspicionDigest
->(
-  "suspicion-digest",
-  objectOf({
-    count: numberOf<number>(),
-    checksum: numberOf<number>(),
-    isAnswer: isBoolean,
-  }),
-);
+/** See {@link PoisonRecordDigest}. */
+export const POISON_RECORD_DIGEST: MessageKind<PoisonRecordDigest> =
+  defineMessage<
+    PoisonRecordDigest
+  >(
+    "suspicion-digest",
+    objectOf({
+      count: numberOf<number>(),
+      checksum: numberOf<number>(),
+      isAnswer: isBoolean,
+    }),
+  );
 
 /** What suspicions need to know of an entry host. */
-export interface SuspicionMember {
+export interface PoisonRecordMember {
   readonly host: HostId;
   readonly state: "alive" | "suspect" | "dead";
 }
 
 /** Suspicions of one service, as its scheduler gives and takes them. */
-export interface ServiceSuspicions {
+export interface ServicePoisonRecords {
   readonly service: ServiceId;
   readonly suspicions: readonly PoisonRecord[];
 }
 
-/** What a {@link SuspicionController} needs from its process. */
-export interface SuspicionControllerOptions {
+/** What a {@link PoisonRecordController} needs from its process. */
+export interface PoisonRecordControllerOptions {
   readonly blackboard: Blackboard;
   readonly link: PeerLink;
   readonly timer: Timer;
   readonly random: Random;
   readonly metrics: Metrics;
-  readonly members: Topic<readonly SuspicionMember[]>;
+  readonly members: Topic<readonly PoisonRecordMember[]>;
   /** What the schedulers of this host learned since the last call. */
-  readonly drain: () => readonly ServiceSuspicions[];
+  readonly drain: () => readonly ServicePoisonRecords[];
   /** Gives a scheduler of this host what others learned. */
-  readonly absorb: (suspicions: ServiceSuspicions) => void;
+  readonly importPoisonRecords: (suspicions: ServicePoisonRecords) => void;
   /** Upstreams that schedulers of this host hold ejected now. */
-  readonly ejections?: () => readonly SharedSuspicion[];
+  readonly ejections?: () => readonly SharedPoisonRecord[];
 }
 
 /**
  * Tells suspicions, convictions and ejections among the entry hosts: at once to
  * a few peers that pass them on, and by comparing books each second.
  */
-export class SuspicionController extends Controller {
-  readonly #options: SuspicionControllerOptions;
-  readonly #book = new SuspicionBook();
+export class PoisonRecordController extends Controller {
+  readonly #options: PoisonRecordControllerOptions;
+  readonly #book = new PoisonRecordTable();
   readonly #endings: (() => void)[] = [];
   #ticking: TimerSubscription[] = [];
-  #recent: { news: readonly SharedSuspicion[]; tellings: number }[] = [];
+  #recent: { news: readonly SharedPoisonRecord[]; tellings: number }[] = [];
 
-  constructor(options: SuspicionControllerOptions) {
+  constructor(options: PoisonRecordControllerOptions) {
     super();
     this.#options = options;
   }
@@ -134,12 +138,12 @@
     this.#endings.push(
       subscribeMessage(
         link,
-        SUSPICION_NEWS,
+        POISON_RECORD_UPDATE,
         (_from, { suspicions }) => this.#onNews(suspicions),
       ),
       subscribeMessage(
         link,
-        SUSPICION_DIGEST,
+        POISON_RECORD_DIGEST,
         (from, digest) => this.#onDigest(from, digest),
       ),
     );
@@ -181,31 +185,31 @@
     this.flush();
   }
 
-  #onNews(suspicions: readonly SharedSuspicion[]): void {
-    for (const absorbed of byService(this.#merge(suspicions))) {
-      this.#options.absorb(absorbed);
+  #onNews(suspicions: readonly SharedPoisonRecord[]): void {
+    for (const absorbed of groupByService(this.#merge(suspicions))) {
+      this.#options.importPoisonRecords(absorbed);
     }
   }
 
-  #merge(suspicions: readonly SharedSuspicion[]): SharedSuspicion[] {
+  #merge(suspicions: readonly SharedPoisonRecord[]): SharedPoisonRecord[] {
     const { blackboard, metrics, timer } = this.#options;
     const now = timer.now();
     const news = this.#book.merge(suspicions, now);
     if (news.length === 0) return news;
     metrics.count("suspicions_learned", news.length);
-    blackboard.write(SUSPICIONS, this.#book.entries(now));
+    blackboard.write(POISON_RECORDS, this.#book.entries(now));
     this.#recent.push({ news, tellings: 1 });
     this.#tell(news);
     return news;
   }
 
-  #tell(news: readonly SharedSuspicion[]): void {
+  #tell(news: readonly SharedPoisonRecord[]): void {
     for (const peer of this.#pickPeers(FANOUT)) this.#send(peer, news);
   }
 
   #compare(): void {
     this.#options.blackboard.write(
-      SUSPICIONS,
+      POISON_RECORDS,
       this.#book.entries(this.#options.timer.now()),
     );
     for (const peer of this.#pickPeers(1)) {
@@ -213,7 +217,7 @@
     }
   }
 
-  #onDigest(from: HostId, digest: SuspicionDigest): void {
+  #onDigest(from: HostId, digest: PoisonRecordDigest): void {
     const now = this.#options.timer.now();
     const entries = this.#book.entries(now);
     const isSame = digest.count === entries.length &&
@@ -223,10 +227,10 @@
     if (!digest.isAnswer) this.#sendDigest(from, { isAnswer: true });
   }
 
-  #send(to: HostId, suspicions: readonly SharedSuspicion[]): void {
+  #send(to: HostId, suspicions: readonly SharedPoisonRecord[]): void {
     for (let start = 0; start < suspicions.length; start += MAX_PER_MESSAGE) {
       const part = suspicions.slice(start, start + MAX_PER_MESSAGE);
-      sendMessage(this.#options.link, SUSPICION_NEWS, {
+      sendMessage(this.#options.link, POISON_RECORD_UPDATE, {
         to,
         body: { suspicions: part },
       });
@@ -237,7 +241,7 @@
     const now = this.#options.timer.now();
     const checksum = this.#book.checksum(now);
     const body = { count: this.#book.size, checksum, isAnswer };
-    sendMessage(this.#options.link, SUSPICION_DIGEST, { to, body });
+    sendMessage(this.#options.link, POISON_RECORD_DIGEST, { to, body });
   }
 
   #pickPeers(maximum: number): HostId[] {
@@ -254,9 +258,9 @@
 }
 
 /** The request suspicions among shared ones, grouped for the schedulers. */
-export function byService(
-  shared: readonly SharedSuspicion[],
-): ServiceSuspicions[] {
+export function groupByService(
+  shared: readonly SharedPoisonRecord[],
+): ServicePoisonRecords[] {
   const groups = new Map<ServiceId, PoisonRecord[]>();
   for (const { service, subject, kind, remainingMs } of shared) {
     if (kind === "ejected") continue;
--- a/packages/coordination/src/suspicionBook.ts
+++ b/packages/coordination/src/poisonRecordTable.ts
@@ -14,7 +14,7 @@
  * merged so that order, repeats and paths do not matter: the graver or later
  * kind stands. The book is bounded by count; what ends soonest goes first.
  */
-export const MAX_SUSPICIONS = 4_096;
+export const MAX_POISON_RECORDS = 4_096;
 /**
  * Later ends count only by so much. Each hop adds its transit time to the span
  * that is left, and without this an entry passed in circles would never end.
@@ -25,7 +25,7 @@
 const WEIGHT = { suspect: 0, cleared: 1, convicted: 2, ejected: 3 } as const;
 
 /** One thing held against a request content or an upstream of a service. */
-export interface SharedSuspicion {
+export interface SharedPoisonRecord {
   readonly service: ServiceId;
   /** The fingerprint of a request, or the upstream that is ejected. */
   readonly subject: Digest | UpstreamId;
@@ -34,16 +34,16 @@
   readonly remainingMs: Milliseconds;
 }
 
-interface Entry extends Omit<SharedSuspicion, "remainingMs"> {
+interface Entry extends Omit<SharedPoisonRecord, "remainingMs"> {
   readonly endsAt: Milliseconds;
 }
 
 /** Keeps suspicions until they end; no timers and no messages. */
-export class SuspicionBook {
+export class PoisonRecordTable {
   readonly #maximum: number;
   readonly #entries = new Map<string, Entry>();
 
-  constructor({ maximum = MAX_SUSPICIONS }: { maximum?: number } = {}) {
+  constructor({ maximum = MAX_POISON_RECORDS }: { maximum?: number } = {}) {
     this.#maximum = maximum;
   }
 
@@ -53,16 +53,16 @@
 
   /** Takes suspicions in; returns those that were news. */
   merge(
-    suspicions: readonly SharedSuspicion[],
+    suspicions: readonly SharedPoisonRecord[],
     now: Milliseconds,
-  ): SharedSuspicion[] {
+  ): SharedPoisonRecord[] {
     const news = suspicions.filter((suspicion) => this.#take(suspicion, now));
     this.#dropSoonest();
     return news;
   }
 
   /** Everything that holds now. */
-  entries(now: Milliseconds): SharedSuspicion[] {
+  entries(now: Milliseconds): SharedPoisonRecord[] {
     this.#dropEnded(now);
     return [...this.#entries.values()].map(({ endsAt, ...entry }) => ({
       ...entry,
@@ -80,7 +80,7 @@
     return sum;
   }
 
-  #take(suspicion: SharedSuspicion, now: Milliseconds): boolean {
+  #take(suspicion: SharedPoisonRecord, now: Milliseconds): boolean {
     const { remainingMs, ...rest } = suspicion;
     if (!(remainingMs > 0)) return false;
     const entry = { ...rest, endsAt: now + remainingMs };
--- a/packages/coordination/src/poolClient.ts
+++ b/packages/coordination/src/poolClient.ts
@@ -17,8 +17,8 @@
   Decision,
   PlacementRequest,
 } from "@wasabivane/decisions";
-import type { PoolKeeper } from "./poolKeeper.ts";
-import { keeperOf, type PoolMember } from "./poolMembers.ts";
+import type { PoolCoordinator } from "./poolCoordinator.ts";
+import { coordinatorOf, type PoolMember } from "./poolMembers.ts";
 import {
   type MessageKind,
   sendMessage,
@@ -27,16 +27,16 @@
 import {
   checksumOf,
   type DecisionMessage,
-  POOL_ASK,
   POOL_DECISION,
   POOL_FINISH,
   POOL_FIRST_TOKEN,
+  POOL_PLACEMENT_REQUEST,
   POOL_REPORT,
   POOL_REPORT_WANTED,
   POOL_SYNC,
   POOL_WITHDRAW,
   type ReportMessage,
-  toWireAsk,
+  toWirePlacementRequest,
 } from "./poolMessages.ts";
 
 const SYNC_PERIOD_MS = 1_000;
@@ -49,7 +49,7 @@
   readonly metrics: Metrics;
   readonly members: Topic<readonly PoolMember[]>;
   /** The keeper in this process, reached without the link. */
-  readonly localKeeper: () => PoolKeeper;
+  readonly localCoordinator: () => PoolCoordinator;
 }
 
 interface Waiting {
@@ -119,11 +119,11 @@
     pool.waiting.set(ask.request, { ask, decide });
     if (pool.keeper === undefined) return;
     if (this.#isLocal(pool)) {
-      this.#options.localKeeper().ask(service, ask);
+      this.#options.localCoordinator().submit(service, ask);
       return;
     }
-    const wire = toWireAsk(ask, this.#options.timer.now());
-    this.#send(pool, POOL_ASK, { service, ask: wire });
+    const wire = toWirePlacementRequest(ask, this.#options.timer.now());
+    this.#send(pool, POOL_PLACEMENT_REQUEST, { service, ask: wire });
   }
 
   /** Takes back an ask that still waits; false when it was decided already. */
@@ -131,20 +131,21 @@
     const pool = this.#poolOf(service);
     if (!pool.waiting.delete(request)) return false;
     const body = { service, request };
-    if (this.#isLocal(pool)) this.#options.localKeeper().withdraw(body);
+    if (this.#isLocal(pool)) this.#options.localCoordinator().withdraw(body);
     else this.#send(pool, POOL_WITHDRAW, body);
     return true;
   }
 
   /** Tells the keeper that the first token of a request arrived. */
-  firstToken(service: ServiceId, request: RequestId): void {
+  recordFirstToken(service: ServiceId, request: RequestId): void {
     const pool = this.#poolOf(service);
     const running = pool.running.get(request);
     if (running === undefined || running.hasFirstToken) return;
     running.hasFirstToken = true;
     const body = { service, request };
-    if (this.#isLocal(pool)) this.#options.localKeeper().firstToken(body);
-    else this.#send(pool, POOL_FIRST_TOKEN, body);
+    if (this.#isLocal(pool)) {
+      this.#options.localCoordinator().recordFirstToken(body);
+    } else this.#send(pool, POOL_FIRST_TOKEN, body);
   }
 
   /** Tells the keeper that a granted request ended. */
@@ -170,7 +171,7 @@
   }
 
   /** Follows a decision of the keeper in this process. */
-  decideLocally(service: ServiceId, decision: Decision): void {
+  applyLocalDecision(service: ServiceId, decision: Decision): void {
     const pool = this.#poolOf(service);
     if (!this.#isLocal(pool)) return;
     this.#follow(service, decision);
@@ -249,7 +250,7 @@
     if (pool.keeper === undefined) return;
     const report = this.#reportOf(pool, service);
     if (this.#isLocal(pool)) {
-      this.#options.localKeeper().report(this.#options.link.self, report);
+      this.#options.localCoordinator().report(this.#options.link.self, report);
     } else {
       this.#send(pool, POOL_REPORT, report);
     }
@@ -258,10 +259,10 @@
   #reportOf(pool: Pool, service: ServiceId): ReportMessage {
     const now = this.#options.timer.now();
     const waiting = [...pool.waiting.values()].map(({ ask }) =>
-      toWireAsk(ask, now)
+      toWirePlacementRequest(ask, now)
     );
     const running = [...pool.running.values()].map((attempt) => ({
-      ask: toWireAsk(attempt.ask, now),
+      ask: toWirePlacementRequest(attempt.ask, now),
       upstream: attempt.upstream,
       runningFor: now - attempt.grantedAt,
       hasFirstToken: attempt.hasFirstToken,
@@ -285,7 +286,7 @@
 
   #tellFinish(pool: Pool, service: ServiceId, report: AttemptReport): void {
     if (this.#isLocal(pool)) {
-      this.#options.localKeeper().finish(service, report);
+      this.#options.localCoordinator().finish(service, report);
     } else this.#send(pool, POOL_FINISH, { service, report });
   }
 
@@ -304,7 +305,7 @@
 
   #currentKeeper(service: ServiceId): PoolMember | undefined {
     const { blackboard, members } = this.#options;
-    return keeperOf(service, blackboard.read(members));
+    return coordinatorOf(service, blackboard.read(members));
   }
 
   #isLocal(pool: Pool): boolean {
--- a/packages/coordination/src/poolKeeper.ts
+++ b/packages/coordination/src/poolCoordinator.ts
@@ -20,15 +20,15 @@
   PoolPolicy,
   Scheduler,
 } from "@wasabivane/decisions";
-import { keeperOf, type PoolMember } from "./poolMembers.ts";
+import { coordinatorOf, type PoolMember } from "./poolMembers.ts";
 import { sendMessage, subscribeMessage } from "./peerMessages.ts";
 import {
   checksumOf,
-  fromWireAsk,
-  POOL_ASK,
+  fromWirePlacementRequest,
   POOL_DECISION,
   POOL_FINISH,
   POOL_FIRST_TOKEN,
+  POOL_PLACEMENT_REQUEST,
   POOL_REPORT,
   POOL_REPORT_WANTED,
   POOL_SYNC,
@@ -37,7 +37,7 @@
   type RequestMessage,
   type SyncMessage,
   toWireDecision,
-  type WireAsk,
+  type WirePlacementRequest,
 } from "./poolMessages.ts";
 
 const TICK_PERIOD_MS = 50;
@@ -47,14 +47,14 @@
 const IDLE_MS = 60_000;
 
 /** What a keeper needs from its process. */
-export interface PoolKeeperOptions {
+export interface PoolCoordinatorOptions {
   readonly blackboard: Blackboard;
   readonly link: PeerLink;
   readonly timer: Timer;
   readonly metrics: Metrics;
   readonly members: Topic<readonly PoolMember[]>;
   /** Share of the listed hosts that this one hears, itself included. */
-  readonly fleetShare: Topic<number>;
+  readonly reachableShare: Topic<number>;
   /** Policy of a service under the bundle in force. */
   readonly policyOf: (service: ServiceId) => PoolPolicy | undefined;
   readonly createScheduler: (
@@ -62,7 +62,7 @@
     policy: PoolPolicy,
   ) => Scheduler;
   /** Takes decisions for requests of this host. */
-  readonly decideLocally: (service: ServiceId, decision: Decision) => void;
+  readonly onLocalDecision: (service: ServiceId, decision: Decision) => void;
 }
 
 interface TrackedRequest {
@@ -87,24 +87,26 @@
  * callers wait. Two keepers then over-admit by at most a factor of two, and
  * in a partition each fills only the share of hosts that it hears.
  */
-export class PoolKeeper extends Controller {
-  readonly #options: PoolKeeperOptions;
+export class PoolCoordinator extends Controller {
+  readonly #options: PoolCoordinatorOptions;
   readonly #pools = new Map<ServiceId, Pool>();
   readonly #subscriptions: (() => void)[] = [];
   #ticking: TimerSubscription | undefined;
 
-  constructor(options: PoolKeeperOptions) {
+  constructor(options: PoolCoordinatorOptions) {
     super();
     this.#options = options;
   }
 
   override start(): void {
-    const { blackboard, link, timer, members, fleetShare } = this.#options;
+    const { blackboard, link, timer, members, reachableShare: fleetShare } =
+      this.#options;
     this.#subscriptions.push(
       subscribeMessage(
         link,
-        POOL_ASK,
-        (from, { service, ask }) => this.ask(service, this.#askOf(ask, from)),
+        POOL_PLACEMENT_REQUEST,
+        (from, { service, ask }) =>
+          this.submit(service, this.#askOf(ask, from)),
       ),
       subscribeMessage(
         link,
@@ -114,7 +116,7 @@
       subscribeMessage(
         link,
         POOL_FIRST_TOKEN,
-        (_from, body) => this.firstToken(body),
+        (_from, body) => this.recordFirstToken(body),
       ),
       subscribeMessage(
         link,
@@ -147,14 +149,14 @@
   }
 
   /** Services whose pools this host keeps now, with their schedulers. */
-  kept(): ReadonlyMap<ServiceId, Scheduler> {
+  schedulers(): ReadonlyMap<ServiceId, Scheduler> {
     return new Map(
       [...this.#pools].map(([service, pool]) => [service, pool.scheduler]),
     );
   }
 
   /** Takes a request of the given origin into the pool of a service. */
-  ask(service: ServiceId, ask: PlacementRequest): void {
+  submit(service: ServiceId, ask: PlacementRequest): void {
     const pool = this.#poolOf(service);
     if (pool === undefined) {
       this.#deliver(service, refusalOf(ask));
@@ -178,7 +180,7 @@
   }
 
   /** Notes the first token of a running request. */
-  firstToken({ service, request }: RequestMessage): void {
+  recordFirstToken({ service, request }: RequestMessage): void {
     this.#pools.get(service)?.scheduler.recordFirstToken(request, this.#now());
   }
 
@@ -197,7 +199,7 @@
     this.#adoptRunning(pool, origin, report);
     this.#dropUnreported(pool, origin, report);
     for (const wire of report.waiting) {
-      this.ask(report.service, this.#askOf(wire, origin));
+      this.submit(report.service, this.#askOf(wire, origin));
     }
     this.#endRecovery(pool, report.service);
   }
@@ -349,7 +351,7 @@
 
   #applyShare(pool: Pool, service: ServiceId): void {
     if (pool.isRecovering) return;
-    const share = this.#options.blackboard.read(this.#options.fleetShare);
+    const share = this.#options.blackboard.read(this.#options.reachableShare);
     this.#deliverAll(
       service,
       pool.scheduler.setCapacityShare(share, this.#now()),
@@ -377,7 +379,7 @@
   #isAbandoned(pool: Pool, service: ServiceId): boolean {
     const { blackboard, members, link } = this.#options;
     if (pool.requests.size > 0) return false;
-    if (keeperOf(service, blackboard.read(members))?.host === link.self) {
+    if (coordinatorOf(service, blackboard.read(members))?.host === link.self) {
       return false;
     }
     return this.#now() - pool.usedAt > IDLE_MS;
@@ -388,7 +390,7 @@
   }
 
   #deliver(service: ServiceId, decision: Decision): void {
-    const { link, decideLocally } = this.#options;
+    const { link, onLocalDecision: decideLocally } = this.#options;
     const requests = this.#pools.get(service)?.requests;
     const tracked = requests?.get(decision.placementRequest.request);
     if (decision.kind === "refuse") {
@@ -404,8 +406,8 @@
     });
   }
 
-  #askOf(wire: WireAsk, origin: HostId): PlacementRequest {
-    return fromWireAsk(wire, { origin, now: this.#now() });
+  #askOf(wire: WirePlacementRequest, origin: HostId): PlacementRequest {
+    return fromWirePlacementRequest(wire, { origin, now: this.#now() });
   }
 
   #now(): Milliseconds {
--- a/packages/coordination/src/poolMembers.ts
+++ b/packages/coordination/src/poolMembers.ts
@@ -13,7 +13,7 @@
 }
 
 /** The member that keeps a pool: the first alive one by rendezvous order. */
-export function keeperOf(
+export function coordinatorOf(
   service: ServiceId,
   members: readonly PoolMember[],
 ): PoolMember | undefined {
--- a/packages/coordination/src/poolMessages.ts
+++ b/packages/coordination/src/poolMessages.ts
@@ -86,7 +86,7 @@
 const isRequestBody = objectOf({ service: isService, request: isRequest });
 
 /** An entry wants a place for a request. */
-export const POOL_ASK = defineMessage(
+export const POOL_PLACEMENT_REQUEST = defineMessage(
   "pool-ask",
   objectOf({ service: isService, ask: isWireAsk }),
 );
@@ -145,14 +145,14 @@
 type BodyOf<Kind> = Kind extends MessageKind<infer Body> ? Body : never;
 type Checked<Check> = Check extends Shape<infer Value> ? Value : never;
 
-/** See {@link POOL_ASK}. */
-export type WireAsk = Checked<typeof isWireAsk>;
+/** See {@link POOL_PLACEMENT_REQUEST}. */
+export type WirePlacementRequest = Checked<typeof isWireAsk>;
 /** A grant as it crosses hosts. */
 export type WireGrant = Checked<typeof isWireGrant>;
 /** A refusal as it crosses hosts. */
 export type WireRefusal = Checked<typeof isWireRefusal>;
-/** See {@link POOL_ASK}. */
-export type AskMessage = BodyOf<typeof POOL_ASK>;
+/** See {@link POOL_PLACEMENT_REQUEST}. */
+export type PlacementRequestMessage = BodyOf<typeof POOL_PLACEMENT_REQUEST>;
 /** See {@link POOL_DECISION}. */
 export type DecisionMessage = BodyOf<typeof POOL_DECISION>;
 /** See {@link POOL_WITHDRAW}. */
@@ -165,14 +165,17 @@
 export type SyncMessage = BodyOf<typeof POOL_SYNC>;
 
 /** Prepares an ask for the wire. */
-export function toWireAsk(ask: PlacementRequest, now: Milliseconds): WireAsk {
+export function toWirePlacementRequest(
+  ask: PlacementRequest,
+  now: Milliseconds,
+): WirePlacementRequest {
   const { origin: _origin, deadline, ...rest } = ask;
   return { ...rest, timeLeft: deadline - now };
 }
 
 /** Restores an ask on the receiver's clock; `origin` is the authenticated sender. */
-export function fromWireAsk(
-  wire: WireAsk,
+export function fromWirePlacementRequest(
+  wire: WirePlacementRequest,
   { origin, now }: { origin: HostId; now: Milliseconds },
 ): PlacementRequest {
   const { timeLeft, ...rest } = wire;
--- a/packages/coordination/src/answerMessages.ts
+++ b/packages/coordination/src/responseMessages.ts
@@ -18,7 +18,7 @@
 const isHeader = objectOf({ name: textOf<string>(), value: textOf<string>() });
 
 /** Asks the owner of a request for its answer from a position on. */
-export interface AnswerRead {
+export interface ResponseReadRequest {
   readonly request: RequestId;
   /** Numbers the reads of one host; the piece repeats it. */
   readonly read: number;
@@ -26,8 +26,8 @@
   readonly position: number;
 }
 
-/** A piece of an answer, in reply to {@link AnswerRead}. */
-export interface AnswerPiece {
+/** A piece of an answer, in reply to {@link ResponseReadRequest}. */
+export interface ResponseChunk {
   readonly request: RequestId;
   readonly read: number;
   readonly position: number;
@@ -42,17 +42,18 @@
   readonly end?: string | undefined;
 }
 
-/** See {@link AnswerRead}. */
-export const ANSWER_READ: MessageKind<AnswerRead> = defineMessage<AnswerRead>(
-  "answer-read",
-  objectOf({
-    request: textOf<RequestId>(),
-    read: numberOf<number>(),
-    position: numberOf<number>(),
-  }),
-);
+/** See {@link ResponseReadRequest}. */
+export const RESPONSE_READ_REQUEST: MessageKind<ResponseReadRequest> =
+  defineMessage<ResponseReadRequest>(
+    "answer-read",
+    objectOf({
+      request: textOf<RequestId>(),
+      read: numberOf<number>(),
+      position: numberOf<number>(),
+    }),
+  );
 
-const isPiece: Shape<AnswerPiece> = objectOf({
+const isPiece: Shape<ResponseChunk> = objectOf({
   request: textOf<RequestId>(),
   read: numberOf<number>(),
   position: numberOf<number>(),
@@ -63,7 +64,7 @@
   end: optional(textOf<string>(65_536)),
 });
 
-/** See {@link AnswerPiece}. */
-export const ANSWER_PIECE: MessageKind<AnswerPiece> = defineMessage<
-  AnswerPiece
+/** See {@link ResponseChunk}. */
+export const RESPONSE_CHUNK: MessageKind<ResponseChunk> = defineMessage<
+  ResponseChunk
 >("answer-piece", isPiece);
