--- a/packages/coordination/src/stopController.ts
+++ b/packages/coordination/src/stopController.ts
@@ -54,15 +54,15 @@
 );
 
 /** Asks a host of the same failure domain for a slot. */
-export const STOP_ASK: MessageKind<
+export const STOP_SLOT_REQUEST: MessageKind<
   { readonly clock: number; readonly incarnation: string }
 > = defineMessage(
   "stop-ask",
   objectOf({ clock: numberOf<number>(), incarnation: textOf<string>() }),
 );
 
-/** Answers {@link STOP_ASK}. */
-export const STOP_ANSWER: MessageKind<
+/** Answers {@link STOP_SLOT_REQUEST}. */
+export const STOP_SLOT_REPLY: MessageKind<
   {
     readonly clock: number;
     readonly incarnation: string;
@@ -78,7 +78,7 @@
 );
 
 /** Tells that a process has ended its stop. */
-export const STOP_RELEASE: MessageKind<{ readonly incarnation: string }> =
+export const STOP_SLOT_RELEASE: MessageKind<{ readonly incarnation: string }> =
   defineMessage("stop-release", objectOf({ incarnation: textOf<string>() }));
 
 /** What a {@link StopController} needs from its process. */
@@ -124,17 +124,17 @@
       blackboard.watch(members, (value) => this.#onMembers(value)),
       subscribeMessage(
         link,
-        STOP_ASK,
+        STOP_SLOT_REQUEST,
         (from, body) => this.#onAsk({ ...body, host: from }),
       ),
-      subscribeMessage(link, STOP_ANSWER, (from, body) => {
+      subscribeMessage(link, STOP_SLOT_REPLY, (from, body) => {
         const sender = { ...body, host: from };
-        if (body.isGranted) this.#slots.takeGrant(sender, timer.now());
+        if (body.isGranted) this.#slots.applyGrant(sender, timer.now());
       }),
       subscribeMessage(
         link,
-        STOP_RELEASE,
-        (_from, { incarnation }) => this.#slots.takeRelease(incarnation),
+        STOP_SLOT_RELEASE,
+        (_from, { incarnation }) => this.#slots.applyRelease(incarnation),
       ),
     );
     this.#ticking = [
@@ -152,7 +152,7 @@
   requestStop(plan: StopPlan): void {
     if (this.#plan !== undefined) return;
     this.#plan = plan;
-    this.#slots.ask();
+    this.#slots.request();
     this.#enter({ kind: "waiting-for-slot" });
     this.#askNeighbours();
     this.#tick();
@@ -168,19 +168,19 @@
 
   #onAsk(sender: StopSender): void {
     const { link, timer, incarnation } = this.#options;
-    const isGranted = this.#slots.answer(sender, timer.now());
+    const isGranted = this.#slots.handleRequest(sender, timer.now());
     const { clock, host: to } = sender;
     const body = { clock, incarnation, isGranted };
-    sendMessage(link, STOP_ANSWER, { to, body });
+    sendMessage(link, STOP_SLOT_REPLY, { to, body });
   }
 
   #askNeighbours(): void {
-    const ticket = this.#slots.ticket;
+    const ticket = this.#slots.requestTimestamp;
     if (ticket === undefined) return;
     const { link, incarnation } = this.#options;
     const body = { clock: ticket.clock, incarnation };
-    for (const to of this.#slots.toAsk()) {
-      sendMessage(link, STOP_ASK, { to, body });
+    for (const to of this.#slots.hostsToAsk()) {
+      sendMessage(link, STOP_SLOT_REQUEST, { to, body });
     }
   }
 
@@ -192,7 +192,7 @@
     const elapsed = now - this.#heldAt;
     const { kind } = this.#phase;
     if (kind === "waiting-for-slot") {
-      if (this.#slots.tryHold(plan.hostsAtOnce, now)) this.#turnUnready(now);
+      if (this.#slots.tryAcquire(plan.hostsAtOnce, now)) this.#turnUnready(now);
     } else if (kind === "unready") {
       if (elapsed >= plan.readinessMs) this.#drain(plan);
     } else if (kind === "draining") {
@@ -235,7 +235,7 @@
     );
     for (let times = 0; times < RELEASES; times++) {
       for (const { host: to } of neighbours) {
-        sendMessage(link, STOP_RELEASE, { to, body: { incarnation } });
+        sendMessage(link, STOP_SLOT_RELEASE, { to, body: { incarnation } });
       }
     }
   }
--- a/packages/coordination/src/stopSlots.ts
+++ b/packages/coordination/src/stopSlots.ts
@@ -27,7 +27,7 @@
 }
 
 /** When a host asked; earlier tickets go first. */
-export interface StopTicket {
+export interface StopTimestamp {
   readonly clock: number;
   readonly host: HostId;
 }
@@ -57,7 +57,7 @@
   #neighbours: readonly StopMember[] = [];
   #clock = 0;
   #standing: Standing = "idle";
-  #ticket: StopTicket | undefined;
+  #ticket: StopTimestamp | undefined;
 
   constructor(
     { self, domain }: { self: HostId; domain: FailureDomain },
@@ -66,7 +66,7 @@
     this.#domain = domain;
   }
 
-  get ticket(): StopTicket | undefined {
+  get requestTimestamp(): StopTimestamp | undefined {
     return this.#ticket;
   }
 
@@ -81,7 +81,7 @@
   }
 
   /** Starts to ask; asking again changes nothing. */
-  ask(): StopTicket {
+  request(): StopTimestamp {
     if (this.#ticket === undefined) {
       this.#clock++;
       this.#ticket = { clock: this.#clock, host: this.#self };
@@ -91,7 +91,7 @@
   }
 
   /** Hosts whose grant is still wanted. */
-  toAsk(): HostId[] {
+  hostsToAsk(): HostId[] {
     if (this.#standing !== "asking") return [];
     return this.#neighbours
       .filter(({ host, state }) => state !== "dead" && !this.#granted.has(host))
@@ -99,7 +99,10 @@
   }
 
   /** Whether this host grants a neighbour's ticket. */
-  answer({ host, incarnation, clock }: StopSender, now: Milliseconds): boolean {
+  handleRequest(
+    { host, incarnation, clock }: StopSender,
+    now: Milliseconds,
+  ): boolean {
     this.#clock = Math.max(this.#clock, clock) + 1;
     if (this.#standing === "holding") return false;
     if (this.#ticket === undefined) return true;
@@ -113,7 +116,10 @@
   }
 
   /** Takes a neighbour's grant of one of this host's tickets. */
-  takeGrant({ host, incarnation, clock }: StopSender, now: Milliseconds): void {
+  applyGrant(
+    { host, incarnation, clock }: StopSender,
+    now: Milliseconds,
+  ): void {
     this.#clock = Math.max(this.#clock, clock);
     if (clock !== this.#ticket?.clock) return;
     const yielded = this.#yielded.get(host);
@@ -123,12 +129,12 @@
   }
 
   /** A neighbour's process has ended its stop. */
-  takeRelease(incarnation: string): void {
+  applyRelease(incarnation: string): void {
     this.#released.add(incarnation);
   }
 
   /** Takes a slot if one is free; a slot once taken is kept to the end. */
-  tryHold(slots: number, now: Milliseconds): boolean {
+  tryAcquire(slots: number, now: Milliseconds): boolean {
     if (this.#standing === "holding") return true;
     if (this.#standing !== "asking") return false;
     const taken = this.#neighbours.filter((member) =>
@@ -149,7 +155,7 @@
   }
 }
 
-function isEarlierTicket(left: StopTicket, right: StopTicket): boolean {
+function isEarlierTicket(left: StopTimestamp, right: StopTimestamp): boolean {
   if (left.clock !== right.clock) return left.clock < right.clock;
   return left.host < right.host;
 }
--- a/packages/coordination/src/viewController.ts
+++ b/packages/coordination/src/viewController.ts
@@ -31,16 +31,16 @@
 } from "./peerMessages.ts";
 import { ViewLease } from "./viewLease.ts";
 import {
-  type Activity,
-  type LeaseAnswer,
+  type ActiveView,
+  type LeaseReply,
   type LeaseRequest,
   MAX_VIEW_HOSTS,
   type View,
-  viewOf,
+  viewOfHostList,
 } from "./views.ts";
 
 /** Time between lease requests; two rounds may be lost before a lease runs out. */
-export const LEASE_ROUND_MS: Milliseconds = 600;
+export const LEASE_RENEWAL_PERIOD_MS: Milliseconds = 600;
 /** Views that one message names; more than a few may be active only in deep trouble. */
 const MAX_VIEWS = 64;
 
@@ -60,9 +60,9 @@
     views: listOf(viewShape, MAX_VIEWS),
   }),
 );
-/** See {@link LeaseAnswer}. */
-export const LEASE_ANSWER: MessageKind<LeaseAnswer> = defineMessage<
-  LeaseAnswer
+/** See {@link LeaseReply}. */
+export const LEASE_REPLY: MessageKind<LeaseReply> = defineMessage<
+  LeaseReply
 >(
   "lease-answer",
   objectOf({
@@ -122,13 +122,13 @@
       subscribeMessage(link, LEASE_REQUEST, (from, body) => {
         this.#onRequest(from, body);
       }),
-      subscribeMessage(link, LEASE_ANSWER, (from, body) => {
-        this.#lease.take(from, body, this.#clock.now());
+      subscribeMessage(link, LEASE_REPLY, (from, body) => {
+        this.#lease.applyReply(from, body, this.#clock.now());
       }),
       blackboard.watch(HOST_LIST, () => this.#adoptList()),
     );
     this.#adoptList();
-    this.#rounds = timer.every(LEASE_ROUND_MS, () => this.#ask());
+    this.#rounds = timer.every(LEASE_RENEWAL_PERIOD_MS, () => this.#ask());
   }
 
   override stop(): void {
@@ -137,29 +137,29 @@
   }
 
   /** What this host may decide about now; ask right before each decision. */
-  activity(): Activity | undefined {
-    return this.#lease.activity(this.#clock.now());
+  activeView(): ActiveView | undefined {
+    return this.#lease.activeView(this.#clock.now());
   }
 
-  /** How long ago something was on the clock of {@link Activity}. */
+  /** How long ago something was on the clock of {@link ActiveView}. */
   elapsedSince(instant: Milliseconds): Milliseconds {
     return this.#clock.now() - instant;
   }
 
   /** The newest view known here, active or not. */
-  newest(): View | undefined {
-    return this.#lease.newest;
+  newestView(): View | undefined {
+    return this.#lease.newestView;
   }
 
   #adoptList(): void {
     const list = this.#options.blackboard.read(HOST_LIST);
-    if (list !== undefined) this.#lease.learn(viewOf(list));
+    if (list !== undefined) this.#lease.addView(viewOfHostList(list));
   }
 
   #ask(): void {
     const { host, link } = this.#options;
     this.#publish();
-    if (!this.#lease.isConcerned()) return;
+    if (!this.#lease.isParticipant()) return;
     const request = this.#lease.nextRequest(this.#clock.now());
     const message = { kind: LEASE_REQUEST.kind, body: request };
     for (const target of this.#lease.targets()) {
@@ -171,18 +171,22 @@
   #askSelf(request: LeaseRequest): void {
     const { host } = this.#options;
     const now = this.#clock.now();
-    this.#lease.take(host, this.#lease.answer(host, request, now), now);
+    this.#lease.applyReply(
+      host,
+      this.#lease.handleRequest(host, request, now),
+      now,
+    );
   }
 
   #onRequest(from: HostId, request: LeaseRequest): void {
-    const body = this.#lease.answer(from, request, this.#clock.now());
-    sendMessage(this.#options.link, LEASE_ANSWER, { to: from, body });
+    const body = this.#lease.handleRequest(from, request, this.#clock.now());
+    sendMessage(this.#options.link, LEASE_REPLY, { to: from, body });
   }
 
   #publish(): void {
     const { blackboard, metrics } = this.#options;
-    const isActive = this.activity() !== undefined;
-    const newest = this.#lease.newest;
+    const isActive = this.activeView() !== undefined;
+    const newest = this.#lease.newestView;
     const former = blackboard.read(VIEW_STATUS);
     const isSame = former.isActive === isActive &&
       former.newest?.version === newest?.version;
--- a/packages/coordination/src/viewLease.ts
+++ b/packages/coordination/src/viewLease.ts
@@ -1,18 +1,18 @@
 import type { HostId, Incarnation, Milliseconds } from "@wasabivane/common";
 import {
-  type Activity,
+  type ActiveView,
   hasSameHosts,
-  type LeaseAnswer,
+  type LeaseReply,
   type LeaseRequest,
-  majorityOf,
+  majoritySize,
   type Tenure,
   type View,
 } from "./views.ts";
 
 /** How long a lease lasts, counted by its holder from when it asked. */
-export const LEASE_MS: Milliseconds = 2_000;
+export const LEASE_DURATION_MS: Milliseconds = 2_000;
 /** By how much two monotonic clocks may differ over one lease. */
-export const LEASE_DRIFT_MS: Milliseconds = 100;
+export const MAX_CLOCK_DRIFT_MS: Milliseconds = 100;
 /** Retired versions that are remembered; a forgotten one is only retired again. */
 const MAX_RETIRED = 256;
 /** Views that a tenure may reach back over. */
@@ -30,11 +30,11 @@
 }
 
 interface HeldAnswer {
-  readonly answer: LeaseAnswer;
+  readonly answer: LeaseReply;
   readonly sentAt: Milliseconds;
 }
 
-type Grant = Pick<LeaseAnswer, "granted" | "unbrokenSince">;
+type Grant = Pick<LeaseReply, "granted" | "unbrokenSince">;
 
 /** The whole state of a {@link ViewLease}, as plain data that can be copied. */
 export interface ViewLeaseState {
@@ -43,14 +43,14 @@
   isJoined: boolean;
   supported: number | undefined;
   /** Counts changes of the supported view. */
-  period: number;
+  supportPeriod: number;
   granted: Map<HostId, GrantedLease>;
-  answers: Map<HostId, HeldAnswer>;
+  replies: Map<HostId, HeldAnswer>;
   serial: number;
   sentAt: Map<number, Milliseconds>;
   tenures: readonly Tenure[];
   /** Views that leases were asked for in since this host was last active, newest first. */
-  passed: readonly View[];
+  viewsSinceActive: readonly View[];
   /** The newest own request when this host was last active. */
   activeSerial: number;
   /** When the leases that were last counted end. */
@@ -83,15 +83,15 @@
 
   constructor(options: ViewLeaseOptions) {
     this.#options = {
-      leaseMs: LEASE_MS,
-      driftMs: LEASE_DRIFT_MS,
+      leaseMs: LEASE_DURATION_MS,
+      driftMs: MAX_CLOCK_DRIFT_MS,
       ...options,
     };
     this.state = options.state ?? createState();
   }
 
   /** The newest view known here. */
-  get newest(): View | undefined {
+  get newestView(): View | undefined {
     let newest: View | undefined;
     for (const view of this.state.views.values()) {
       if (newest === undefined || view.version > newest.version) newest = view;
@@ -100,10 +100,10 @@
   }
 
   /** Takes a view from the platform or a peer; old, doubled and reordered ones do no harm. */
-  learn(view: View): void {
+  addView(view: View): void {
     const { views, retired } = this.state;
     if (views.has(view.version) || retired.has(view.version)) return;
-    const newest = this.newest;
+    const newest = this.newestView;
     if (newest === undefined || !hasSameHosts(newest, view)) {
       views.set(view.version, view);
       return;
@@ -128,7 +128,7 @@
   }
 
   /** Whether this host grants or holds leases; in a larger fleet only some do. */
-  isConcerned(): boolean {
+  isParticipant(): boolean {
     const { host } = this.#options;
     return this.#views().some(({ hosts }) => hosts.includes(host));
   }
@@ -140,12 +140,12 @@
   }
 
   /** Answers a request as granter. */
-  answer(
+  handleRequest(
     from: HostId,
     request: LeaseRequest,
     now: Milliseconds,
-  ): LeaseAnswer {
-    for (const view of request.views) this.learn(view);
+  ): LeaseReply {
+    for (const view of request.views) this.addView(view);
     const { retired } = this.state;
     const versions = request.views.map(({ version }) => version);
     const grant = this.#grant(from, request, now);
@@ -162,25 +162,25 @@
   }
 
   /** Takes an answer as holder. */
-  take(from: HostId, answer: LeaseAnswer, now: Milliseconds): void {
+  applyReply(from: HostId, answer: LeaseReply, now: Milliseconds): void {
     const sentAt = this.state.sentAt.get(answer.serial);
     const isOwn = answer.asker === this.#options.incarnation;
     if (sentAt === undefined || !isOwn) return;
-    this.activity(now);
-    for (const view of answer.views) this.learn(view);
+    this.activeView(now);
+    for (const view of answer.views) this.addView(view);
     for (const version of answer.retired) this.#retireVersion(version);
-    const known = this.state.answers.get(from);
+    const known = this.state.replies.get(from);
     if (known !== undefined && known.sentAt > sentAt) return;
-    this.state.answers.set(from, { answer, sentAt });
+    this.state.replies.set(from, { answer, sentAt });
     this.#retire(now);
     this.#join();
-    this.activity(now);
+    this.activeView(now);
   }
 
   /** What this host may act for; call it right before each decision. */
-  activity(now: Milliseconds): Activity | undefined {
+  activeView(now: Milliseconds): ActiveView | undefined {
     const { state } = this;
-    const view = this.newest;
+    const view = this.newestView;
     if (view === undefined || !state.isJoined) return undefined;
     const until = this.#leasedUntil(view);
     if (until <= now) return undefined;
@@ -189,7 +189,7 @@
     if (hasLapsed || !isSame) this.#enter(view, now);
     state.activeUntil = until;
     state.activeSerial = state.serial;
-    state.passed = [view];
+    state.viewsSinceActive = [view];
     return { view, until, tenures: state.tenures };
   }
 
@@ -197,7 +197,7 @@
    * Whether no lease of a former view is left. Without this wait the old and the
    * new home of a key could act at once, and the key would run twice.
    */
-  protected areFormerLeasesOver(now: Milliseconds): boolean {
+  protected haveFormerLeasesExpired(now: Milliseconds): boolean {
     const { granted, supported } = this.state;
     return [...granted.values()].every(({ version, until }) =>
       version !== supported || until <= now
@@ -208,7 +208,7 @@
    * Whether leases that a former incarnation granted have run out. A restarted
    * host forgot them; without this wait it could support a second view at once.
    */
-  protected areForgottenLeasesOver(now: Milliseconds): boolean {
+  protected haveForgottenLeasesExpired(now: Milliseconds): boolean {
     const { startedAt, leaseMs, driftMs } = this.#options;
     return now >= startedAt + leaseMs + driftMs;
   }
@@ -218,11 +218,11 @@
   }
 
   #grant(from: HostId, request: LeaseRequest, now: Milliseconds): Grant {
-    const newest = this.newest;
+    const newest = this.newestView;
     if (newest === undefined || !this.state.isJoined) return {};
     const isAsked = newest.hosts.includes(from) &&
       request.views.some((view) => view.version === newest.version);
-    if (!isAsked || !this.areForgottenLeasesOver(now)) return {};
+    if (!isAsked || !this.haveForgottenLeasesExpired(now)) return {};
     if (!this.#support(newest, now)) return {};
     return this.#renew(from, request, now);
   }
@@ -230,15 +230,15 @@
   #support(view: View, now: Milliseconds): boolean {
     const { state } = this;
     if (state.supported === view.version) return true;
-    if (!this.areFormerLeasesOver(now)) return false;
+    if (!this.haveFormerLeasesExpired(now)) return false;
     state.supported = view.version;
-    state.period++;
+    state.supportPeriod++;
     return true;
   }
 
   #renew(from: HostId, request: LeaseRequest, now: Milliseconds): Grant {
     const { leaseMs, driftMs } = this.#options;
-    const { period, supported } = this.state;
+    const { supportPeriod: period, supported } = this.state;
     const { incarnation, serial } = request;
     const former = this.state.granted.get(from);
     const isSameHolder = former?.incarnation === incarnation;
@@ -265,11 +265,11 @@
     const ends = counted.hosts
       .map((host) => this.#leaseEnd(host, view))
       .sort((left, right) => right - left);
-    return ends[majorityOf(counted) - 1] ?? -Infinity;
+    return ends[majoritySize(counted) - 1] ?? -Infinity;
   }
 
   #leaseEnd(host: HostId, view: View): Milliseconds {
-    const held = this.state.answers.get(host);
+    const held = this.state.replies.get(host);
     if (held?.answer.granted !== view.version) return -Infinity;
     return held.sentAt + this.#options.leaseMs;
   }
@@ -281,20 +281,20 @@
    * others anew after that time, and so hears of the newer view.
    */
   #retire(now: Milliseconds): void {
-    const newest = this.newest;
+    const newest = this.newestView;
     for (const view of this.#views()) {
       if (view === newest) continue;
       const moved = view.hosts.filter((host) =>
         this.#hasMovedOn(host, { view, now })
       );
-      if (moved.length < majorityOf(view)) continue;
+      if (moved.length < majoritySize(view)) continue;
       this.#retireVersion(view.version);
     }
     this.#forget(now);
   }
 
   #retireVersion(version: number): void {
-    if (version === this.newest?.version) return;
+    if (version === this.newestView?.version) return;
     this.state.views.delete(version);
     this.state.retired.add(version);
   }
@@ -303,14 +303,14 @@
     host: HostId,
     { view, now }: { view: View; now: Milliseconds },
   ): boolean {
-    const held = this.state.answers.get(host);
+    const held = this.state.replies.get(host);
     if (held === undefined) return false;
     if (held.sentAt + this.#options.leaseMs <= now) return false;
     return (held.answer.supported ?? -Infinity) > view.version;
   }
 
   #forget(now: Milliseconds): void {
-    const { retired, answers, granted } = this.state;
+    const { retired, replies: answers, granted } = this.state;
     const targets = this.targets();
     const oldest = now - this.#options.leaseMs;
     for (const [host, { sentAt }] of answers) {
@@ -337,22 +337,25 @@
   #hasHeardEnough(view: View): boolean {
     const heard = view.hosts.filter((host) => this.#hasHeard(host));
     const joined = heard.filter((host) =>
-      this.state.answers.get(host)!.answer.isJoined
+      this.state.replies.get(host)!.answer.isJoined
     );
     return heard.length === view.hosts.length ||
-      joined.length >= majorityOf(view);
+      joined.length >= majoritySize(view);
   }
 
   #hasHeard(host: HostId): boolean {
-    const held = this.state.answers.get(host);
-    return held !== undefined && this.areForgottenLeasesOver(held.sentAt);
+    const held = this.state.replies.get(host);
+    return held !== undefined && this.haveForgottenLeasesExpired(held.sentAt);
   }
 
   #notePassed(): void {
-    const { state, newest } = this;
-    const isNoted = state.passed[0]?.version === newest?.version;
+    const { state, newestView: newest } = this;
+    const isNoted = state.viewsSinceActive[0]?.version === newest?.version;
     if (newest === undefined || isNoted) return;
-    state.passed = [newest, ...state.passed].slice(0, MAX_TENURES);
+    state.viewsSinceActive = [newest, ...state.viewsSinceActive].slice(
+      0,
+      MAX_TENURES,
+    );
   }
 
   /**
@@ -363,7 +366,7 @@
   #enter(view: View, now: Milliseconds): void {
     const { state } = this;
     const active = state.tenures[0]?.view.version;
-    const passed = state.passed.filter(({ version }) =>
+    const passed = state.viewsSinceActive.filter(({ version }) =>
       version !== view.version && version !== active
     );
     const former = state.tenures[0]?.view;
@@ -385,11 +388,11 @@
   /** Whether a majority testifies that no other host acted since this one last did. */
   #isUnbroken(counted: View, view: View): boolean {
     const witnesses = counted.hosts.filter((host) => {
-      const answer = this.state.answers.get(host)?.answer;
+      const answer = this.state.replies.get(host)?.answer;
       return answer?.granted === view.version &&
         answer.unbrokenSince! <= this.state.activeSerial;
     });
-    return witnesses.length >= majorityOf(counted);
+    return witnesses.length >= majoritySize(counted);
   }
 
   #renumber(former: View, view: View): void {
@@ -404,10 +407,10 @@
       const version = renumbered(lease.version)!;
       state.granted.set(host, { ...lease, version });
     }
-    for (const [host, { answer, sentAt }] of state.answers) {
+    for (const [host, { answer, sentAt }] of state.replies) {
       const granted = renumbered(answer.granted);
       const supported = renumbered(answer.supported);
-      state.answers.set(host, {
+      state.replies.set(host, {
         answer: { ...answer, granted, supported },
         sentAt,
       });
@@ -424,13 +427,13 @@
     retired: new Set(),
     isJoined: false,
     supported: undefined,
-    period: 0,
+    supportPeriod: 0,
     granted: new Map(),
-    answers: new Map(),
+    replies: new Map(),
     serial: 0,
     sentAt: new Map(),
     tenures: [],
-    passed: [],
+    viewsSinceActive: [],
     activeSerial: 0,
     activeUntil: -Infinity,
   };
--- a/packages/coordination/src/views.ts
+++ b/packages/coordination/src/views.ts
@@ -27,7 +27,7 @@
 }
 
 /** What a granter says to a {@link LeaseRequest}. */
-export interface LeaseAnswer {
+export interface LeaseReply {
   readonly serial: number;
   /** Who asked; a successor that counts its requests anew must not take the answer for its own. */
   readonly asker: Incarnation;
@@ -56,7 +56,7 @@
 }
 
 /** What this host may act for at present. */
-export interface Activity {
+export interface ActiveView {
   readonly view: View;
   /** On the monotonic clock; the view is not active from then on. */
   readonly until: Milliseconds;
@@ -65,7 +65,7 @@
 }
 
 /** The view of a host list: its live hosts, or a bounded choice among them. */
-export function viewOf(list: HostList): View {
+export function viewOfHostList(list: HostList): View {
   const hosts = list.entryHosts
     .filter(({ state }) => state === "live")
     .map(({ host }) => host);
@@ -82,7 +82,7 @@
 }
 
 /** How many hosts of a view are more than half of them. */
-export function majorityOf(view: View): number {
+export function majoritySize(view: View): number {
   return Math.floor(view.hosts.length / 2) + 1;
 }
 
--- a/packages/coordination/src/webSocketLink.ts
+++ b/packages/coordination/src/webSocketLink.ts
@@ -22,10 +22,10 @@
 } from "@wasabivane/common";
 import { err, ok, type Result } from "neverthrow";
 import { type WebSocket, WebSocketServer } from "ws";
-import { InboundPeer } from "./inboundPeer.ts";
+import { InboundConnection } from "./inboundConnection.ts";
 import type { LinkIdentity } from "./linkIdentity.ts";
 import { LinkSubscriptions } from "./linkSubscriptions.ts";
-import { channelBindingOf, OutboundPeer } from "./outboundPeer.ts";
+import { channelBindingOf, OutboundConnection } from "./outboundConnection.ts";
 import { MAX_FRAME_BYTES, PeerCodec } from "./peerMessages.ts";
 
 /** What a {@link WebSocketLink} needs. */
@@ -55,7 +55,7 @@
   readonly #options: WebSocketLinkOptions;
   readonly #codec = new PeerCodec();
   readonly #subscriptions = new LinkSubscriptions();
-  readonly #outbound = new Map<HostId, OutboundPeer>();
+  readonly #outbound = new Map<HostId, OutboundConnection>();
   readonly #inbound = new Set<WebSocket>();
   readonly #identity: LinkIdentity;
   #addresses: ReadonlyMap<HostId, string>;
@@ -155,13 +155,13 @@
     this.#server?.close();
   }
 
-  #peer(host: HostId): OutboundPeer | undefined {
+  #peer(host: HostId): OutboundConnection | undefined {
     const known = this.#outbound.get(host);
     if (known !== undefined) return known;
     const address = this.#addresses.get(host);
     if (address === undefined) return undefined;
     const { timer, metrics } = this.#options;
-    const peer = new OutboundPeer({
+    const peer = new OutboundConnection({
       peer: host,
       address,
       identity: this.#identity,
@@ -177,7 +177,7 @@
     const { timer, metrics } = this.#options;
     this.#inbound.add(socket);
     socket.on("close", () => this.#inbound.delete(socket));
-    const peer = new InboundPeer({
+    const peer = new InboundConnection({
       socket,
       channelBinding: channelBindingOf(request.socket as TLSSocket),
       identity: this.#identity,
@@ -187,6 +187,6 @@
       deliver: (from, message) => this.#subscriptions.deliver(from, message),
     });
     socket.on("message", (data) => peer.receive(data as Buffer));
-    peer.challenge();
+    peer.sendChallenge();
   }
 }
--- a/packages/coordination/tests/helpers/hostTimer.ts
+++ b/packages/coordination/tests/helpers/hostTimer.ts
@@ -7,7 +7,7 @@
 } from "@wasabivane/common";
 
 /** The virtual time that all hosts of a test share. */
-export class WorldTimer extends VirtualTimer {}
+export class SharedTimer extends VirtualTimer {}
 
 /**
  * One host's clocks and timers over the shared time. Calls that come due while
--- a/packages/coordination/tests/helpers/jobFleet.ts
+++ b/packages/coordination/tests/helpers/jobFleet.ts
@@ -18,12 +18,12 @@
 } from "@wasabivane/common";
 import {
   type Job,
-  type JobAnswer,
   JobController,
   type JobControllerOptions,
   type JobDispatch,
   type JobMember,
-  type JobOffer,
+  type JobResponse,
+  type JobSubmission,
   type MemoryLink,
   MemoryNetwork,
 } from "@wasabivane/coordination";
@@ -37,7 +37,7 @@
 export const DETECTION_MS = 3_000;
 
 /** The client account of the tests. */
-export const LAWYER = asId<ClientAccountId>("lawyer");
+export const ACCOUNT = asId<ClientAccountId>("lawyer");
 
 /** One start of an entry host's process. */
 export interface JobHost {
@@ -188,12 +188,12 @@
   }
 
   /** Lets long times pass quickly, a quarter of a second at once. */
-  pass(span: Milliseconds): Promise<void> {
+  advanceCoarsely(span: Milliseconds): Promise<void> {
     return advance(this.timer, span, { grain: 250 });
   }
 
   /** Offers a job at a host and waits for the outcome. */
-  async accept(host: HostId, offer: Partial<JobOffer> = {}): Promise<Job> {
+  async accept(host: HostId, offer: Partial<JobSubmission> = {}): Promise<Job> {
     const accepting = this.hosts.get(host)!.controller.accept(
       this.offer(offer),
     );
@@ -201,9 +201,9 @@
     return (await accepting)._unsafeUnwrap();
   }
 
-  offer(offer: Partial<JobOffer> = {}): JobOffer {
+  offer(offer: Partial<JobSubmission> = {}): JobSubmission {
     return {
-      account: LAWYER,
+      account: ACCOUNT,
       service: asId<ServiceId>("drafter"),
       tier: asTier(4),
       method: "POST",
@@ -221,14 +221,14 @@
   }
 
   /** A host that is no member of the job. */
-  strangerTo(job: Job): HostId {
+  nonMemberOf(job: Job): HostId {
     const members = this.membersOf(job);
     return [...this.hosts.keys()].find((host) => !members.includes(host))!;
   }
 
   /** What a host tells a caller about a job. */
   async statusAt(host: HostId, job: Job): Promise<string> {
-    const asking = this.hosts.get(host)!.controller.lookUp(job.id, LAWYER);
+    const asking = this.hosts.get(host)!.controller.lookUp(job.id, ACCOUNT);
     await this.advance(1_100);
     const result = await asking;
     if (result.isErr()) return result.error.kind;
@@ -320,10 +320,14 @@
 }
 
 /** A whole answer. */
-export const WHOLE: JobAnswer = {
+export const WHOLE: JobResponse = {
   ending: "whole",
   status: 200,
   headers: {},
   body: Buffer.from("reviewed"),
 };
-const LOST: JobAnswer = { ...WHOLE, ending: "unknown", body: Buffer.from("") };
+const LOST: JobResponse = {
+  ...WHOLE,
+  ending: "unknown",
+  body: Buffer.from(""),
+};
--- a/packages/coordination/tests/helpers/keyFaults.ts
+++ b/packages/coordination/tests/helpers/keyFaults.ts
@@ -10,8 +10,8 @@
 import {
   type ClaimOutcome,
   HOST_LIST,
+  MAX_CALLER_CLOCK_SKEW_MS,
   type OwnedKey,
-  SKEW_BOUND_MS,
 } from "@wasabivane/coordination";
 import { advance } from "./asyncTime.ts";
 import { bareKey, claimOf, DISPATCH } from "./keys.ts";
@@ -106,14 +106,14 @@
       this.#at(this.#random.float() * FAULTY_MS, this.#drawFault());
     }
     for (let call = 0; call < CALLS; call++) this.#scheduleCall();
-    await advance(fleet.world, SETTLE_MS + FAULTY_MS);
+    await advance(fleet.sharedTimer, SETTLE_MS + FAULTY_MS);
     fleet.network.heal();
-    await advance(fleet.world, 30_000);
+    await advance(fleet.sharedTimer, 30_000);
     this.#judge();
   }
 
   #at(delay: Milliseconds, action: () => void): void {
-    this.#fleet.world.after(SETTLE_MS + delay, action);
+    this.#fleet.sharedTimer.after(SETTLE_MS + delay, action);
   }
 
   #drawFault(): () => void {
@@ -136,7 +136,7 @@
   ): void {
     if (!this.#fleet.hosts.has(host)) return;
     this.#fleet.kill(host);
-    this.#fleet.world.after(length, () => {
+    this.#fleet.sharedTimer.after(length, () => {
       const skewMs = (share - 0.5) * 2 * HOST_SKEW_SPREAD_MS;
       this.#fleet.start(host, { skewMs, list: this.#someList(share) });
     });
@@ -146,7 +146,7 @@
     const paused = this.#fleet.hosts.get(host);
     if (paused === undefined) return;
     this.#fleet.pause(host);
-    this.#fleet.world.after(length, () => {
+    this.#fleet.sharedTimer.after(length, () => {
       paused.timer.resume();
       paused.link.resume();
     });
@@ -158,7 +158,7 @@
       this.#place(left, share) - this.#place(right, share)
     );
     this.#fleet.network.partition([order.slice(0, cut), order.slice(cut)]);
-    this.#fleet.world.after(length, () => this.#fleet.network.heal());
+    this.#fleet.sharedTimer.after(length, () => this.#fleet.network.heal());
   }
 
   #place(host: HostId, share: number): number {
@@ -193,7 +193,7 @@
 
   #scheduleCall(): void {
     const at = this.#random.float() * FAULTY_MS;
-    const skew = (this.#random.float() * 2 - 1) * SKEW_BOUND_MS;
+    const skew = (this.#random.float() * 2 - 1) * MAX_CALLER_CLOCK_SKEW_MS;
     const entries = Array.from(
       { length: MAX_ATTEMPTS },
       () => this.#random.pick(this.#names),
@@ -203,7 +203,7 @@
     const givesUp = entries.map(() => this.#random.float() < GIVE_UP_SHARE);
     const chance = new SeededRandom(this.#random.int(2 ** 30));
     this.#at(at, () => {
-      const issuedAt = this.#fleet.world.wallNow() + skew;
+      const issuedAt = this.#fleet.sharedTimer.wallNow() + skew;
       const key = this.#kind === "bare"
         ? bareKey(issuedAt, chance)
         : this.#fleet.hosts.get(entries[0]!)?.keys.mintTicket(ACCOUNT);
@@ -212,7 +212,7 @@
       this.#calls.push(call);
       let delay = 0;
       entries.forEach((entry, index) => {
-        this.#fleet.world.after(delay, () => {
+        this.#fleet.sharedTimer.after(delay, () => {
           const wait = waits[index]!;
           void this.#attempt(call, entry, { wait, givesUp: givesUp[index]! });
         });
--- a/packages/coordination/tests/helpers/keys.ts
+++ b/packages/coordination/tests/helpers/keys.ts
@@ -45,9 +45,9 @@
   home: HostId,
   { account = "oyako" } = {},
 ): ClaimRequest {
-  const view = fleet.at(home).views.newest()!;
+  const view = fleet.at(home).views.newestView()!;
   while (true) {
-    const key = bareKey(fleet.world.wallNow(), fleet.random);
+    const key = bareKey(fleet.sharedTimer.wallNow(), fleet.random);
     if (homeOf(key, view) === home) return claimOf(key, { account });
   }
 }
--- a/packages/coordination/tests/helpers/memberFleet.ts
+++ b/packages/coordination/tests/helpers/memberFleet.ts
@@ -10,7 +10,6 @@
 } from "@wasabivane/common";
 import {
   createIncarnation,
-  FLEET_SHARE,
   HOST_LIST,
   KeyService,
   type Member,
@@ -18,9 +17,10 @@
   MembershipController,
   type MemoryLink,
   MemoryNetwork,
+  REACHABLE_SHARE,
   ViewController,
 } from "@wasabivane/coordination";
-import { HostTimer, WorldTimer } from "./hostTimer.ts";
+import { HostTimer, SharedTimer } from "./hostTimer.ts";
 
 const DOMAINS = ["hakata", "tenjin", "momochi"];
 
@@ -72,7 +72,7 @@
 
 /** Membership controllers of several hosts over one in-memory network. */
 export class MemberFleet {
-  readonly world = new WorldTimer();
+  readonly sharedTimer = new SharedTimer();
   readonly random: SeededRandom;
   readonly network: MemoryNetwork;
   readonly hosts = new Map<HostId, FleetHost>();
@@ -81,7 +81,7 @@
   constructor({ size = 8, seed = 1 } = {}) {
     this.random = new SeededRandom(seed);
     this.network = new MemoryNetwork({
-      timer: this.world,
+      timer: this.sharedTimer,
       random: this.random,
       jitterMs: 2,
     });
@@ -98,7 +98,7 @@
     host: HostId,
     { skewMs = 0, list = this.list }: StartOptions = {},
   ): FleetHost {
-    const timer = new HostTimer(this.world, { skewMs });
+    const timer = new HostTimer(this.sharedTimer, { skewMs });
     const blackboard = new Blackboard();
     const link = this.network.join(host);
     const metrics = new MemoryMetrics();
@@ -179,7 +179,7 @@
   }
 
   advance(span: Milliseconds): void {
-    this.world.advance(span);
+    this.sharedTimer.advance(span);
   }
 
   at(host: HostId): FleetHost {
@@ -193,6 +193,6 @@
   }
 
   shareAt(observer: HostId): number {
-    return this.at(observer).blackboard.read(FLEET_SHARE);
+    return this.at(observer).blackboard.read(REACHABLE_SHARE);
   }
 }
--- a/packages/coordination/tests/jobFaults.test.ts
+++ b/packages/coordination/tests/jobFaults.test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import type { HostId, SeededRandom } from "@wasabivane/common";
 import type { Job } from "@wasabivane/coordination";
-import { JobFleet, LAWYER } from "./helpers/jobFleet.ts";
+import { ACCOUNT, JobFleet } from "./helpers/jobFleet.ts";
 
 const SEEDS = 10;
 const EVENTS = 14;
@@ -18,7 +18,7 @@
   else if (kind === 3) await fleet.partition(split(hosts, random));
   else if (kind === 4) fleet.heal();
   else if (isPaused) fleet.wake(host);
-  await fleet.pass(random.int(20_000));
+  await fleet.advanceCoarsely(random.int(20_000));
   fleet.refreshMembers();
 }
 
@@ -41,7 +41,7 @@
     { length: 4 },
     () => random.pick(awake).controller.accept(fleet.offer()),
   );
-  await fleet.pass(3_500);
+  await fleet.advanceCoarsely(3_500);
   const settled = await Promise.all(
     accepting.map((one) => Promise.race([one, Promise.resolve(undefined)])),
   );
@@ -50,8 +50,8 @@
 
 async function statusOf(fleet: JobFleet, job: Job): Promise<string> {
   const [first] = fleet.hosts.values();
-  const asking = first!.controller.lookUp(job.id, LAWYER);
-  await fleet.pass(1_500);
+  const asking = first!.controller.lookUp(job.id, ACCOUNT);
+  await fleet.advanceCoarsely(1_500);
   const result = await asking;
   if (result.isErr()) return result.error.kind;
   const status = result.value;
@@ -85,7 +85,7 @@
     fleet.refreshMembers();
     fleet.isDispatching = true;
     fleet.refusedShare = 0;
-    await fleet.pass(700_000);
+    await fleet.advanceCoarsely(700_000);
     for (const job of jobs) {
       const status = await statusOf(fleet, job);
       const times = fleet.timesDispatched(job);
--- a/packages/coordination/tests/jobs.test.ts
+++ b/packages/coordination/tests/jobs.test.ts
@@ -23,7 +23,7 @@
   const job = await fleet.accept(FIRST);
   fleet.isDispatching = true;
   await fleet.advance(1_000);
-  const stranger = fleet.strangerTo(job);
+  const stranger = fleet.nonMemberOf(job);
   t.is(await fleet.statusAt(stranger, job), "whole");
   const { controller } = fleet.hosts.get(stranger)!;
   const other = controller.lookUp(job.id, asId<ClientAccountId>("rival"));
@@ -88,7 +88,7 @@
   const fleet = new JobFleet({ size: 4 });
   const job = await fleet.accept(FIRST);
   const [, second, third] = fleet.membersOf(job);
-  const stranger = fleet.strangerTo(job);
+  const stranger = fleet.nonMemberOf(job);
   await fleet.partition([[FIRST, second!, stranger], [third!]]);
   await fleet.advance(3_000);
   fleet.heal();
@@ -109,7 +109,7 @@
   const job = await fleet.accept(FIRST);
   await fleet.pause(FIRST);
   fleet.isDispatching = true;
-  await fleet.pass(3_600_000);
+  await fleet.advanceCoarsely(3_600_000);
   t.is(fleet.timesDispatched(job), 1);
   fleet.wake(FIRST);
   await fleet.advance(10_000);
@@ -128,7 +128,7 @@
   await fleet.kill(FIRST);
   fleet.isDispatching = true;
   await fleet.advance(10_000);
-  t.is(await fleet.statusAt(fleet.strangerTo(job), job), "whole");
+  t.is(await fleet.statusAt(fleet.nonMemberOf(job), job), "whole");
   t.is(fleet.timesDispatched(job), 1);
 });
 
@@ -142,12 +142,12 @@
   await fleet.advance(20);
   t.is(await refused, "refused");
   await fleet.advance(20);
-  t.is(await fleet.statusAt(fleet.strangerTo(job), job), "waiting");
+  t.is(await fleet.statusAt(fleet.nonMemberOf(job), job), "waiting");
   fleet.refusedShare = 0;
   await fleet.kill(FIRST);
   fleet.isDispatching = true;
   await fleet.advance(6_000);
-  t.is(await fleet.statusAt(fleet.strangerTo(job), job), "whole");
+  t.is(await fleet.statusAt(fleet.nonMemberOf(job), job), "whole");
   t.is(fleet.timesDispatched(job), 1);
 });
 
@@ -166,7 +166,7 @@
   await fleet.kill(FIRST);
   fleet.isDispatching = true;
   await fleet.advance(10_000);
-  t.is(await fleet.statusAt(fleet.strangerTo(job), job), "unknown");
+  t.is(await fleet.statusAt(fleet.nonMemberOf(job), job), "unknown");
   t.is(fleet.timesDispatched(job), 0);
 });
 
@@ -262,7 +262,7 @@
   t.true((await withdrawing).isOk());
   fleet.isDispatching = true;
   await fleet.advance(1_000);
-  t.is(await fleet.statusAt(fleet.strangerTo(job), job), "not-run");
+  t.is(await fleet.statusAt(fleet.nonMemberOf(job), job), "not-run");
   t.is(fleet.timesDispatched(job), 0);
 });
 
@@ -361,5 +361,5 @@
   await fleet.advance(100);
   controller.recordFinished(job.id, WHOLE);
   await fleet.advance(100);
-  t.is(await fleet.statusAt(fleet.strangerTo(job), job), "whole");
+  t.is(await fleet.statusAt(fleet.nonMemberOf(job), job), "whole");
 });
--- a/packages/coordination/tests/keyService.test.ts
+++ b/packages/coordination/tests/keyService.test.ts
@@ -6,8 +6,8 @@
 } from "@wasabivane/common";
 import {
   KEY_LIFETIME_MS,
+  MAX_CALLER_CLOCK_SKEW_MS,
   RELEASE_GRACE_MS,
-  SKEW_BOUND_MS,
   TENURE_MARGIN_MS,
 } from "@wasabivane/coordination";
 import {
@@ -93,7 +93,7 @@
   const fleet = settledFleet();
   const request = keyWithHome(fleet, A);
   const owned = await ownAt(fleet, B, request);
-  fleet.network.cutDirection(B, A);
+  fleet.network.blockDirection(B, A);
   const released = fleet.at(B).keys.release(owned);
   fleet.advance(2_000);
   t.false(await released);
@@ -150,7 +150,7 @@
   const outcome = await claimAt(fleet, C, request);
   t.deepEqual(outcome, { kind: "unknown", reason: "older-than-tenure" });
   t.true(fleet.at(B).keys.markDispatched(owned, DISPATCH));
-  const key = bareKey(fleet.world.wallNow(), fleet.random);
+  const key = bareKey(fleet.sharedTimer.wallNow(), fleet.random);
   await ownAt(fleet, C, claimOf(key));
 });
 
@@ -169,7 +169,7 @@
   const request = keyWithHome(fleet, A);
   fleet.publish({ ...fleet.list, version: 2 }, [A, B]);
   fleet.advance(100);
-  t.truthy(fleet.at(A).views.activity());
+  t.truthy(fleet.at(A).views.activeView());
   await ownAt(fleet, C, request);
 });
 
@@ -219,7 +219,7 @@
   for (const host of [A, B, C, D]) {
     const refused = { kind: "not-run", reason: "malformed" } as const;
     t.deepEqual(await claimAt(fleet, host, text), refused);
-    const early = fleet.world.wallNow() + 2 * SKEW_BOUND_MS;
+    const early = fleet.sharedTimer.wallNow() + 2 * MAX_CALLER_CLOCK_SKEW_MS;
     const request = claimOf(bareKey(early, fleet.random));
     const refusedEarly = { kind: "not-run", reason: "issued-in-future" };
     t.deepEqual(await claimAt(fleet, host, request), refusedEarly);
--- a/packages/coordination/tests/membership.test.ts
+++ b/packages/coordination/tests/membership.test.ts
@@ -1,5 +1,9 @@
 import test from "ava";
-import { DEAD_MS, HEARTBEAT_MS, HOST_LIST } from "@wasabivane/coordination";
+import {
+  DEAD_TIMEOUT_MS,
+  HEARTBEAT_PERIOD_MS,
+  HOST_LIST,
+} from "@wasabivane/coordination";
 import { createList, hostName, MemberFleet } from "./helpers/memberFleet.ts";
 
 const A = hostName(1);
@@ -8,7 +12,7 @@
 const SUSPECTED_MS = 1_900;
 const SETTLE_MS = 2_000;
 /** Silence, one tick and the way of the news. */
-const NOTICED_MS = DEAD_MS + 300;
+const NOTICED_MS = DEAD_TIMEOUT_MS + 300;
 
 test("a dead host is suspect first and dead after three seconds", (t) => {
   const fleet = new MemberFleet();
@@ -89,7 +93,7 @@
     fleet.advance(10_000);
     const bytes = (fleet.network.sentBytes - before) / 10 / size;
     fleet.kill(B);
-    fleet.advance(NOTICED_MS + HEARTBEAT_MS);
+    fleet.advance(NOTICED_MS + HEARTBEAT_PERIOD_MS);
     for (const host of fleet.hosts.keys()) {
       t.is(fleet.memberAt(host, B)?.state, "dead");
       t.is(fleet.shareAt(host), (size - 1) / size);
--- a/packages/coordination/tests/pool.test.ts
+++ b/packages/coordination/tests/pool.test.ts
@@ -12,11 +12,11 @@
   VirtualTimer,
 } from "@wasabivane/common";
 import {
-  keeperOf,
+  coordinatorOf,
   type MemoryLink,
   MemoryNetwork,
   PoolClient,
-  PoolKeeper,
+  PoolCoordinator,
   type PoolMember,
 } from "@wasabivane/coordination";
 import {
@@ -52,7 +52,7 @@
   readonly blackboard: Blackboard;
   readonly link: MemoryLink;
   readonly client: PoolClient;
-  readonly keeper: PoolKeeper;
+  readonly keeper: PoolCoordinator;
 }
 
 class Fleet {
@@ -80,16 +80,16 @@
     };
     const client: PoolClient = new PoolClient({
       ...common,
-      localKeeper: () => keeper,
+      localCoordinator: () => keeper,
     });
-    const keeper: PoolKeeper = new PoolKeeper({
+    const keeper: PoolCoordinator = new PoolCoordinator({
       ...common,
-      fleetShare: SHARE,
+      reachableShare: SHARE,
       policyOf: () => POLICY,
       createScheduler: (_service, policy) =>
         new LeastOutstandingScheduler(policy, { random: new SeededRandom(2) }),
-      decideLocally: (service, decision) =>
-        client.decideLocally(service, decision),
+      onLocalDecision: (service, decision) =>
+        client.applyLocalDecision(service, decision),
     });
     client.start();
     keeper.start();
@@ -112,7 +112,7 @@
 
   keeper(): HostId {
     const [first] = this.hosts.values();
-    return keeperOf(SERVICE, first!.blackboard.read(MEMBERS))!.host;
+    return coordinatorOf(SERVICE, first!.blackboard.read(MEMBERS))!.host;
   }
 
   other(host: HostId): HostId {
--- a/packages/coordination/tests/stop.test.ts
+++ b/packages/coordination/tests/stop.test.ts
@@ -20,14 +20,14 @@
   const slots = new StopSlots({ self: b, domain });
   const neighbour = { host: a, failureDomain: domain, state: "alive" } as const;
   slots.setMembers([{ ...neighbour, incarnation: "old" }], 0);
-  const { clock } = slots.ask();
-  slots.takeGrant({ host: a, incarnation: "old", clock }, 0);
-  t.true(slots.answer({ host: a, incarnation: "new", clock }, 0));
-  t.false(slots.tryHold(1, 0));
-  slots.takeGrant({ host: a, incarnation: "old", clock }, 0);
-  t.false(slots.tryHold(1, 0));
-  slots.takeGrant({ host: a, incarnation: "new", clock }, 0);
-  t.true(slots.tryHold(1, 0));
+  const { clock } = slots.request();
+  slots.applyGrant({ host: a, incarnation: "old", clock }, 0);
+  t.true(slots.handleRequest({ host: a, incarnation: "new", clock }, 0));
+  t.false(slots.tryAcquire(1, 0));
+  slots.applyGrant({ host: a, incarnation: "old", clock }, 0);
+  t.false(slots.tryAcquire(1, 0));
+  slots.applyGrant({ host: a, incarnation: "new", clock }, 0);
+  t.true(slots.tryAcquire(1, 0));
 });
 
 test("a stop goes through its phases and waits for running answers", async (t) => {
--- a/packages/coordination/tests/suspicions.test.ts
+++ b/packages/coordination/tests/suspicions.test.ts
@@ -14,21 +14,21 @@
 import type { PoisonRecord } from "@wasabivane/decisions";
 import {
   MemoryNetwork,
-  type ServiceSuspicions,
-  type SharedSuspicion,
-  SuspicionBook,
-  SuspicionController,
-  type SuspicionMember,
+  PoisonRecordController,
+  type PoisonRecordMember,
+  PoisonRecordTable,
+  type ServicePoisonRecords,
+  type SharedPoisonRecord,
 } from "@wasabivane/coordination";
 import { hostName } from "./helpers/configurationFleet.ts";
 
-const MEMBERS = createTopic<readonly SuspicionMember[]>("members", []);
+const MEMBERS = createTopic<readonly PoisonRecordMember[]>("members", []);
 const DRAFTER = asId<ServiceId>("drafter");
 const POISON = asId<Digest>("poison");
 
 interface Host {
   readonly learned: PoisonRecord[];
-  readonly absorbed: ServiceSuspicions[];
+  readonly absorbed: ServicePoisonRecords[];
   readonly metrics: MemoryMetrics;
 }
 
@@ -50,7 +50,7 @@
       metrics: new MemoryMetrics(),
     };
     hosts.set(host, started);
-    new SuspicionController({
+    new PoisonRecordController({
       blackboard,
       link: network.join(host),
       timer,
@@ -61,7 +61,7 @@
         service: DRAFTER,
         suspicions: started.learned.splice(0),
       }],
-      absorb: (suspicions) => started.absorbed.push(suspicions),
+      importPoisonRecords: (suspicions) => started.absorbed.push(suspicions),
     }).start();
     blackboard.write(
       MEMBERS,
@@ -132,7 +132,7 @@
 const shared = fc.record({
   service: fc.constant(DRAFTER),
   subject: fc.constantFrom(POISON, asId<Digest>("other")),
-  kind: fc.constantFrom<SharedSuspicion["kind"]>(
+  kind: fc.constantFrom<SharedPoisonRecord["kind"]>(
     "suspect",
     "cleared",
     "convicted",
@@ -142,8 +142,8 @@
 
 test("books agree whatever order and how often they hear", (t) => {
   fc.assert(fc.property(fc.array(shared), (suspicions) => {
-    const forward = new SuspicionBook();
-    const backward = new SuspicionBook();
+    const forward = new PoisonRecordTable();
+    const backward = new PoisonRecordTable();
     forward.merge(suspicions, 0);
     backward.merge(suspicions.toReversed(), 0);
     backward.merge(suspicions, 0);
@@ -152,7 +152,7 @@
 });
 
 test("a book stays within its bound and drops what ends soonest", (t) => {
-  const book = new SuspicionBook({ maximum: 10 });
+  const book = new PoisonRecordTable({ maximum: 10 });
   for (let index = 0; index < 100; index++) {
     const subject = asId<Digest>(`content-${index}`);
     const remainingMs = 1_000 + index;
--- a/packages/coordination/tests/viewLease.test.ts
+++ b/packages/coordination/tests/viewLease.test.ts
@@ -7,7 +7,7 @@
 } from "@wasabivane/common";
 import {
   homeOf,
-  LEASE_MS,
+  LEASE_DURATION_MS,
   tenureStartOf,
   type View,
   ViewLease,
@@ -17,7 +17,7 @@
   asId<HostId>(name)
 ) as [HostId, HostId, HostId, HostId, HostId];
 /** Longer than a lease and its drift. */
-const PAST_LEASES_MS = LEASE_MS + 500;
+const PAST_LEASES_MS = LEASE_DURATION_MS + 500;
 const FIRST: View = { version: 1, hosts: [A, B, C] };
 const SECOND: View = { version: 2, hosts: [A, B, C, D] };
 const THIRD: View = { version: 3, hosts: FIRST.hosts };
@@ -27,7 +27,7 @@
   return new Map([A, B, C, D, E].map((host) => {
     const incarnation = asId<Incarnation>(`${host}-1`);
     const lease = new ViewLease({ host, incarnation, startedAt: -10_000 });
-    lease.learn(FIRST);
+    lease.addView(FIRST);
     lease.state.isJoined = true;
     return [host, lease];
   }));
@@ -42,8 +42,8 @@
   const lease = hosts.get(holder)!;
   const request = lease.nextRequest(now);
   for (const granter of granters) {
-    const answer = hosts.get(granter)!.answer(holder, request, now);
-    lease.take(granter, answer, now);
+    const answer = hosts.get(granter)!.handleRequest(holder, request, now);
+    lease.applyReply(granter, answer, now);
   }
 }
 
@@ -62,28 +62,28 @@
   const hosts = createHosts();
   const key = keyWithHomes([[FIRST, A], [SECOND, D], [THIRD, A]]);
   exchange(hosts, A, { granters: [A, B, C], now: 0 });
-  t.is(hosts.get(A)!.activity(0)?.view.version, 1);
-  for (const lease of hosts.values()) lease.learn(SECOND);
+  t.is(hosts.get(A)!.activeView(0)?.view.version, 1);
+  for (const lease of hosts.values()) lease.addView(SECOND);
   const second = PAST_LEASES_MS;
   exchange(hosts, A, { granters: [A, B], now: second });
-  t.is(hosts.get(A)!.activity(second), undefined);
+  t.is(hosts.get(A)!.activeView(second), undefined);
   exchange(hosts, D, { granters: [A, B, C, D], now: second });
-  t.is(hosts.get(D)!.activity(second)?.view.version, 2);
-  for (const lease of hosts.values()) lease.learn(THIRD);
+  t.is(hosts.get(D)!.activeView(second)?.view.version, 2);
+  for (const lease of hosts.values()) lease.addView(THIRD);
   const third = 2 * PAST_LEASES_MS;
   exchange(hosts, A, { granters: [A, B, C, D], now: third });
-  const { tenures } = hosts.get(A)!.activity(third)!;
+  const { tenures } = hosts.get(A)!.activeView(third)!;
   t.is(tenureStartOf(key, { host: A, tenures }), third);
 });
 
 test("a holder is active with a majority of the old and the new hosts only", (t) => {
   const hosts = createHosts();
   const jumped: View = { version: 4, hosts: [C, D, E] };
-  for (const lease of hosts.values()) lease.learn(jumped);
+  for (const lease of hosts.values()) lease.addView(jumped);
   exchange(hosts, D, { granters: [C, D, E], now: 0 });
-  t.is(hosts.get(D)!.activity(0), undefined);
+  t.is(hosts.get(D)!.activeView(0), undefined);
   exchange(hosts, D, { granters: [A, C, D, E], now: 0 });
-  t.is(hosts.get(D)!.activity(0)?.view.version, 4);
+  t.is(hosts.get(D)!.activeView(0)?.view.version, 4);
 });
 
 test("a granter keeps a lease from a second process of the same host", (t) => {
@@ -95,7 +95,7 @@
       incarnation: asId<Incarnation>(incarnation),
       views: [FIRST],
     };
-    return granter.answer(A, request, now).granted;
+    return granter.handleRequest(A, request, now).granted;
   };
   t.is(ask("a-1", 0), 1);
   t.is(ask("a-2", 100), undefined);
--- a/packages/proof/src/modelCheck.ts
+++ b/packages/proof/src/modelCheck.ts
@@ -1,8 +1,8 @@
 import { asId, type HostId, type IdempotencyKey } from "@wasabivane/common";
 import {
-  type ClaimAnswer,
+  type ClaimReply,
   homeOf,
-  type LeaseAnswer,
+  type LeaseReply,
   type LeaseRequest,
   type View,
 } from "@wasabivane/coordination";
@@ -191,7 +191,7 @@
         const isKnown = lease.views.has(version) || lease.retired.has(version);
         if (isKnown) continue;
         const next = this.#change(state, host, (process) => {
-          process.lease.learn(view);
+          process.lease.addView(view);
         });
         steps.push({ name: `${host} reads list ${version}`, next });
       }
@@ -245,7 +245,7 @@
       const request = lease.nextRequest(now);
       for (const target of lease.targets()) {
         if (target === host) {
-          lease.take(host, lease.answer(host, request, now), now);
+          lease.applyReply(host, lease.handleRequest(host, request, now), now);
         } else leaseMessages.set(`${host}>${target}`, request);
       }
     });
@@ -261,7 +261,7 @@
       leaseMessages.delete(way);
       const base = { ...state, leaseMessages };
       return "isJoined" in (message as object)
-        ? this.#takeAnswer(base, { from, to, answer: message as LeaseAnswer })
+        ? this.#takeAnswer(base, { from, to, answer: message as LeaseReply })
         : this.#takeRequest(base, {
           from,
           to,
@@ -275,9 +275,9 @@
     { from, to, request }: { from: HostId; to: HostId; request: LeaseRequest },
   ): Step {
     const now = state.tick * TICK_MS;
-    let answer: LeaseAnswer | undefined;
+    let answer: LeaseReply | undefined;
     const next = this.#change(state, to, ({ lease }) => {
-      answer = lease.answer(from, request, now);
+      answer = lease.handleRequest(from, request, now);
     });
     const name = `${to} hears ${from}`;
     if (!this.#bounds.hasSlowAnswers) {
@@ -294,10 +294,10 @@
 
   #takeAnswer(
     state: ModelState,
-    { from, to, answer }: { from: HostId; to: HostId; answer: LeaseAnswer },
+    { from, to, answer }: { from: HostId; to: HostId; answer: LeaseReply },
   ): Step {
     const next = this.#change(state, to, ({ lease }) => {
-      lease.take(from, answer, state.tick * TICK_MS);
+      lease.applyReply(from, answer, state.tick * TICK_MS);
     });
     return { name: `${to} gets the answer of ${from}`, next };
   }
@@ -319,7 +319,7 @@
     const claimMessages = new Map(state.claimMessages);
     if (left === 1) claimMessages.delete(claimId);
     else claimMessages.set(claimId, { ...message, left: left - 1 });
-    let answer: ClaimAnswer | undefined;
+    let answer: ClaimReply | undefined;
     const decided = this.#change(state, home, (process) => {
       answer = process.decide(claim, {
         isGone: (host, incarnation) =>
@@ -348,8 +348,11 @@
     });
     const claimMessages = new Map(state.claimMessages);
     const next = this.#change(issued, entry, ({ lease, owner }) => {
-      const home = homeOf(this.#key, lease.newest ?? this.#bounds.lists[0]!)!;
-      owner.begin(claim, home);
+      const home = homeOf(
+        this.#key,
+        lease.newestView ?? this.#bounds.lists[0]!,
+      )!;
+      owner.add(claim, home);
       const left = this.#bounds.claimDeliveries;
       claimMessages.set(claim.claimId, { claim, home, left });
     });
@@ -371,7 +374,7 @@
     answers.delete(way);
     let isGivenBack = false;
     const taken = this.#change({ ...state, answers }, to, ({ owner }) => {
-      isGivenBack = owner.take(claimId, answer, { from }) === "give-back";
+      isGivenBack = owner.applyReply(claimId, answer, { from }) === "give-back";
     });
     return isGivenBack ? this.#release(taken, { claimId, home: from }) : taken;
   }
@@ -420,7 +423,7 @@
     const now = state.tick * TICK_MS;
     let isWritten = false;
     const spent = this.#change(state, host, ({ owner }) => {
-      isWritten = owner.spend(claimId, now);
+      isWritten = owner.consumeGrant(claimId, now);
     });
     if (!isWritten) return spent;
     const { claim, home } = state.hosts.get(host)!.claims.get(claimId)!;
--- a/packages/proof/src/modelWorld.ts
+++ b/packages/proof/src/modelWorld.ts
@@ -11,12 +11,12 @@
 } from "@wasabivane/common";
 import {
   type Claim,
-  type ClaimAnswer,
+  type ClaimReply,
+  ClaimTable,
   homeOf,
-  KeyHome,
-  type KeyHomeOptions,
-  KeyOwner,
   type KeyRecord,
+  KeyTable,
+  type KeyTableOptions,
   type OwnClaim,
   tenureStartOf,
   type View,
@@ -33,13 +33,13 @@
 /** Which machines the model runs; tests replace one by a weaker one. */
 export interface ModelMachines {
   readonly createLease: (options: ViewLeaseOptions) => ViewLease;
-  readonly createHome: (options: KeyHomeOptions) => KeyHome;
+  readonly createHome: (options: KeyTableOptions) => KeyTable;
 }
 
 /** The machines as they ship. */
 export const SHIPPED_MACHINES: ModelMachines = {
   createLease: (options) => new ViewLease(options),
-  createHome: (options) => new KeyHome(options),
+  createHome: (options) => new KeyTable(options),
 };
 
 /** What may happen in one exploration; all counts are upper bounds. */
@@ -91,7 +91,7 @@
   >;
   readonly answers: Map<
     string,
-    { answer: ClaimAnswer; to: HostId; from: HostId }
+    { answer: ClaimReply; to: HostId; from: HostId }
   >;
   readonly issuedAt: number | undefined;
   readonly dispatches: number;
@@ -110,8 +110,8 @@
 /** Builds machines over one host's plain state. */
 export class ModelProcess {
   readonly lease: ViewLease;
-  readonly home: KeyHome;
-  readonly owner: KeyOwner;
+  readonly home: KeyTable;
+  readonly owner: ClaimTable;
   readonly #host: HostId;
   readonly #now: number;
 
@@ -139,12 +139,12 @@
       // a release can do at worst.
       releaseGraceMs: 0,
     });
-    this.owner = new KeyOwner({ claims: state.claims });
+    this.owner = new ClaimTable({ claims: state.claims });
   }
 
   /** Decides a claim as the key's home, as the controller does. */
-  decide(claim: Claim, { isGone }: { isGone: ClaimGone }): ClaimAnswer {
-    const activity = this.lease.activity(this.#now);
+  decide(claim: Claim, { isGone }: { isGone: ClaimGone }): ClaimReply {
+    const activity = this.lease.activeView(this.#now);
     const isHome = activity !== undefined &&
       homeOf(claim.key, activity.view) === this.#host;
     if (!isHome) return { kind: "unknown", reason: "home-inactive" };
@@ -152,7 +152,7 @@
     return this.home.claim(claim, {
       wallNow: this.#now,
       tenureStartedAt: tenureStartOf(claim.key, { host: this.#host, tenures }),
-      isGone,
+      isTerminated: isGone,
     });
   }
 }
@@ -208,7 +208,7 @@
     incarnation: asId<Incarnation>(String(incarnation)),
     startedAt,
   });
-  if (firstView !== undefined) lease.learn(firstView);
+  if (firstView !== undefined) lease.addView(firstView);
   lease.state.isJoined = isJoined;
   const records = new Map();
   const claims = new Map();
@@ -225,7 +225,7 @@
       views: new Map(lease.views),
       retired: new Set(lease.retired),
       granted: new Map(lease.granted),
-      answers: new Map(lease.answers),
+      replies: new Map(lease.replies),
       sentAt: new Map(lease.sentAt),
     },
     records: new Map(
--- a/packages/proof/src/registerCheck.ts
+++ b/packages/proof/src/registerCheck.ts
@@ -1,19 +1,19 @@
 import { asId, type HostId } from "@wasabivane/common";
 import {
-  type Acceptor,
-  answerRequest,
-  type Attempt,
+  type AcceptorState,
+  applyRegisterReply,
   type Ballot,
   type Epoch,
+  handleRegisterRequest,
   type MemberId,
   memberId,
+  pendingRequest,
+  type ProposerState,
   type RegisterReply,
   type RegisterRequest,
   type RegisterValue,
-  requestOf,
-  startAsHolder,
-  startAttempt,
-  takeReply,
+  startHolderProposal,
+  startProposal,
 } from "@wasabivane/coordination";
 
 /**
@@ -27,16 +27,16 @@
  * the runs. The functions are those that the entry hosts run.
  */
 export interface RegisterRules {
-  readonly answerRequest: typeof answerRequest;
-  readonly takeReply: typeof takeReply;
+  readonly answerRequest: typeof handleRegisterRequest;
+  readonly takeReply: typeof applyRegisterReply;
   /** Whether the holder may use its own round twice with other values. */
   readonly canRepeatHolderRound: boolean;
 }
 
 /** The rules as they are. */
 export const REGISTER_RULES: RegisterRules = {
-  answerRequest,
-  takeReply,
+  answerRequest: handleRegisterRequest,
+  takeReply: applyRegisterReply,
   canRepeatHolderRound: false,
 };
 
@@ -74,7 +74,7 @@
 
 /** A member with the replies that it ever gave and that still matter. */
 interface Member {
-  readonly acceptor: Acceptor;
+  readonly acceptor: AcceptorState;
   readonly replies: readonly number[];
 }
 
@@ -137,7 +137,7 @@
   readonly #maximumAttempts: readonly number[];
   readonly #maximumStates: number;
   readonly #members = new Interned<Member>();
-  readonly #attempts = new Interned<Attempt | null>();
+  readonly #attempts = new Interned<ProposerState | null>();
   readonly #requests = new Interned<Request>();
   readonly #replies = new Interned<Reply>();
   readonly #seen = new Set<string>();
@@ -227,7 +227,7 @@
     const holderRounds = state.holderRounds + 1;
     this.#propose({ ...state, holderRounds }, {
       proposer: 0,
-      attempt: startAsHolder(EPOCH, wish),
+      attempt: startHolderProposal(EPOCH, wish),
       label: `holder proposes ${wish.kind} in its own round`,
     });
   }
@@ -241,7 +241,7 @@
     const self = PROPOSERS[proposer]!;
     const highest = Math.max(former?.ballot.round ?? 0, former?.outbidBy ?? 0);
     const ballot = { round: highest + 1, proposer: self };
-    const attempt = startAttempt(EPOCH, { ballot, wish: moveTo(self) });
+    const attempt = startProposal(EPOCH, { ballot, wish: moveTo(self) });
     const next = { ...state, made: replaced(state.made, proposer, made + 1) };
     const label = `${self} prepares round ${ballot.round}`;
     this.#propose(next, { proposer, attempt, label });
@@ -251,12 +251,12 @@
     state: State,
     { proposer, attempt, label }: {
       proposer: number;
-      attempt: Attempt;
+      attempt: ProposerState;
       label: string;
     },
   ): void {
     const number = this.#attempts.numberOf(forgetful(attempt));
-    const content = requestOf(attempt);
+    const content = pendingRequest(attempt);
     const requests = content === undefined ? state.requests : withNumber(
       state.requests,
       this.#requests.numberOf({ from: proposer, content }),
@@ -425,7 +425,10 @@
 }
 
 /** Whether an attempt may still change by a reply of this kind. */
-function isAwaited(reply: RegisterReply, attempt: Attempt | null): boolean {
+function isAwaited(
+  reply: RegisterReply,
+  attempt: ProposerState | null,
+): boolean {
   if (attempt === null || keyOf(reply.ballot) !== keyOf(attempt.ballot)) {
     return false;
   }
@@ -434,7 +437,7 @@
 }
 
 /** The attempt without what it no longer looks at after a change of phase. */
-function forgetful(attempt: Attempt): Attempt {
+function forgetful(attempt: ProposerState): ProposerState {
   const { latest: _latest, ...rest } = attempt;
   return { ...rest, promises: [], acceptances: [] };
 }
--- a/packages/proof/src/scenarioRunner.ts
+++ b/packages/proof/src/scenarioRunner.ts
@@ -198,7 +198,7 @@
     },
     "cut": ({ from, to }) => {
       for (const peer of to as readonly HostId[]) {
-        this.#fleet.network.cutDirection(from as HostId, peer);
+        this.#fleet.network.blockDirection(from as HostId, peer);
       }
       this.#noteLinks("cut");
     },
--- a/packages/proof/src/slopePool.ts
+++ b/packages/proof/src/slopePool.ts
@@ -11,10 +11,10 @@
   VirtualTimer,
 } from "@wasabivane/common";
 import {
-  keeperOf,
+  coordinatorOf,
   MemoryNetwork,
   PoolClient,
-  PoolKeeper,
+  PoolCoordinator,
   type PoolMember,
 } from "@wasabivane/coordination";
 import { type PlacementRequest, PoolScheduler } from "@wasabivane/decisions";
@@ -109,7 +109,7 @@
     this.services = Array.from(
       { length: 100 },
       (_, index) => asId<ServiceId>(`model-${index}`),
-    ).filter((service) => keeperOf(service, members)?.host === HOSTS[1]);
+    ).filter((service) => coordinatorOf(service, members)?.host === HOSTS[1]);
     const [client] = HOSTS.map((host) => this.#start(host, members));
     this.#client = client!;
     timer.advance(SECOND);
@@ -129,7 +129,7 @@
         const { upstream } = decision;
         this.timer.after(
           FIRST_TOKEN_MS,
-          () => this.#client.firstToken(service, request),
+          () => this.#client.recordFirstToken(service, request),
         );
         this.timer.after(lengthMs, () =>
           this.#client.finish(service, {
@@ -155,16 +155,16 @@
     };
     const client: PoolClient = new PoolClient({
       ...shared,
-      localKeeper: () => keeper,
+      localCoordinator: () => keeper,
     });
-    const keeper = new PoolKeeper({
+    const keeper = new PoolCoordinator({
       ...shared,
-      fleetShare: FLEET_SHARE,
+      reachableShare: FLEET_SHARE,
       policyOf: () => slopePolicy(857, { accounts: TARGET.accounts }),
       createScheduler: (_service, policy) =>
         new PoolScheduler(policy, { random: new SeededRandom(2) }),
-      decideLocally: (service, decision) =>
-        client.decideLocally(service, decision),
+      onLocalDecision: (service, decision) =>
+        client.applyLocalDecision(service, decision),
     });
     client.start();
     keeper.start();
--- a/packages/proof/tests/modelCheck.test.ts
+++ b/packages/proof/tests/modelCheck.test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { KeyHome, ViewLease } from "@wasabivane/coordination";
+import { KeyTable, ViewLease } from "@wasabivane/coordination";
 import {
   checkModel,
   type ModelMachines,
@@ -9,25 +9,25 @@
 } from "@wasabivane/proof";
 
 class LeaseWithoutWait extends ViewLease {
-  protected override areFormerLeasesOver(): boolean {
+  protected override haveFormerLeasesExpired(): boolean {
     return true;
   }
 }
 
 class LeaseWithoutRestartWait extends ViewLease {
-  protected override areForgottenLeasesOver(): boolean {
+  protected override haveForgottenLeasesExpired(): boolean {
     return true;
   }
 }
 
-class HomeWithoutTenure extends KeyHome {
+class HomeWithoutTenure extends KeyTable {
   protected override isOlderThanTenure(): boolean {
     return false;
   }
 }
 
-class HomeWithoutExpiry extends KeyHome {
-  protected override isForgettable(): boolean {
+class HomeWithoutExpiry extends KeyTable {
+  protected override isPastLifetime(): boolean {
     return false;
   }
 }
--- a/packages/proof/tests/registerCheck.test.ts
+++ b/packages/proof/tests/registerCheck.test.ts
@@ -1,5 +1,8 @@
 import test from "ava";
-import { answerRequest, takeReply } from "@wasabivane/coordination";
+import {
+  applyRegisterReply,
+  handleRegisterRequest,
+} from "@wasabivane/coordination";
 import { checkRegister, REGISTER_RULES } from "@wasabivane/proof";
 
 test("no run of the register chooses two values", (t) => {
@@ -25,7 +28,7 @@
     rules: {
       ...REGISTER_RULES,
       answerRequest: ({ accepted }, request) =>
-        answerRequest(accepted ? { accepted } : {}, request),
+        handleRegisterRequest(accepted ? { accepted } : {}, request),
     },
   });
   t.truthy(report.violation);
@@ -39,10 +42,10 @@
       ...REGISTER_RULES,
       takeReply: (attempt, { from, reply }) => {
         if (reply.kind !== "promised") {
-          return takeReply(attempt, { from, reply });
+          return applyRegisterReply(attempt, { from, reply });
         }
         const { accepted: _accepted, ...blank } = reply;
-        return takeReply(attempt, { from, reply: blank });
+        return applyRegisterReply(attempt, { from, reply: blank });
       },
     },
   });
