--- a/packages/decisions/src/accountLimits.ts
+++ b/packages/decisions/src/accountLimits.ts
@@ -1,7 +1,7 @@
 import type { ClientAccountId, Milliseconds } from "@wasabivane/common";
 import type { AccountPolicy, PlacementRequest } from "./types.ts";
 
-/** Whether an ask is within its account's limits. */
+/** Tells whether a request is within the limits of its account. */
 export type LimitCheck =
   | { readonly kind: "within" }
   | {
@@ -10,109 +10,108 @@
     readonly retryAfter: Milliseconds;
   };
 
-/** Unused allowance that may be spent at once: one second of each rate. */
+/** Capacity of each token bucket, as time at its refill rate. */
 const BURST_MS = 1_000;
 const MILLISECONDS_PER_SECOND = 1_000;
-/** When to come back after too many of the account's requests were waiting. */
+/** Retry delay when too many requests of the account are waiting. */
 const WAITING_RETRY_MS = 1_000;
 
 /**
- * Answers the load pattern of one client account that sends more than it was
- * promised. One keeper holds a pool's whole queue, so one set of token buckets
- * enforces the published rates without any store; a keeper that sees only a
- * share of the pool gives only that share of the rates. Without it, a hot
- * account fills the waiting bounds that all accounts share.
- *
- * Grounds: a bucket admits while it holds anything and may run into debt by one
- * request, so that a request larger than the burst can run at all and the rate
- * still holds over any longer time.
+ * Enforces the limits of client accounts: token buckets for request and token
+ * rates, and counts of waiting and running requests. A scheduler that may use
+ * only a share of the pool's capacity grants only that share of the limits. The
+ * balance of a bucket may become negative, so that a request larger than the
+ * burst can run.
  */
 export class AccountLimits {
-  readonly #accounts = new Map<ClientAccountId, Usage>();
-  #share = 1;
+  readonly #usages = new Map<ClientAccountId, AccountUsage>();
+  #capacityShare = 1;
 
   constructor(policies: readonly AccountPolicy[] = []) {
     this.setPolicies(policies, 0);
   }
 
-  /** Replaces the limits; what is running, waiting or owed stays. */
+  /** Replaces the limits; counts and bucket balances are kept. */
   setPolicies(policies: readonly AccountPolicy[], now: Milliseconds): void {
-    const former = new Map(this.#accounts);
-    this.#accounts.clear();
+    const previous = new Map(this.#usages);
+    this.#usages.clear();
     for (const policy of policies) {
-      const usage = former.get(policy.account) ?? new Usage(policy, now);
+      const usage = previous.get(policy.account) ??
+        new AccountUsage(policy, now);
       usage.policy = policy;
-      this.#accounts.set(policy.account, usage);
+      this.#usages.set(policy.account, usage);
     }
   }
 
-  /** Share of the published limits that may be given here, 0 to 1. */
+  /** Sets the share of the limits that may be granted here, 0 to 1. */
   setCapacityShare(share: number, now: Milliseconds): void {
-    for (const usage of this.#accounts.values()) {
-      usage.refill(this.#share, now);
+    for (const usage of this.#usages.values()) {
+      usage.refill(this.#capacityShare, now);
     }
-    this.#share = share;
+    this.#capacityShare = share;
   }
 
-  /** Checks one ask; nothing is charged. An account without limits is within. */
+  /** Checks a request without charging it; accounts without limits pass. */
   check({ account }: PlacementRequest, now: Milliseconds): LimitCheck {
-    const usage = this.#accounts.get(account);
+    const usage = this.#usages.get(account);
     if (usage === undefined) return { kind: "within" };
-    usage.refill(this.#share, now);
+    usage.refill(this.#capacityShare, now);
     if (usage.waiting >= usage.policy.waitingRequests) {
       return { kind: "over", limit: "waiting", retryAfter: WAITING_RETRY_MS };
     }
     const { requestsPerSecond, tokensPerSecond } = usage.policy;
     if (usage.requests < 1) {
-      const missing = 1 - usage.requests;
-      return this.#over("requests", missing / requestsPerSecond);
+      const missingRequests = 1 - usage.requests;
+      return this.#overLimit("requests", missingRequests / requestsPerSecond);
     }
     if (usage.tokens <= 0) {
-      return this.#over("tokens", (1 - usage.tokens) / tokensPerSecond);
+      return this.#overLimit("tokens", (1 - usage.tokens) / tokensPerSecond);
     }
     return { kind: "within" };
   }
 
-  /** Charges an ask that now waits. */
+  /** Charges a request that starts to wait. */
   charge({ account }: PlacementRequest, expectedTokens: number): void {
-    const usage = this.#accounts.get(account);
+    const usage = this.#usages.get(account);
     if (usage === undefined) return;
     usage.requests -= 1;
     usage.tokens -= expectedTokens;
     usage.waiting += 1;
   }
 
-  /** Gives back what a request was charged that left the queue without running. */
+  /** Refunds the tokens of a request that left the queue without running. */
   refund({ account }: PlacementRequest, chargedTokens: number): void {
-    const usage = this.#accounts.get(account);
+    const usage = this.#usages.get(account);
     if (usage === undefined) return;
     usage.waiting -= 1;
     usage.tokens += chargedTokens;
   }
 
-  /** Whether one more request of the account may run. */
+  /** Returns whether one more request of the account may run. */
   hasFreeSlot(account: ClientAccountId): boolean {
-    const usage = this.#accounts.get(account);
+    const usage = this.#usages.get(account);
     if (usage === undefined) return true;
-    const bound = usage.policy.concurrentRequests * this.#share;
-    return usage.running < Math.max(1, Math.floor(bound));
+    const limit = usage.policy.concurrentRequests * this.#capacityShare;
+    return usage.running < Math.max(1, Math.floor(limit));
   }
 
-  /** A waiting request starts. */
+  /** Records that a waiting request starts. */
   recordStart(account: ClientAccountId): void {
-    const usage = this.#accounts.get(account);
+    const usage = this.#usages.get(account);
     if (usage === undefined) return;
     usage.waiting -= 1;
     usage.running += 1;
   }
 
-  /** A request that ran already, perhaps granted by another keeper. */
+  /** Records a request that is already running. */
   recordAdoption(account: ClientAccountId): void {
-    const usage = this.#accounts.get(account);
+    const usage = this.#usages.get(account);
     if (usage !== undefined) usage.running += 1;
   }
 
-  /** A running request ended; the charge is corrected to what it used. */
+  /**
+   * Records the end of a request and corrects its charge to the tokens used.
+   */
   recordEnd(
     account: ClientAccountId,
     { chargedTokens, usedTokens }: {
@@ -120,14 +119,14 @@
       usedTokens: number;
     },
   ): void {
-    const usage = this.#accounts.get(account);
+    const usage = this.#usages.get(account);
     if (usage === undefined) return;
     usage.running = Math.max(0, usage.running - 1);
     usage.tokens += chargedTokens - usedTokens;
   }
 
-  #over(limit: "requests" | "tokens", seconds: number): LimitCheck {
-    const share = Math.max(this.#share, Number.EPSILON);
+  #overLimit(limit: "requests" | "tokens", seconds: number): LimitCheck {
+    const share = Math.max(this.#capacityShare, Number.EPSILON);
     return {
       kind: "over",
       limit,
@@ -136,7 +135,7 @@
   }
 }
 
-class Usage {
+class AccountUsage {
   policy: AccountPolicy;
   requests: number;
   tokens: number;
--- a/packages/decisions/src/accountQueue.ts
+++ b/packages/decisions/src/accountQueue.ts
@@ -5,142 +5,151 @@
 } from "@wasabivane/common";
 import type { PlacementRequest } from "./types.ts";
 
-/** One request in the queue. */
+/** Holds a request in the wait queue. */
 export interface QueuedRequest {
   readonly placementRequest: PlacementRequest;
-  /** Prompt and expected output. */
+  /** Prompt tokens and expected output tokens. */
   readonly expectedTokens: number;
   readonly expectedMs: Milliseconds;
   latestStart: Milliseconds;
-  /** Place among the requests of its account and tier, the least first. */
+  /** Sort key among the requests of its account and tier, ascending. */
   readonly orderKey: number;
   readonly enqueuedAt: Milliseconds;
-  /** It left the queue; heaps drop it when they meet it. */
+  /** Whether it was removed from the queue; heaps discard it lazily. */
   isRemoved: boolean;
-  /** It waits for an upstream that holds its prefix, until then at most. */
+  /** Latest time until which it waits for an upstream that has its prefix. */
   cacheWaitUntil?: Milliseconds;
-  /** How often it was looked at and could not start. */
+  /** Number of tries in which no free upstream was suitable. */
   timesBlocked: number;
-  /** Kinds of upstream, as bits, that could not take it when it was last looked at. */
+  /** Bit mask of the upstream groups that were free at its last try. */
   blockedGroupMask: number;
-  /** When those kinds are worth another look. */
+  /** Time from which these groups are tried again. */
   blockedUntil: Milliseconds;
 }
 
-/** Waiting tokens are counted by the power of two of their request's length. */
+/** Classes of expected tokens, by power of two. */
 const LENGTH_CLASSES = 24;
-/** How far a request falls back each time that it could not start. */
-const BLOCKED_DELAY_MS = 2_000;
+/** Added to the sort key of a blocked request for each try. */
+const BLOCKED_PENALTY_MS = 2_000;
 
-/** The waiting requests of one account in one tier. */
+/** Holds the waiting requests of one account in one tier. */
 export class AccountQueue {
   readonly account: ClientAccountId;
-  /** Served tokens, comparable only within the tier. */
+  /** Tokens served so far, comparable only within the tier. */
   servedTokens = 0;
-  /** Whether the lane is in its tier's heap. */
+  /** Whether the queue is in the heap of its tier. */
   isInHeap = false;
   size = 0;
   tokens = 0;
-  #fresh = new Heap<QueuedRequest>(isEarlier);
-  #blocked = new Heap<QueuedRequest>(isEarlierAgain);
+  #untried = new Heap<QueuedRequest>(isEarlier);
+  #blocked = new Heap<QueuedRequest>(isEarlierBlocked);
   readonly #tokensByClass = new Float64Array(LENGTH_CLASSES);
 
   constructor(account: ClientAccountId) {
     this.account = account;
   }
 
-  add(waiting: QueuedRequest): void {
+  /** Adds a request. */
+  add(queued: QueuedRequest): void {
     this.size++;
-    this.tokens += waiting.expectedTokens;
-    this.#tokensByClass[classOf(waiting.expectedTokens)]! +=
-      waiting.expectedTokens;
-    this.#fresh.push(waiting);
+    this.tokens += queued.expectedTokens;
+    this.#tokensByClass[lengthClassOf(queued.expectedTokens)]! +=
+      queued.expectedTokens;
+    this.#untried.push(queued);
   }
 
-  /** Counts out a request that left; the heap drops it later. */
-  remove(waiting: QueuedRequest): void {
+  /** Removes a request; the heaps discard it later. */
+  remove(queued: QueuedRequest): void {
     this.size--;
-    this.tokens -= waiting.expectedTokens;
-    this.#tokensByClass[classOf(waiting.expectedTokens)]! -=
-      waiting.expectedTokens;
-    const held = this.#fresh.size + this.#blocked.size;
-    if (held > 64 + 2 * this.size) this.#rebuild();
+    this.tokens -= queued.expectedTokens;
+    this.#tokensByClass[lengthClassOf(queued.expectedTokens)]! -=
+      queued.expectedTokens;
+    const heapEntries = this.#untried.size + this.#blocked.size;
+    if (heapEntries > 64 + 2 * this.size) this.#rebuild();
   }
 
-  /** The first request that was not looked at yet; it is blocked or forgotten next. */
+  /**
+   * Pops the first untried request; the caller must put it back or remove it.
+   */
   popUntried(): QueuedRequest | undefined {
-    return popPresent(this.#fresh);
+    return popRemaining(this.#untried);
   }
 
-  /** The first request that was blocked before; it is blocked or forgotten next. */
+  /**
+   * Pops the first blocked request; the caller must put it back or remove it.
+   */
   popBlocked(): QueuedRequest | undefined {
-    return popPresent(this.#blocked);
+    return popRemaining(this.#blocked);
   }
 
-  /** Keeps a request that could not start behind those that were tried less often. */
-  pushBlocked(waiting: QueuedRequest): void {
-    waiting.timesBlocked++;
-    this.#blocked.push(waiting);
+  /**
+   * Puts a request back as blocked, behind those that were tried less often.
+   */
+  pushBlocked(queued: QueuedRequest): void {
+    queued.timesBlocked++;
+    this.#blocked.push(queued);
   }
 
-  /** Keeps a request as if it had not been looked at. */
-  putBack(waiting: QueuedRequest): void {
-    if (waiting.timesBlocked > 0) this.#blocked.push(waiting);
-    else this.#fresh.push(waiting);
+  /** Puts a request back without counting a try. */
+  putBack(queued: QueuedRequest): void {
+    if (queued.timesBlocked > 0) this.#blocked.push(queued);
+    else this.#untried.push(queued);
   }
 
-  /** Waiting tokens of shorter requests, and half of those about as long. */
+  /**
+   * Returns the tokens of shorter requests and half of those in the same class.
+   */
   tokensOfShorterRequests(expectedTokens: number): number {
-    const own = classOf(expectedTokens);
-    let tokens = this.#tokensByClass[own]! / 2;
-    for (let index = 0; index < own; index++) {
+    const ownClass = lengthClassOf(expectedTokens);
+    let tokens = this.#tokensByClass[ownClass]! / 2;
+    for (let index = 0; index < ownClass; index++) {
       tokens += this.#tokensByClass[index]!;
     }
     return tokens;
   }
 
-  /** The requests that wait here, in no order. */
-  waiting(): QueuedRequest[] {
-    const found = [...drain(this.#fresh), ...drain(this.#blocked)];
-    found.forEach((waiting) => this.putBack(waiting));
-    return found;
+  /** Returns all waiting requests, in no particular order. */
+  list(): QueuedRequest[] {
+    const remaining = [...popAll(this.#untried), ...popAll(this.#blocked)];
+    remaining.forEach((queued) => this.putBack(queued));
+    return remaining;
   }
 
   #rebuild(): void {
-    const kept = this.waiting();
-    this.#fresh = new Heap(isEarlier);
-    this.#blocked = new Heap(isEarlierAgain);
-    kept.forEach((waiting) => this.putBack(waiting));
+    const kept = this.list();
+    this.#untried = new Heap(isEarlier);
+    this.#blocked = new Heap(isEarlierBlocked);
+    kept.forEach((queued) => this.putBack(queued));
   }
 }
 
-function popPresent(heap: Heap<QueuedRequest>): QueuedRequest | undefined {
+function popRemaining(heap: Heap<QueuedRequest>): QueuedRequest | undefined {
   let first = heap.pop();
   while (first?.isRemoved) first = heap.pop();
   return first;
 }
 
-function drain(heap: Heap<QueuedRequest>): QueuedRequest[] {
-  const found: QueuedRequest[] = [];
-  for (let next = popPresent(heap); next; next = popPresent(heap)) {
-    found.push(next);
+function popAll(heap: Heap<QueuedRequest>): QueuedRequest[] {
+  const remaining: QueuedRequest[] = [];
+  for (let next = popRemaining(heap); next; next = popRemaining(heap)) {
+    remaining.push(next);
   }
-  return found;
+  return remaining;
 }
 
 function isEarlier(left: QueuedRequest, right: QueuedRequest): boolean {
   return left.orderKey < right.orderKey;
 }
 
-function isEarlierAgain(left: QueuedRequest, right: QueuedRequest): boolean {
+function isEarlierBlocked(left: QueuedRequest, right: QueuedRequest): boolean {
   return blockedKey(left) < blockedKey(right);
 }
 
-function blockedKey({ orderKey: key, timesBlocked }: QueuedRequest): number {
-  return key + timesBlocked * BLOCKED_DELAY_MS;
+function blockedKey({ orderKey, timesBlocked }: QueuedRequest): number {
+  return orderKey + timesBlocked * BLOCKED_PENALTY_MS;
 }
 
-function classOf(tokens: number): number {
+function lengthClassOf(tokens: number): number {
   const index = Math.floor(Math.log2(Math.max(1, tokens)));
   return Math.min(LENGTH_CLASSES - 1, index);
 }
--- a/packages/decisions/src/adaptiveConcurrencyLimit.ts
+++ b/packages/decisions/src/adaptiveConcurrencyLimit.ts
@@ -1,14 +1,14 @@
 import type { Milliseconds } from "@wasabivane/common";
 
-/** What a first token showed about the upstream. */
+/** Holds the time to first token of one request and the load at its grant. */
 export interface FirstTokenSample {
-  /** Time from the grant to the first token, or until now when it is overdue. */
+  /** Time from the grant to the first token, or until now if it is overdue. */
   readonly elapsed: Milliseconds;
-  /** Prompt tokens that had to be computed there, its own included. */
+  /** Prompt tokens to be computed at the upstream, its own included. */
   readonly backlogTokens: number;
-  /** Its own share of them. */
+  /** Prompt tokens of the request itself that were not cached. */
   readonly uncachedTokens: number;
-  /** Work in flight there at the grant, its own included. */
+  /** Requests in flight at the grant, itself included. */
   readonly inFlightRequests: number;
   readonly inFlightTokens: number;
 }
@@ -19,53 +19,49 @@
   readonly maximumRequests: number;
 }
 
-/** Tokens that a request is taken to hold before anything was learned. */
+/** Assumed tokens of one request, which scale the token limit. */
 const TOKENS_PER_REQUEST = 4_000;
-/** Waiting inside the engine that is no sign of a full batch: a few long steps. */
-const TOLERATED_WAIT_MS = 400;
-/** First tokens may take so many times what their backlog takes when undisturbed. */
+/** Queueing delay inside the engine that is not a sign of overload. */
+const TOLERATED_DELAY_MS = 400;
+/** Tolerated ratio of the time to first token to the baseline. */
 const TOLERATED_RATIO = 2.5;
-/** From this ratio on the upstream is slow or stuck, not merely full. */
+/** Above this ratio the upstream is slow or stuck rather than overloaded. */
 const SEVERE_RATIO = 8;
-const MILD_SHRINK = 0.9;
-const SEVERE_SHRINK = 0.6;
-/** One full batch delays many first tokens; they count as one sign. */
-const SHRINK_PERIOD_MS = 500;
-/** The bound grows only when it was used to this share, or nothing was learned. */
-const USED_SHARE = 0.8;
-/** The fast growth ends at this share of the bound that proved too high. */
+const MILD_SHRINK_FACTOR = 0.9;
+const SEVERE_SHRINK_FACTOR = 0.6;
+/** Minimum time between reductions: one full batch delays many first tokens. */
+const MINIMUM_SHRINK_INTERVAL_MS = 500;
+/** Minimum utilization of a limit at which it grows. */
+const MINIMUM_UTILIZATION = 0.8;
+/** Fast growth ends at this share of the limit that was too high. */
 const FAST_GROWTH_SHARE = 0.85;
-/** The floor is the least of the last one to two of these periods. */
-const FLOOR_PERIOD_MS = 15_000;
-const MINIMUM_FLOOR_TOKENS = 256;
-/** A first token shows the floor when its own prompt was so much of the backlog. */
-const OWN_SHARE = 0.8;
+/** The baseline is the minimum over the current and the previous period. */
+const BASELINE_PERIOD_MS = 15_000;
+const MINIMUM_BASELINE_TOKENS = 256;
+/**
+ * Minimum share of a request's own prompt in the backlog of a baseline sample.
+ */
+const MINIMUM_OWN_PROMPT_SHARE = 0.8;
 
 /**
- * Answers the load pattern of an engine that admits all that comes and queues it
- * first come, first served, where no tier is seen any more, and of an engine
- * that turns slow. The bound of work in flight follows the time to first token
- * against its own learned floor: within tolerance it grows while it is used,
- * beyond it shrinks, at most twice a second. Without it, urgent work waits
- * behind whatever was sent before, inside the engine.
- *
- * Grounds: a full batch shows as waiting beyond the backlog; 0.4 s is a few of
- * the longest steps (512 prompt tokens at 3,000 tokens/s), and interleaved decode
- * steps stretch prefill by up to 1.5, so 2.5 is no false alarm. Shrinking by
- * 0.6 twice a second takes a bound of 64 to 5 in 2.5 s.
+ * Limits the requests and tokens in flight at one upstream, so that requests
+ * wait in the scheduler's prioritized queue rather than in the first-come,
+ * first-served queue of the engine. The limits adapt to the time to first
+ * token, compared with a learned baseline: they grow while it is tolerable and
+ * shrink when it is not.
  */
 export class AdaptiveConcurrencyLimit {
   readonly #maximumRequests: number;
   readonly #initialRequests: number;
   #requests: number;
   #tokens: number;
-  #fastUntilRequests = Infinity;
-  #fastUntilTokens = Infinity;
-  #shrunkAt = -Infinity;
-  #floor = Infinity;
-  #formerFloor = Infinity;
-  #floorSince = 0;
-  #isGrowthHeld = false;
+  #fastGrowthRequests = Infinity;
+  #fastGrowthTokens = Infinity;
+  #lastShrunkAt = -Infinity;
+  #baseline = Infinity;
+  #previousBaseline = Infinity;
+  #baselinePeriodStart = 0;
+  #isGrowthPaused = false;
 
   constructor(
     { initialRequests, maximumRequests }: AdaptiveConcurrencyLimitOptions,
@@ -76,48 +72,53 @@
     this.#tokens = this.#initialRequests * TOKENS_PER_REQUEST;
   }
 
-  /** Requests that may be in flight. */
+  /** Returns the maximum number of requests in flight. */
   get requests(): number {
     return Math.max(1, Math.floor(this.#requests));
   }
 
-  /** Tokens that may be in flight; a lone request may exceed them. */
+  /**
+   * Returns the maximum number of tokens in flight; a single request may exceed
+   * it.
+   */
   get tokens(): number {
     return this.#tokens;
   }
 
-  /** A lagging report may hold growth back, never shrink or raise the bound. */
-  setGrowthPaused(isHeld: boolean): void {
-    this.#isGrowthHeld = isHeld;
+  /** Pauses or resumes the growth of the limits. */
+  setGrowthPaused(isPaused: boolean): void {
+    this.#isGrowthPaused = isPaused;
   }
 
-  /** Takes in a first token. */
+  /** Adjusts the limits to the first token of a request. */
   observe(sample: FirstTokenSample, now: Milliseconds): void {
-    this.#learnFloor(sample, now);
-    const ratio = this.#ratio(sample);
+    this.#updateBaseline(sample, now);
+    const ratio = this.#delayRatio(sample);
     if (ratio > TOLERATED_RATIO) return this.#shrink(sample, ratio, now);
-    if (!this.#isGrowthHeld) this.#grow(sample);
+    if (!this.#isGrowthPaused) this.#grow(sample);
   }
 
-  /** Takes in a first token that is still missing; it can only shrink the bound. */
+  /** Adjusts the limits to an overdue first token; they can only shrink. */
   observeOverdue(sample: FirstTokenSample, now: Milliseconds): void {
-    const ratio = this.#ratio(sample);
+    const ratio = this.#delayRatio(sample);
     if (ratio > TOLERATED_RATIO) this.#shrink(sample, ratio, now);
   }
 
-  /** When a first token with this backlog counts as overdue. */
+  /**
+   * Returns the time after which a first token with this backlog is overdue.
+   */
   overdueAfter(backlogTokens: number): Milliseconds {
-    return TOLERATED_WAIT_MS +
-      TOLERATED_RATIO * this.#undisturbed(backlogTokens);
+    return TOLERATED_DELAY_MS +
+      TOLERATED_RATIO * this.#baselineTime(backlogTokens);
   }
 
-  /** Starts small again after an ejection, with fast growth. */
+  /** Resets the limits to one request and lets them grow fast again. */
   beginSlowStart(): void {
-    this.#fastUntilRequests = Math.max(
+    this.#fastGrowthRequests = Math.max(
       this.#initialRequests,
       this.#requests * FAST_GROWTH_SHARE,
     );
-    this.#fastUntilTokens = Math.max(
+    this.#fastGrowthTokens = Math.max(
       this.#initialRequests * TOKENS_PER_REQUEST,
       this.#tokens * FAST_GROWTH_SHARE,
     );
@@ -125,44 +126,44 @@
     this.#tokens = TOKENS_PER_REQUEST;
   }
 
-  #ratio({ elapsed, backlogTokens }: FirstTokenSample): number {
-    if (elapsed <= TOLERATED_WAIT_MS) return 0;
-    return (elapsed - TOLERATED_WAIT_MS) /
-      Math.max(1, this.#undisturbed(backlogTokens));
+  #delayRatio({ elapsed, backlogTokens }: FirstTokenSample): number {
+    if (elapsed <= TOLERATED_DELAY_MS) return 0;
+    return (elapsed - TOLERATED_DELAY_MS) /
+      Math.max(1, this.#baselineTime(backlogTokens));
   }
 
-  #undisturbed(backlogTokens: number): Milliseconds {
-    const floor = Math.min(this.#floor, this.#formerFloor);
-    if (floor === Infinity) return TOLERATED_WAIT_MS;
-    return floor * Math.max(backlogTokens, MINIMUM_FLOOR_TOKENS);
+  #baselineTime(backlogTokens: number): Milliseconds {
+    const baseline = Math.min(this.#baseline, this.#previousBaseline);
+    if (baseline === Infinity) return TOLERATED_DELAY_MS;
+    return baseline * Math.max(backlogTokens, MINIMUM_BASELINE_TOKENS);
   }
 
-  #learnFloor(
+  #updateBaseline(
     { elapsed, backlogTokens, uncachedTokens }: FirstTokenSample,
     now: Milliseconds,
   ): void {
-    if (uncachedTokens < MINIMUM_FLOOR_TOKENS) return;
-    // How much of the others' prompts was computed already is not known; a
-    // sample that rests on them would show a floor that is far too low.
-    if (uncachedTokens < backlogTokens * OWN_SHARE) return;
-    if (now - this.#floorSince > FLOOR_PERIOD_MS) {
-      this.#formerFloor = this.#floor;
-      this.#floor = Infinity;
-      this.#floorSince = now;
+    if (uncachedTokens < MINIMUM_BASELINE_TOKENS) return;
+    // Part of the other prompts may be computed already, so a backlog that
+    // mostly consists of them would make the baseline too low.
+    if (uncachedTokens < backlogTokens * MINIMUM_OWN_PROMPT_SHARE) return;
+    if (now - this.#baselinePeriodStart > BASELINE_PERIOD_MS) {
+      this.#previousBaseline = this.#baseline;
+      this.#baseline = Infinity;
+      this.#baselinePeriodStart = now;
     }
-    this.#floor = Math.min(this.#floor, elapsed / backlogTokens);
+    this.#baseline = Math.min(this.#baseline, elapsed / backlogTokens);
   }
 
   #grow({ inFlightRequests, inFlightTokens }: FirstTokenSample): void {
-    if (inFlightRequests >= this.#requests * USED_SHARE) {
-      const isFast = this.#requests < this.#fastUntilRequests;
+    if (inFlightRequests >= this.#requests * MINIMUM_UTILIZATION) {
+      const isFast = this.#requests < this.#fastGrowthRequests;
       this.#requests = Math.min(
         this.#maximumRequests,
         this.#requests + (isFast ? 1 : 1 / this.#requests),
       );
     }
-    if (inFlightTokens >= this.#tokens * USED_SHARE) {
-      const isFast = this.#tokens < this.#fastUntilTokens;
+    if (inFlightTokens >= this.#tokens * MINIMUM_UTILIZATION) {
+      const isFast = this.#tokens < this.#fastGrowthTokens;
       const step = isFast ? 1 : 1 / this.#requests;
       this.#tokens += TOKENS_PER_REQUEST * step;
     }
@@ -173,20 +174,20 @@
     ratio: number,
     now: Milliseconds,
   ): void {
-    if (now - this.#shrunkAt < SHRINK_PERIOD_MS) return;
-    this.#shrunkAt = now;
+    if (now - this.#lastShrunkAt < MINIMUM_SHRINK_INTERVAL_MS) return;
+    this.#lastShrunkAt = now;
     const isSevere = ratio > SEVERE_RATIO;
-    const factor = isSevere ? SEVERE_SHRINK : MILD_SHRINK;
-    const requestUse = inFlightRequests / this.#requests;
-    const tokenUse = inFlightTokens / this.#tokens;
-    if (requestUse >= tokenUse) {
-      // A slow upstream shows nothing of the batch that it holds when it is not.
+    const factor = isSevere ? SEVERE_SHRINK_FACTOR : MILD_SHRINK_FACTOR;
+    const requestUtilization = inFlightRequests / this.#requests;
+    const tokenUtilization = inFlightTokens / this.#tokens;
+    if (requestUtilization >= tokenUtilization) {
+      // A slow or stuck upstream does not show which limit it can sustain.
       if (!isSevere) {
-        this.#fastUntilRequests = this.#requests * FAST_GROWTH_SHARE;
+        this.#fastGrowthRequests = this.#requests * FAST_GROWTH_SHARE;
       }
       this.#requests = Math.max(1, this.#requests * factor);
     } else {
-      if (!isSevere) this.#fastUntilTokens = this.#tokens * FAST_GROWTH_SHARE;
+      if (!isSevere) this.#fastGrowthTokens = this.#tokens * FAST_GROWTH_SHARE;
       this.#tokens = Math.max(TOKENS_PER_REQUEST, this.#tokens * factor);
     }
   }
--- a/packages/decisions/src/admissionControl.ts
+++ b/packages/decisions/src/admissionControl.ts
@@ -9,7 +9,7 @@
 import type { UpstreamPool } from "./upstreamPool.ts";
 import type { WaitQueue } from "./waitQueue.ts";
 
-/** What an {@link AdmissionControl} looks at. */
+/** Holds the components that an {@link AdmissionControl} consults. */
 export interface AdmissionControlOptions {
   readonly pool: UpstreamPool;
   readonly queue: WaitQueue;
@@ -19,7 +19,7 @@
   readonly serviceTime: ServiceTime;
 }
 
-/** What is known of a request that arrives. */
+/** Holds the estimates for a request that arrives. */
 export interface ArrivalDetails {
   readonly lengths: OutputLengthDistribution;
   readonly expectedTokens: number;
@@ -27,16 +27,17 @@
   readonly now: Milliseconds;
 }
 
-/** A refused caller comes back no sooner and no later than this. */
-const MINIMUM_RETRY_MS = 500;
-const MAXIMUM_RETRY_MS = 30_000;
-/** A wait is known only roughly; a refusal on arrival needs a clear miss. */
-const WAIT_CONFIDENCE = 0.7;
+const MINIMUM_RETRY_DELAY_MS = 500;
+const MAXIMUM_RETRY_DELAY_MS = 30_000;
+/**
+ * Scales the estimated wait down, so that only clearly late requests are
+ * refused.
+ */
+const WAIT_ESTIMATE_FACTOR = 0.7;
 
 /**
- * Answers the load pattern of requests that cannot be served: each is refused on
- * arrival, with the reason and when to come back. Without it, callers wait for
- * their whole deadline to be told no, and what they waited for is wasted.
+ * Refuses requests on arrival if they cannot be served in time, with the reason
+ * and a retry delay, so that their callers need not wait for the deadline.
  */
 export class AdmissionControl {
   readonly #options: AdmissionControlOptions;
@@ -45,61 +46,70 @@
     this.#options = options;
   }
 
-  /** The refusal of a request that no wait would help; undefined when there is none. */
+  /** Returns a refusal if waiting cannot help the request, else `undefined`. */
   refuseImmediately(
-    ask: PlacementRequest,
+    placementRequest: PlacementRequest,
     now: Milliseconds,
   ): Decision | undefined {
-    const { pool, poisonRequests: suspects, limits } = this.#options;
-    if (ask.deadline <= now) return createRefusal(ask, "deadline-passed", 0);
+    const { pool, poisonRequests, limits } = this.#options;
+    if (placementRequest.deadline <= now) {
+      return createRefusal(placementRequest, "deadline-passed", 0);
+    }
     if (!pool.hasActiveUpstreams) {
-      return createRefusal(ask, "no-upstream", NO_UPSTREAM_RETRY_MS);
+      return createRefusal(
+        placementRequest,
+        "no-upstream",
+        NO_UPSTREAM_RETRY_MS,
+      );
     }
-    const verdict = suspects.statusOf(ask.fingerprint, now);
-    if (verdict.kind === "convicted") {
-      return createRefusal(ask, "convicted", verdict.retryAfter);
+    const status = poisonRequests.statusOf(placementRequest.fingerprint, now);
+    if (status.kind === "convicted") {
+      return createRefusal(placementRequest, "convicted", status.retryAfter);
     }
-    const limit = limits.check(ask, now);
+    const limit = limits.check(placementRequest, now);
     if (limit.kind === "within") return undefined;
-    return createRefusal(ask, "account-limit", limit.retryAfter);
+    return createRefusal(placementRequest, "account-limit", limit.retryAfter);
   }
 
-  /** The refusal of a request that would wait past its latest start. */
+  /** Returns a refusal if the request would wait beyond its latest start. */
   refuseUnreachable(
-    ask: PlacementRequest,
+    placementRequest: PlacementRequest,
     { lengths, expectedTokens, latestStart, now }: ArrivalDetails,
   ): Decision | undefined {
-    const { queue, drainRate: drain, serviceTime } = this.#options;
-    const ahead = queue.tokensAhead(ask, expectedTokens);
-    const wait = (drain.timeToDrain(ahead) ?? 0) * WAIT_CONFIDENCE;
+    const { queue, drainRate, serviceTime } = this.#options;
+    const tokensAhead = queue.tokensAhead(placementRequest, expectedTokens);
+    const wait = (drainRate.timeToDrain(tokensAhead) ?? 0) *
+      WAIT_ESTIMATE_FACTOR;
     if (now + wait <= latestStart) return undefined;
     return {
       kind: "refuse",
-      placementRequest: ask,
+      placementRequest,
       reason: "deadline-unreachable",
-      retryAfter: boundedRetry(now + wait - latestStart),
-      estimate: wait + serviceTime.expected(ask, lengths.mean()),
+      retryAfter: clampRetryDelay(now + wait - latestStart),
+      estimate: wait + serviceTime.expected(placementRequest, lengths.mean()),
     };
   }
 
-  /** When a caller should come back whose request left the queue. */
+  /** Returns the retry delay for a request that is removed from the queue. */
   queueRetryAfter(): Milliseconds {
-    const { queue, drainRate: drain } = this.#options;
-    return boundedRetry(drain.timeToDrain(queue.tokens) ?? MINIMUM_RETRY_MS);
+    const { queue, drainRate } = this.#options;
+    return clampRetryDelay(
+      drainRate.timeToDrain(queue.tokens) ?? MINIMUM_RETRY_DELAY_MS,
+    );
   }
 }
 
-/** A refusal without an estimate. */
+/** Creates a refusal without an estimate. */
 export function createRefusal(
-  ask: PlacementRequest,
+  placementRequest: PlacementRequest,
   reason: RefusalReason,
   retryAfter: Milliseconds,
 ): Decision {
-  return { kind: "refuse", placementRequest: ask, reason, retryAfter };
+  return { kind: "refuse", placementRequest, reason, retryAfter };
 }
 
-function boundedRetry(wait: Milliseconds): Milliseconds {
+function clampRetryDelay(wait: Milliseconds): Milliseconds {
   return Math.ceil(
-    Math.min(MAXIMUM_RETRY_MS, Math.max(MINIMUM_RETRY_MS, wait)),
+    Math.min(MAXIMUM_RETRY_DELAY_MS, Math.max(MINIMUM_RETRY_DELAY_MS, wait)),
   );
 }
--- a/packages/decisions/src/constants.ts
+++ b/packages/decisions/src/constants.ts
@@ -1,8 +1,11 @@
 import type { Milliseconds } from "@wasabivane/common";
 
-/** When to come back after a refusal for want of any upstream: about the lag of the host list. */
+/**
+ * Retry delay when no upstream is available: about the propagation time of the
+ * host list.
+ */
 export const NO_UPSTREAM_RETRY_MS: Milliseconds = 2_000;
-/** Waiting requests for each upstream that `LeastOutstandingScheduler` holds. */
+/** Default queue limit of `LeastOutstandingScheduler` for each upstream. */
 export const QUEUE_LIMIT_PER_UPSTREAM = 16;
-/** When to come back after `LeastOutstandingScheduler` found its queue full. */
+/** Retry delay when the queue of `LeastOutstandingScheduler` is full. */
 export const QUEUE_FULL_RETRY_MS: Milliseconds = 1_000;
--- a/packages/decisions/src/freeUpstreams.ts
+++ b/packages/decisions/src/freeUpstreams.ts
@@ -1,85 +1,86 @@
 import type { Random } from "@wasabivane/common";
 import type { UpstreamState } from "./upstreamState.ts";
 
-/** Up to so many free upstreams are all looked at; of more, a sample. */
-const MAXIMUM_CANDIDATES = 9;
-/** More kinds than these share bits, which only costs a few more looks. */
-const KIND_BITS = 30;
+/** Maximum size of a sample, unless there are more groups. */
+const MAXIMUM_SAMPLE = 9;
+/** Bits in the group mask; additional groups share bits. */
+const GROUP_BITS = 30;
 
 /**
- * The upstreams that may take one more request, by kind: generation and the tier
- * whose pace they keep. Answers the load pattern of a pool of thousands: a
- * decision looks at a sample that holds some of each kind, so its cost does not
- * grow with the pool. Without the kinds a few fast upstreams among many slow ones
- * would be missed, and a request that found no place at one kind would not be
- * looked at when another becomes free.
+ * Holds the upstreams with a free slot, grouped by generation and pace tier. A
+ * decision considers a sample with upstreams of each group, so that its cost
+ * does not grow with the pool and a small group of fast upstreams is not
+ * missed.
  */
 export class FreeUpstreams {
-  readonly #kindsHeld = new Map<string, UpstreamState[]>();
+  readonly #groups = new Map<string, UpstreamState[]>();
   readonly #bits = new Map<string, number>();
-  readonly #places = new Map<UpstreamState, { kind: string; index: number }>();
-  #kinds = 0;
+  readonly #positions = new Map<
+    UpstreamState,
+    { group: string; index: number }
+  >();
+  #groupMask = 0;
 
   get size(): number {
-    return this.#places.size;
+    return this.#positions.size;
   }
 
-  /** The kinds that have a free upstream, one bit each. */
+  /** Returns a bit mask of the groups that have a free upstream. */
   get groupMask(): number {
-    return this.#kinds;
+    return this.#groupMask;
   }
 
   has(state: UpstreamState): boolean {
-    return this.#places.has(state);
+    return this.#positions.has(state);
   }
 
   add(state: UpstreamState): void {
-    const kind = kindOf(state);
-    const place = this.#places.get(state);
-    if (place?.kind === kind) return;
-    if (place !== undefined) this.remove(state);
-    const states = this.#kindsHeld.get(kind) ?? [];
-    this.#kindsHeld.set(kind, states);
-    this.#places.set(state, { kind, index: states.length });
+    const group = groupOf(state);
+    const position = this.#positions.get(state);
+    if (position?.group === group) return;
+    if (position !== undefined) this.remove(state);
+    const states = this.#groups.get(group) ?? [];
+    this.#groups.set(group, states);
+    this.#positions.set(state, { group, index: states.length });
     states.push(state);
-    this.#kinds |= this.#bitOf(kind);
+    this.#groupMask |= this.#bitOf(group);
   }
 
   remove(state: UpstreamState): void {
-    const place = this.#places.get(state);
-    if (place === undefined) return;
-    this.#places.delete(state);
-    const { kind, index } = place;
-    const states = this.#kindsHeld.get(kind)!;
+    const position = this.#positions.get(state);
+    if (position === undefined) return;
+    this.#positions.delete(state);
+    const { group, index } = position;
+    const states = this.#groups.get(group)!;
     const last = states.pop()!;
-    if (states.length === 0) this.#kinds &= ~this.#bitOf(kind);
+    if (states.length === 0) this.#groupMask &= ~this.#bitOf(group);
     if (last === state) return;
     states[index] = last;
-    this.#places.get(last)!.index = index;
+    this.#positions.get(last)!.index = index;
   }
 
-  #bitOf(kind: string): number {
-    const known = this.#bits.get(kind);
-    if (known !== undefined) return known;
-    const added = 1 << (this.#bits.size % KIND_BITS);
-    this.#bits.set(kind, added);
-    return added;
+  #bitOf(group: string): number {
+    const existing = this.#bits.get(group);
+    if (existing !== undefined) return existing;
+    const bit = 1 << (this.#bits.size % GROUP_BITS);
+    this.#bits.set(group, bit);
+    return bit;
   }
 
-  /** All free upstreams, or a sample with some of each kind. */
+  /** Returns all free upstreams, or a sample with some of each group. */
   sample(random: Random): UpstreamState[] {
-    if (this.size <= MAXIMUM_CANDIDATES) return [...this.#places.keys()];
-    const lists = [...this.#kindsHeld.values()]
+    if (this.size <= MAXIMUM_SAMPLE) return [...this.#positions.keys()];
+    const groups = [...this.#groups.values()]
       .filter(({ length }) => length > 0);
-    const share = Math.max(1, Math.floor(MAXIMUM_CANDIDATES / lists.length));
-    return lists.flatMap((states) =>
-      states.length <= share
+    const perGroup = Math.max(1, Math.floor(MAXIMUM_SAMPLE / groups.length));
+    return groups.flatMap((states) =>
+      states.length <= perGroup
         ? states
-        : Array.from({ length: share }, () => random.pick(states))
+        : Array.from({ length: perGroup }, () => random.pick(states))
     );
   }
 }
 
-function kindOf({ description, paceTier }: UpstreamState): string {
+function groupOf({ description, paceTier }: UpstreamState): string {
   return `${description.generation}/${paceTier ?? ""}`;
 }
--- a/packages/decisions/src/leastOutstandingScheduler.ts
+++ b/packages/decisions/src/leastOutstandingScheduler.ts
@@ -28,58 +28,67 @@
 /** Options of a {@link LeastOutstandingScheduler}. */
 export interface LeastOutstandingSchedulerOptions {
   readonly random: Random;
-  /** Waiting requests for each upstream; more are refused. */
+  /** Maximum waiting requests for each upstream; more are refused. */
   readonly queueLimitPerUpstream?: number;
 }
 
 /**
- * The customary proxy: two upstreams at random, the one with fewer requests in
- * flight, a fixed bound on each and a fixed queue before all. It knows neither
- * tiers nor lengths nor speeds, so a full queue refuses whoever comes next.
+ * Schedules like a common proxy, as a baseline for `PoolScheduler`: it picks
+ * two upstreams at random and grants the one with fewer requests in flight.
+ * Upstreams have a fixed concurrency limit and share one queue, and requests
+ * are refused when it is full. Tiers, lengths and speeds are ignored.
  */
 export class LeastOutstandingScheduler extends Scheduler {
   readonly #running = new RunningAttempts();
   readonly #random: Random;
-  readonly #queuePerUpstream: number;
+  readonly #queueLimitPerUpstream: number;
   #waiting: PlacementRequest[] = [];
   #policy: PoolPolicy;
-  #targets: UpstreamId[] = [];
+  #activeUpstreams: UpstreamId[] = [];
 
   constructor(
     policy: PoolPolicy,
     {
       random,
-      queueLimitPerUpstream: queuePerUpstream = QUEUE_LIMIT_PER_UPSTREAM,
+      queueLimitPerUpstream = QUEUE_LIMIT_PER_UPSTREAM,
     }: LeastOutstandingSchedulerOptions,
   ) {
     super();
     this.#policy = policy;
     this.#random = random;
-    this.#queuePerUpstream = queuePerUpstream;
-    this.#listTargets();
+    this.#queueLimitPerUpstream = queueLimitPerUpstream;
+    this.#updateActiveUpstreams();
   }
 
   override setPolicy(policy: PoolPolicy, now: Milliseconds): Decision[] {
     this.#policy = policy;
-    this.#listTargets();
+    this.#updateActiveUpstreams();
     return this.#grantWaiting(now);
   }
 
-  override submit(ask: PlacementRequest, now: Milliseconds): Decision[] {
-    if (this.#targets.length === 0) {
+  override submit(
+    placementRequest: PlacementRequest,
+    now: Milliseconds,
+  ): Decision[] {
+    if (this.#activeUpstreams.length === 0) {
       return [
-        refusal(ask, "no-upstream", NO_UPSTREAM_RETRY_MS),
+        createRefusal(placementRequest, "no-upstream", NO_UPSTREAM_RETRY_MS),
       ];
     }
-    if (this.#waiting.length >= this.#queuePerUpstream * this.#targets.length) {
-      return [refusal(ask, "shed", QUEUE_FULL_RETRY_MS)];
+    if (
+      this.#waiting.length >=
+        this.#queueLimitPerUpstream * this.#activeUpstreams.length
+    ) {
+      return [createRefusal(placementRequest, "shed", QUEUE_FULL_RETRY_MS)];
     }
-    this.#waiting.push(ask);
+    this.#waiting.push(placementRequest);
     return this.#grantWaiting(now);
   }
 
   override withdraw(request: RequestId, _now: Milliseconds): boolean {
-    const index = this.#waiting.findIndex((ask) => ask.request === request);
+    const index = this.#waiting.findIndex((waiting) =>
+      waiting.request === request
+    );
     if (index < 0) return false;
     this.#waiting.splice(index, 1);
     return true;
@@ -97,9 +106,11 @@
   }
 
   override dropOrigin(origin: HostId, now: Milliseconds): Decision[] {
-    this.#waiting = this.#waiting.filter((ask) => ask.origin !== origin);
-    for (const { placementRequest: ask } of this.#running.ofOrigin(origin)) {
-      this.#running.remove(ask.request);
+    this.#waiting = this.#waiting.filter((waiting) =>
+      waiting.origin !== origin
+    );
+    for (const { placementRequest } of this.#running.ofOrigin(origin)) {
+      this.#running.remove(placementRequest.request);
     }
     return this.#grantWaiting(now);
   }
@@ -141,13 +152,13 @@
   #grantWaiting(now: Milliseconds): Decision[] {
     const decisions: Decision[] = [];
     while (this.#waiting.length > 0) {
-      const upstream = this.#choose();
+      const upstream = this.#pickUpstream();
       if (upstream === undefined) break;
-      const ask = this.#waiting.shift()!;
-      this.#running.grant(ask, upstream, now);
+      const placementRequest = this.#waiting.shift()!;
+      this.#running.grant(placementRequest, upstream, now);
       decisions.push({
         kind: "grant",
-        placementRequest: ask,
+        placementRequest,
         upstream,
         expectedCachedTokens: 0,
       });
@@ -155,8 +166,8 @@
     return decisions;
   }
 
-  #choose(): UpstreamId | undefined {
-    const free = this.#targets.filter((upstream) =>
+  #pickUpstream(): UpstreamId | undefined {
+    const free = this.#activeUpstreams.filter((upstream) =>
       this.#running.count(upstream) < this.#policy.maximumConcurrency
     );
     if (free.length === 0) return undefined;
@@ -167,17 +178,17 @@
       : second;
   }
 
-  #listTargets(): void {
-    this.#targets = this.#policy.upstreams
+  #updateActiveUpstreams(): void {
+    this.#activeUpstreams = this.#policy.upstreams
       .filter(({ isLeaving }) => !isLeaving)
       .map(({ upstream }) => upstream);
   }
 }
 
-function refusal(
-  ask: PlacementRequest,
+function createRefusal(
+  placementRequest: PlacementRequest,
   reason: "no-upstream" | "shed",
   retryAfter: Milliseconds,
 ): Decision {
-  return { kind: "refuse", placementRequest: ask, reason, retryAfter };
+  return { kind: "refuse", placementRequest, reason, retryAfter };
 }
--- a/packages/decisions/src/outlierDetector.ts
+++ b/packages/decisions/src/outlierDetector.ts
@@ -7,12 +7,12 @@
   readonly maximumEjectedShare: number;
 }
 
-/** Errors in a row that eject; one error is a request's own fault as likely. */
-const ERRORS_IN_A_ROW = 3;
-const FIRST_EJECTION_MS = 1_000;
+/** Consecutive errors that eject; a single one may be the request's fault. */
+const ERROR_LIMIT = 3;
+const MINIMUM_EJECTION_MS = 1_000;
 const MAXIMUM_EJECTION_MS = 30_000;
-/** Reports of one loss come from many callers; they count once. */
-const SAME_LOSS_MS = 500;
+/** Failures within this time are reports of the same loss. */
+const DUPLICATE_FAILURE_MS = 500;
 
 interface Health {
   errorsInARow: number;
@@ -22,38 +22,36 @@
 }
 
 /**
- * Answers the load pattern of upstreams that die, refuse or fail: passive signals
- * from real requests eject an upstream, for longer each time in a row. Without
- * it, a dead upstream, which answers fastest of all, draws all requests.
- *
- * Grounds: a lost or refused connection is a sign of its own; other errors must
- * come three in a row. The time doubles from 1 s to 30 s, so a restart of a few
- * seconds is noticed soon and a dead host costs two requests a minute. At most
- * the given share of the upstreams is ejected, since a fault that shows at most
- * of them is more likely the requests', and what is left could not carry the load.
+ * Ejects failing upstreams, based on the outcomes of real requests. A lost or
+ * refused connection ejects at once, other errors only after several in a row.
+ * The ejection time doubles with each consecutive ejection. At most the given
+ * share of the upstreams is ejected, since the rest must carry the load and a
+ * failure of most upstreams is more likely caused by the requests.
  */
 export class OutlierDetector {
   readonly #health = new Map<UpstreamId, Health>();
   readonly #ejected = new Set<UpstreamId>();
-  #upstreams: number;
+  #upstreamCount: number;
   #maximumEjectedShare: number;
 
   constructor(
-    { upstreamCount: upstreams, maximumEjectedShare }: OutlierDetectorOptions,
+    { upstreamCount, maximumEjectedShare }: OutlierDetectorOptions,
   ) {
-    this.#upstreams = upstreams;
+    this.#upstreamCount = upstreamCount;
     this.#maximumEjectedShare = maximumEjectedShare;
   }
 
-  /** Replaces the size of the pool and the cap. */
+  /** Replaces the options. */
   configure(
-    { upstreamCount: upstreams, maximumEjectedShare }: OutlierDetectorOptions,
+    { upstreamCount, maximumEjectedShare }: OutlierDetectorOptions,
   ): void {
-    this.#upstreams = upstreams;
+    this.#upstreamCount = upstreamCount;
     this.#maximumEjectedShare = maximumEjectedShare;
   }
 
-  /** Takes in how a request ended; true when the upstream is ejected by it. */
+  /**
+   * Records the outcome of a request; returns whether it ejects the upstream.
+   */
   observe(
     upstream: UpstreamId,
     outcome: AttemptOutcome,
@@ -61,24 +59,25 @@
   ): boolean {
     if (outcome === "cancelled") return false;
     if (outcome === "whole") {
-      // An answer that was under way when its upstream was ejected proves nothing.
+      // A request sent before the ejection does not prove recovery.
       if (!this.#ejected.has(upstream)) this.#health.delete(upstream);
       return false;
     }
     const health = this.#healthOf(upstream);
     health.errorsInARow++;
-    const isCertain = outcome === "upstream-lost" ||
+    const isConnectionFailure = outcome === "upstream-lost" ||
       outcome === "upstream-refused";
-    if (!isCertain && health.errorsInARow < ERRORS_IN_A_ROW) return false;
-    if (now - health.failedAt < SAME_LOSS_MS) return false;
+    if (!isConnectionFailure && health.errorsInARow < ERROR_LIMIT) return false;
+    if (now - health.failedAt < DUPLICATE_FAILURE_MS) return false;
     return this.#eject(upstream, health, now);
   }
 
+  /** Returns whether the upstream is ejected. */
   isEjected(upstream: UpstreamId): boolean {
     return this.#ejected.has(upstream);
   }
 
-  /** The upstreams whose time is over; they may be tried again, starting slowly. */
+  /** Removes and returns the upstreams whose ejection time is over. */
   takeExpired(now: Milliseconds): UpstreamId[] {
     const returning = [...this.#ejected].filter((upstream) =>
       this.#health.get(upstream)!.ejectedUntil <= now
@@ -87,7 +86,9 @@
     return returning;
   }
 
-  /** When the next ejected upstream may be tried, `undefined` when none is ejected. */
+  /**
+   * Returns the end of the next ejection, or `undefined` if none is ejected.
+   */
   nextExpiry(): Milliseconds | undefined {
     if (this.#ejected.size === 0) return undefined;
     return Math.min(
@@ -97,27 +98,27 @@
     );
   }
 
-  /** Forgets an upstream that is gone. */
+  /** Removes the state of an upstream that is gone. */
   remove(upstream: UpstreamId): void {
     this.#health.delete(upstream);
     this.#ejected.delete(upstream);
   }
 
   /**
-   * Of two or three upstreams one may go, whatever the share says. Without this
-   * a dead one of two stays in place and is granted again and again.
+   * Returns how many upstreams may be ejected: at least one of two or more, so
+   * that a small pool does not keep granting requests to a dead upstream.
    */
-  #cap(): number {
-    if (this.#upstreams < 2 || this.#maximumEjectedShare === 0) return 0;
-    const share = Math.floor(this.#upstreams * this.#maximumEjectedShare);
+  #maximumEjected(): number {
+    if (this.#upstreamCount < 2 || this.#maximumEjectedShare === 0) return 0;
+    const share = Math.floor(this.#upstreamCount * this.#maximumEjectedShare);
     return Math.max(1, share);
   }
 
   #eject(upstream: UpstreamId, health: Health, now: Milliseconds): boolean {
     health.failedAt = now;
     if (this.#ejected.has(upstream)) return false;
-    if (this.#ejected.size >= this.#cap()) return false;
-    const doubled = FIRST_EJECTION_MS * 2 ** health.ejections;
+    if (this.#ejected.size >= this.#maximumEjected()) return false;
+    const doubled = MINIMUM_EJECTION_MS * 2 ** health.ejections;
     health.ejectedUntil = now + Math.min(MAXIMUM_EJECTION_MS, doubled);
     health.ejections++;
     this.#ejected.add(upstream);
@@ -125,15 +126,15 @@
   }
 
   #healthOf(upstream: UpstreamId): Health {
-    const known = this.#health.get(upstream);
-    if (known !== undefined) return known;
-    const added = {
+    const existing = this.#health.get(upstream);
+    if (existing !== undefined) return existing;
+    const created = {
       errorsInARow: 0,
       ejections: 0,
       ejectedUntil: 0,
       failedAt: -Infinity,
     };
-    this.#health.set(upstream, added);
-    return added;
+    this.#health.set(upstream, created);
+    return created;
   }
 }
--- a/packages/decisions/src/outputLengthEstimator.ts
+++ b/packages/decisions/src/outputLengthEstimator.ts
@@ -1,63 +1,58 @@
 import type { ClientAccountId, Tier } from "@wasabivane/common";
 
-/** Buckets for each doubling of the length; a bucket spans a fifth. */
 const BUCKETS_PER_DOUBLING = 4;
 /** Covers lengths up to 2^17 tokens. */
 const BUCKETS = 17 * BUCKETS_PER_DOUBLING;
-/** A histogram this heavy is halved, so that about the last 500 answers count. */
+/** At this weight a histogram is halved, so that recent responses dominate. */
 const MAXIMUM_WEIGHT = 512;
-/** Answers after which a histogram counts as much as the one it refines. */
-const CONFIDENCE_WEIGHT = 35;
-/** An even spread over the doublings up to a bound has about this mean. */
+/** Responses after which a histogram weighs as much as its fallback. */
+const PRIOR_WEIGHT = 35;
+/** Mean of the log-uniform prior, as a share of the limit. */
 const PRIOR_MEAN_SHARE = 0.14;
-/** Bound on histograms; the least recently made are forgotten. */
+/** Maximum account histograms; the oldest is evicted first. */
 const MAXIMUM_HISTOGRAMS = 4_096;
 
-/** What a length is asked for. */
+/** Describes a request whose output length is estimated. */
 export interface OutputLengthQuery {
   readonly account: ClientAccountId;
   readonly tier: Tier;
   readonly maximumOutputTokens: number;
 }
 
-/** One finished answer, or one that was cut off. */
+/** Holds the output length of one response. */
 export interface OutputLengthObservation {
   readonly account: ClientAccountId;
   readonly tier: Tier;
   readonly outputTokens: number;
-  /** False when the answer was cut off, so that its length is a lower bound. */
+  /**
+   * Whether the response was complete; otherwise its length is a lower bound.
+   */
   readonly isComplete: boolean;
 }
 
 /**
- * Answers the load pattern of outputs that differ a hundredfold and are unknown
- * at arrival: distributions of the output length for each client account and
- * tier, which refine those of the tier, which refine an even spread over the
- * doublings up to the caller's own bound. Without it, the caller's bound would
- * be the only figure, and either every short request would be taken for a long
- * one or long ones would be started too late and be thrown away.
- *
- * Grounds: quarter doublings keep a quantile within 19 %; halving at 512 answers
- * follows a change of habit within a few hundred answers.
+ * Estimates the distribution of output lengths, which are unknown when a
+ * request arrives. The distribution of a client account and tier falls back to
+ * that of the tier and then to a log-uniform prior up to the caller's limit,
+ * weighted by the number of responses observed.
  */
 export class OutputLengthEstimator {
   readonly #accounts = new Map<string, Histogram>();
   readonly #tiers = new Map<Tier, Histogram>();
 
-  /** Takes in how long one answer was. */
+  /** Records the output length of one response. */
   observe(
-    { account, tier, outputTokens, isComplete: isWhole }:
-      OutputLengthObservation,
+    { account, tier, outputTokens, isComplete }: OutputLengthObservation,
   ): void {
     if (outputTokens <= 0) return;
-    // A cut answer would have been longer; dropping it would bias all
-    // estimates towards the short answers that were in time.
-    const tokens = isWhole ? outputTokens : outputTokens * 2;
+    // Ignoring interrupted responses would bias the estimates towards short
+    // ones.
+    const tokens = isComplete ? outputTokens : outputTokens * 2;
     this.#accountHistogram(account, tier).add(tokens);
     this.#tierHistogram(tier).add(tokens);
   }
 
-  /** What is known of the length of one request's answer. */
+  /** Returns the distribution of the output length of one request. */
   distribution(query: OutputLengthQuery): OutputLengthDistribution {
     return new OutputLengthDistribution({
       maximumOutputTokens: query.maximumOutputTokens,
@@ -68,14 +63,14 @@
 
   #accountHistogram(account: ClientAccountId, tier: Tier): Histogram {
     const key = keyOf(account, tier);
-    const known = this.#accounts.get(key);
-    if (known !== undefined) return known;
+    const existing = this.#accounts.get(key);
+    if (existing !== undefined) return existing;
     if (this.#accounts.size >= MAXIMUM_HISTOGRAMS) {
       this.#accounts.delete(this.#accounts.keys().next().value!);
     }
-    const added = new Histogram();
-    this.#accounts.set(key, added);
-    return added;
+    const created = new Histogram();
+    this.#accounts.set(key, created);
+    return created;
   }
 
   #tierHistogram(tier: Tier): Histogram {
@@ -85,7 +80,9 @@
   }
 }
 
-/** The output length of one request, up to the caller's own bound. */
+/**
+ * Holds the distribution of the output length of one request, up to its limit.
+ */
 export class OutputLengthDistribution {
   readonly #limit: number;
   readonly #limitBucket: number;
@@ -103,7 +100,10 @@
     this.#tier = tier;
   }
 
-  /** The length that a share `quantile` of such answers does not exceed. */
+  /**
+   * Returns the length that a share of `quantile` of the responses do not
+   * exceed.
+   */
   quantile(quantile: number): number {
     let low = 0;
     let high = this.#limitBucket;
@@ -112,21 +112,21 @@
       if (this.#shareUpTo(middle) >= quantile) high = middle;
       else low = middle + 1;
     }
-    return Math.min(this.#limit, Math.ceil(upperEnd(low)));
+    return Math.min(this.#limit, Math.ceil(upperLimitOf(low)));
   }
 
-  /** The chance that the answer has at most so many tokens. */
+  /** Returns the probability of a response with at most `tokens` tokens. */
   probabilityWithin(tokens: number): number {
     if (tokens >= this.#limit) return 1;
     if (tokens < 1) return 0;
     const bucket = bucketOf(tokens);
     const below = bucket === 0 ? 0 : this.#shareUpTo(bucket - 1);
     const inside = this.#shareUpTo(bucket) - below;
-    const start = upperEnd(bucket - 1);
-    return below + inside * (tokens - start) / (upperEnd(bucket) - start);
+    const start = upperLimitOf(bucket - 1);
+    return below + inside * (tokens - start) / (upperLimitOf(bucket) - start);
   }
 
-  /** Mean of the lengths, cut at the caller's bound. */
+  /** Returns the mean length, capped at the caller's limit. */
   mean(): number {
     const prior = this.#limit * PRIOR_MEAN_SHARE;
     const tierMean = blend(this.#tier, this.#tier?.mean ?? 0, prior);
@@ -149,12 +149,12 @@
   }
 }
 
-/** Cumulative weights of lengths in logarithmic buckets. */
+/** Holds cumulative weights of lengths in logarithmic buckets. */
 class Histogram {
   readonly #cumulative = new Float64Array(BUCKETS);
   #sum = 0;
-  /** Answers taken in, also those that count for less by now. */
-  seen = 0;
+  /** Responses recorded, not reduced by halving. */
+  observations = 0;
 
   get weight(): number {
     return this.#cumulative[BUCKETS - 1]!;
@@ -170,7 +170,7 @@
       this.#cumulative[bucket]! += 1;
     }
     this.#sum += tokens;
-    this.seen++;
+    this.observations++;
   }
 
   shareUpTo(bucket: number): number {
@@ -191,8 +191,9 @@
   fallback: number,
 ): number {
   if (histogram === undefined) return fallback;
-  const trust = histogram.seen / (histogram.seen + CONFIDENCE_WEIGHT);
-  return trust * value + (1 - trust) * fallback;
+  const weight = histogram.observations /
+    (histogram.observations + PRIOR_WEIGHT);
+  return weight * value + (1 - weight) * fallback;
 }
 
 function bucketOf(tokens: number): number {
@@ -200,7 +201,7 @@
   return Math.min(BUCKETS - 1, Math.max(0, bucket));
 }
 
-function upperEnd(bucket: number): number {
+function upperLimitOf(bucket: number): number {
   return 2 ** ((bucket + 1) / BUCKETS_PER_DOUBLING);
 }
 
--- a/packages/decisions/src/paceAllocator.ts
+++ b/packages/decisions/src/paceAllocator.ts
@@ -1,136 +1,134 @@
 import type { Milliseconds, Tier } from "@wasabivane/common";
 import type { TokenTimes } from "./speedEstimator.ts";
 
-/** One request as it arrives. */
+/** Holds the deadline and the estimated length of a request that arrives. */
 export interface PaceSample {
   readonly tier: Tier;
-  /** Time from now to its deadline. */
+  /** Time until the deadline. */
   readonly remaining: Milliseconds;
   readonly meanOutputTokens: number;
-  /** A length that few answers of its kind exceed. */
+  /** High quantile of the output length. */
   readonly longOutputTokens: number;
 }
 
-/** One upstream that gets a bound. */
+/** Holds the pace limit of one upstream and the times that it is based on. */
 export interface PacedUpstream {
   readonly times: TokenTimes;
-  /** Requests that may be in flight so that answers keep the pace. */
+  /** Maximum requests in flight at which responses keep the pace. */
   paceLimit: number;
-  /** The tier whose pace it keeps; undefined when it keeps none. */
+  /** Tier whose pace the limit is for; `undefined` if there is none. */
   paceTier: Tier | undefined;
 }
 
-/** Share of the time of an output token that grows with the requests in flight. */
+/**
+ * Share of the time per output token that grows with the requests in flight.
+ */
 export const LOAD_DEPENDENT_SHARE = 0.7;
-/** Time to first token that is set aside in each deadline. */
-const FIRST_TOKEN_MS = 2_000;
-/** An upstream that needs most of the pace when idle is left to less urgent tiers. */
-const IDLE_SHARE = 0.7;
-/** Places for a tier beyond its mean use, for the bursts within it. */
-const HEADROOM = 1.2;
-/** The pace is set a little faster, since the batch swings about its bound. */
-const MARGIN = 0.9;
-/** The bound rises at most to so many times the usual work in flight. */
-const MAXIMUM_STEP = 4;
-/** With fewer requests in flight an engine's step is nearly all fixed cost. */
-const MINIMUM_BOUND = 4;
-/** Share of the way to its new value that a bound goes at once, upwards and downwards. */
-const RISING_GAIN = 0.5;
-const FALLING_GAIN = 0.3;
-const RATE_GAIN = 0.1;
-const SAMPLE_GAIN = 0.02;
-/** A tier without requests for so long needs no places. */
-const FORGET_MS = 20_000;
+/** Part of each deadline that is reserved for the time to first token. */
+const FIRST_TOKEN_ALLOWANCE_MS = 2_000;
+/** Maximum share of the pace that one token may take on an idle upstream. */
+const MAXIMUM_IDLE_SHARE = 0.7;
+/** Factor on the slots that a tier needs on average, to absorb bursts. */
+const SLOT_HEADROOM = 1.2;
+/** Factor on the pace, since the batch size fluctuates around its limit. */
+const PACE_MARGIN = 0.9;
+/** Maximum ratio of the limit to the typical requests in flight. */
+const MAXIMUM_LOAD = 4;
+/** With fewer requests in flight, fixed costs dominate each engine step. */
+const MINIMUM_LIMIT = 4;
+/** Smoothing factors of a limit that rises or falls. */
+const RISING_WEIGHT = 0.5;
+const FALLING_WEIGHT = 0.3;
+const RATE_WEIGHT = 0.1;
+const SAMPLE_WEIGHT = 0.02;
+/** Time after the last request at which a tier is removed. */
+const TIER_EXPIRY_MS = 20_000;
 
 interface TierDemand {
   readonly tier: Tier;
-  asked: number;
-  perMs: number;
+  arrivals: number;
+  arrivalsPerMs: number;
   remaining: Milliseconds;
   meanOutputTokens: number;
   longOutputTokens: number;
-  lastAt: Milliseconds;
+  lastArrivalAt: Milliseconds;
 }
 
 /**
- * Answers the load pattern of overload with deadlines: a batching engine gives
- * more answers the fuller its batch, but each slower, until the long answers of
- * urgent tiers miss their deadlines. Each tier needs a pace, which is the time to
- * its deadline over the length of a long answer. The fastest upstreams keep the
- * pace of the top tier, as many as its load takes; the next keep that of the
- * next tier; what no tier claims runs as full as its engine allows. Without it,
- * either all run full and a tenth of the top tier comes late, or none does and a
- * third of the throughput is lost.
- *
- * Grounds: where prompts fill most of the steps, the time of an output token
- * grows nearly in proportion to the batch; where weights do, hardly. Seven
- * tenths lies between, and the bound is corrected from new answers twice a second.
+ * Limits the requests in flight at each upstream, so that responses of urgent
+ * tiers meet their deadlines. A larger batch raises the throughput of an engine
+ * but slows each response down. The pace of a tier is the time per output token
+ * at which a long response meets its deadline. The fastest upstreams, as many
+ * as the load requires, are limited to the pace of the most urgent tier, the
+ * next ones to that of the next tier. Upstreams that no tier needs have no pace
+ * limit.
  */
 export class PaceAllocator {
   readonly #tiers = new Map<Tier, TierDemand>();
-  #since: Milliseconds = 0;
+  #periodStart: Milliseconds = 0;
 
-  /** Takes in a request that arrives. */
+  /** Records a request that arrives. */
   recordArrival(sample: PaceSample, now: Milliseconds): void {
-    const known = this.#tiers.get(sample.tier);
-    if (known === undefined) {
+    const existing = this.#tiers.get(sample.tier);
+    if (existing === undefined) {
       this.#tiers.set(sample.tier, {
         ...sample,
-        asked: 1,
-        perMs: 0,
-        lastAt: now,
+        arrivals: 1,
+        arrivalsPerMs: 0,
+        lastArrivalAt: now,
       });
       return;
     }
-    known.asked++;
-    known.lastAt = now;
-    known.remaining = moved(known.remaining, sample.remaining);
-    known.meanOutputTokens = moved(
-      known.meanOutputTokens,
+    existing.arrivals++;
+    existing.lastArrivalAt = now;
+    existing.remaining = movingAverage(existing.remaining, sample.remaining);
+    existing.meanOutputTokens = movingAverage(
+      existing.meanOutputTokens,
       sample.meanOutputTokens,
     );
-    known.longOutputTokens = moved(
-      known.longOutputTokens,
+    existing.longOutputTokens = movingAverage(
+      existing.longOutputTokens,
       sample.longOutputTokens,
     );
   }
 
-  /** Gives each upstream its bound; the fastest come first. */
+  /** Updates the limit of each upstream; the fastest must come first. */
   assignLimits(upstreams: readonly PacedUpstream[], now: Milliseconds): void {
     const demands = this.#closePeriod(now);
-    let rung = 0;
-    let places = placesFor(demands[0]);
+    let tierIndex = 0;
+    let slots = slotsFor(demands[0]);
     for (const upstream of upstreams) {
-      while (rung < demands.length - 1 && places <= 0) {
-        rung++;
-        places = placesFor(demands[rung]);
+      while (tierIndex < demands.length - 1 && slots <= 0) {
+        tierIndex++;
+        slots = slotsFor(demands[tierIndex]);
       }
-      const demand = demands.slice(rung).find((candidate) =>
-        boundFor(upstream.times, paceOf(candidate)) > 0
+      const demand = demands.slice(tierIndex).find((candidate) =>
+        limitFor(upstream.times, paceOf(candidate)) > 0
       );
-      const bound = demand === undefined
+      const limit = demand === undefined
         ? Infinity
-        : boundFor(upstream.times, paceOf(demand));
+        : limitFor(upstream.times, paceOf(demand));
       upstream.paceTier = demand?.tier;
-      upstream.paceLimit = approach(upstream.paceLimit, bound);
-      if (demand === demands[rung]) places -= upstream.paceLimit;
+      upstream.paceLimit = smoothed(upstream.paceLimit, limit);
+      if (demand === demands[tierIndex]) slots -= upstream.paceLimit;
     }
   }
 
   #closePeriod(now: Milliseconds): TierDemand[] {
-    const elapsed = Math.max(1, now - this.#since);
-    this.#since = now;
+    const elapsed = Math.max(1, now - this.#periodStart);
+    this.#periodStart = now;
     for (const [tier, demand] of this.#tiers) {
-      demand.perMs += RATE_GAIN * (demand.asked / elapsed - demand.perMs);
-      demand.asked = 0;
-      if (now - demand.lastAt > FORGET_MS) this.#tiers.delete(tier);
+      demand.arrivalsPerMs += RATE_WEIGHT *
+        (demand.arrivals / elapsed - demand.arrivalsPerMs);
+      demand.arrivals = 0;
+      if (now - demand.lastArrivalAt > TIER_EXPIRY_MS) this.#tiers.delete(tier);
     }
     return [...this.#tiers.values()]
       .sort((left, right) => left.tier - right.tier);
   }
 }
 
-/** Time of one output token with this many requests in flight. */
+/** Returns the time per output token with `inFlight` requests in flight. */
 export function decodeTimeAt(
   { decodeMsPerToken, typicalInFlight }: TokenTimes,
   inFlight: number,
@@ -140,33 +138,38 @@
     (1 - LOAD_DEPENDENT_SHARE + LOAD_DEPENDENT_SHARE * load);
 }
 
-/** Requests in flight at which an upstream just keeps a pace; 0 when it hardly can. */
-function boundFor(times: TokenTimes, pace: Milliseconds): number {
-  if (decodeTimeAt(times, 1) > pace * IDLE_SHARE) return 0;
+/**
+ * Returns the requests in flight at which a pace is kept; 0 if it is too slow.
+ */
+function limitFor(times: TokenTimes, pace: Milliseconds): number {
+  if (decodeTimeAt(times, 1) > pace * MAXIMUM_IDLE_SHARE) return 0;
   const speedup = pace / times.decodeMsPerToken;
-  // Only part of the time grows with the load, so there is more room above it.
+  // Only part of the time grows with the load, so the load may exceed the
+  // speedup.
   const load = speedup > 1 ? 1 + (speedup - 1) / LOAD_DEPENDENT_SHARE : speedup;
-  const bound = Math.min(MAXIMUM_STEP, load) * times.typicalInFlight;
-  return Math.max(MINIMUM_BOUND, Math.round(bound));
+  const limit = Math.min(MAXIMUM_LOAD, load) * times.typicalInFlight;
+  return Math.max(MINIMUM_LIMIT, Math.round(limit));
 }
 
 function paceOf({ remaining, longOutputTokens }: TierDemand): Milliseconds {
-  return MARGIN * Math.max(1, remaining - FIRST_TOKEN_MS) / longOutputTokens;
+  return PACE_MARGIN * Math.max(1, remaining - FIRST_TOKEN_ALLOWANCE_MS) /
+    longOutputTokens;
 }
 
-/** Requests of a tier that are in flight at its pace. */
-function placesFor(demand: TierDemand | undefined): number {
+/** Returns the slots that a tier needs at its pace. */
+function slotsFor(demand: TierDemand | undefined): number {
   if (demand === undefined) return 0;
-  const spell = FIRST_TOKEN_MS / 2 + demand.meanOutputTokens * paceOf(demand);
-  return HEADROOM * demand.perMs * spell;
+  const duration = FIRST_TOKEN_ALLOWANCE_MS / 2 +
+    demand.meanOutputTokens * paceOf(demand);
+  return SLOT_HEADROOM * demand.arrivalsPerMs * duration;
 }
 
-function moved(former: number, sample: number): number {
-  return former + SAMPLE_GAIN * (sample - former);
+function movingAverage(previous: number, sample: number): number {
+  return previous + SAMPLE_WEIGHT * (sample - previous);
 }
 
-function approach(former: number, target: number): number {
-  if (!Number.isFinite(former) || !Number.isFinite(target)) return target;
-  const gain = target > former ? RISING_GAIN : FALLING_GAIN;
-  return former + gain * (target - former);
+function smoothed(previous: number, target: number): number {
+  if (!Number.isFinite(previous) || !Number.isFinite(target)) return target;
+  const weight = target > previous ? RISING_WEIGHT : FALLING_WEIGHT;
+  return previous + weight * (target - previous);
 }
--- a/packages/decisions/src/poisonAttemptTracker.ts
+++ b/packages/decisions/src/poisonAttemptTracker.ts
@@ -3,47 +3,53 @@
 import type { AttemptReport } from "./types.ts";
 import type { PoolAttempt } from "./upstreamState.ts";
 
-/** Tells {@link PoisonRequestDetector} what happens to the requests in flight, and keeps suspects apart. */
+/**
+ * Reports attempts to a {@link PoisonRequestDetector} and marks upstreams that
+ * run suspects.
+ */
 export class PoisonAttemptTracker {
-  readonly #suspects: PoisonRequestDetector;
+  readonly #detector: PoisonRequestDetector;
 
-  constructor(suspects: PoisonRequestDetector) {
-    this.#suspects = suspects;
+  constructor(detector: PoisonRequestDetector) {
+    this.#detector = detector;
   }
 
+  /** Returns whether requests with this content are suspects. */
   isSuspect(fingerprint: Digest, now: Milliseconds): boolean {
-    return this.#suspects.statusOf(fingerprint, now).kind === "suspect";
+    return this.#detector.statusOf(fingerprint, now).kind === "suspect";
   }
 
-  /** A request starts; a suspect keeps other suspects off its upstream. */
+  /** Marks the upstream if the request that starts is a suspect. */
   recordStart(attempt: PoolAttempt, now: Milliseconds): void {
     if (!this.isSuspect(attempt.placementRequest.fingerprint, now)) return;
     attempt.state.suspectRequest = attempt.placementRequest.request;
   }
 
-  /** A request ended; all that was in flight at a lost upstream was lost with it. */
+  /**
+   * Records the outcome of an attempt, and a loss once for each lost upstream.
+   */
   recordEnd(
     attempt: PoolAttempt,
     { outcome, outputTokens }: AttemptReport,
     now: Milliseconds,
   ): void {
     const { fingerprint } = attempt.placementRequest;
-    if (outcome === "whole") this.#suspects.recordCompletion(fingerprint, now);
+    if (outcome === "whole") this.#detector.recordCompletion(fingerprint, now);
     if (outcome !== "upstream-lost") return;
-    this.#learnLoss(attempt, now);
-    this.#suspects.recordLossProgress(fingerprint, outputTokens, now);
+    this.#recordLoss(attempt, now);
+    this.#detector.recordLossProgress(fingerprint, outputTokens, now);
   }
 
-  #learnLoss(
-    { state, isLossRecorded: isLost }: PoolAttempt,
+  #recordLoss(
+    { state, isLossRecorded }: PoolAttempt,
     now: Milliseconds,
   ): void {
-    if (isLost) return;
+    if (isLossRecorded) return;
     const lost = [...state.attempts.values()];
     for (const attempt of lost) attempt.isLossRecorded = true;
-    this.#suspects.recordUpstreamLoss(
+    this.#detector.recordUpstreamLoss(
       state.description.upstream,
-      lost.map(({ placementRequest: ask }) => ask.fingerprint),
+      lost.map(({ placementRequest }) => placementRequest.fingerprint),
       now,
     );
   }
--- a/packages/decisions/src/poisonRequestDetector.ts
+++ b/packages/decisions/src/poisonRequestDetector.ts
@@ -1,47 +1,45 @@
 import type { Digest, Milliseconds, UpstreamId } from "@wasabivane/common";
 
-/** What is held against one request content. */
+/** Holds what is known of a request content that may crash upstreams. */
 export interface PoisonRecord {
   readonly fingerprint: Digest;
   readonly kind: "suspect" | "convicted" | "cleared";
-  /** How long it holds on from now; clocks of keepers differ, spans do not. */
+  /** Time until the record expires; relative, since clocks of hosts differ. */
   readonly remainingMs: Milliseconds;
 }
 
-/** Whether a request may run, and how. */
+/** Tells whether a request may run, and under which restriction. */
 export type PoisonStatus =
   | { readonly kind: "clean" }
-  /** Not together with another suspect. */
+  /** May not share an upstream with another suspect. */
   | { readonly kind: "suspect" }
   | { readonly kind: "convicted"; readonly retryAfter: Milliseconds };
 
-/** Options of {@link PoisonRequestDetector}. */
+/** Options of a {@link PoisonRequestDetector}. */
 export interface PoisonRequestDetectorOptions {
   readonly maximumRecords?: number;
-  /** Whether losses of several upstreams at once count as an outage. */
+  /** Whether simultaneous losses of several upstreams count as an outage. */
   readonly shouldDetectOutages?: boolean;
 }
 
-const DEFAULT_MAXIMUM_SUSPICIONS = 4_096;
-/** A caller that resends does so within minutes. */
-const SUSPECT_MS = 120_000;
-/** Long enough that a persistent caller costs a few upstreams a day. */
-const CONVICTED_MS = 3_600_000;
-/** Tokens that arrive between the fatal point and the loss, on a fast engine. */
-const PROGRESS_SLACK_TOKENS = 32;
-/** Two losses this close with no request in common have another cause. */
+const DEFAULT_MAXIMUM_RECORDS = 4_096;
+const SUSPECT_TTL_MS = 120_000;
+const QUARANTINE_TTL_MS = 3_600_000;
+/** Tokens that may still arrive between the crash and the detected loss. */
+const PROGRESS_TOLERANCE_TOKENS = 32;
+/** Losses within this time that have no request in common are an outage. */
 const OUTAGE_WINDOW_MS = 1_000;
 
-interface Record {
+interface RequestRecord {
   kind: PoisonRecord["kind"];
   expiresAt: Milliseconds;
-  /** Losses that this content was present at. */
-  losses: Loss[];
-  /** Output tokens that had arrived when an upstream was lost with it, at most. */
-  furthest?: number;
+  /** Losses during which this content was in flight. */
+  losses: UpstreamLoss[];
+  /** Most output tokens that had arrived when an upstream was lost. */
+  maximumTokensAtLoss?: number;
 }
 
-interface Loss {
+interface UpstreamLoss {
   readonly upstream: UpstreamId;
   readonly at: Milliseconds;
   readonly fingerprints: readonly Digest[];
@@ -49,39 +47,36 @@
 }
 
 /**
- * Answers the load pattern of one request that kills each upstream that runs it
- * and is sent again. Whatever was in flight at a lost upstream is suspect; at
- * most one suspect runs at an upstream at a time; a second loss with it
- * convicts it, explains both losses and clears the others; a whole answer clears
- * it. Without it, one caller's retries take the whole pool down.
+ * Detects poison requests, which crash every upstream that runs them, so that
+ * retries of one caller cannot take the whole pool down. All requests in flight
+ * at a lost upstream become suspects, and at most one suspect runs at an
+ * upstream at a time. A second loss quarantines the suspect (`convicted`) and
+ * clears requests that were only involved in the same losses. A complete
+ * response clears a suspect.
  *
- * Losses of several upstreams within a second that share no request are taken
- * for an outage and make nobody suspect: the neighbour test of the paper "Sinks
- * (Better Compute)", which tells "this event" from "this destination" by whether
- * the neighbour fails too. docs/MEASUREMENTS.md has the measurement behind it.
- *
- * Grounds: memory is bounded by count and by time; the oldest entry goes first.
+ * Losses of several upstreams within a second that share no request are treated
+ * as an outage and create no suspects.
  */
 export class PoisonRequestDetector {
-  readonly #maximumSuspicions: number;
-  readonly #shouldTestNeighbours: boolean;
-  readonly #records = new Map<Digest, Record>();
+  readonly #maximumRecords: number;
+  readonly #shouldDetectOutages: boolean;
+  readonly #records = new Map<Digest, RequestRecord>();
   readonly #changed = new Set<Digest>();
-  #recentLosses: Loss[] = [];
+  #recentLosses: UpstreamLoss[] = [];
 
   constructor(
     {
-      maximumRecords: maximumSuspicions = DEFAULT_MAXIMUM_SUSPICIONS,
-      shouldDetectOutages: shouldTestNeighbours = true,
+      maximumRecords = DEFAULT_MAXIMUM_RECORDS,
+      shouldDetectOutages = true,
     }: PoisonRequestDetectorOptions = {},
   ) {
-    this.#maximumSuspicions = maximumSuspicions;
-    this.#shouldTestNeighbours = shouldTestNeighbours;
+    this.#maximumRecords = maximumRecords;
+    this.#shouldDetectOutages = shouldDetectOutages;
   }
 
-  /** How a request with this content may run. */
+  /** Returns the status of a request content. */
   statusOf(fingerprint: Digest, now: Milliseconds): PoisonStatus {
-    const record = this.#record(fingerprint, now);
+    const record = this.#currentRecord(fingerprint, now);
     if (record === undefined || record.kind === "cleared") {
       return { kind: "clean" };
     }
@@ -89,67 +84,69 @@
     return { kind: "convicted", retryAfter: record.expiresAt - now };
   }
 
-  /** An upstream was lost with these requests in flight. */
+  /** Records the loss of an upstream with these requests in flight. */
   recordUpstreamLoss(
     upstream: UpstreamId,
     fingerprints: readonly Digest[],
     now: Milliseconds,
   ): void {
     const loss = { upstream, at: now, fingerprints, isOutage: false };
-    if (this.#shouldTestNeighbours && this.#isOutage(loss)) return;
+    if (this.#shouldDetectOutages && this.#isOutage(loss)) return;
     this.#recentLosses.push(loss);
-    const culprits = fingerprints.filter((fingerprint) =>
-      this.#record(fingerprint, now)?.kind === "suspect"
+    const suspects = fingerprints.filter((fingerprint) =>
+      this.#currentRecord(fingerprint, now)?.kind === "suspect"
     );
-    // Two suspects at one lost upstream leave open which of them it was.
-    if (culprits.length === 1) return this.#convict(culprits[0]!, loss, now);
+    // With several suspects at the lost upstream, the cause is ambiguous.
+    if (suspects.length === 1) return this.#quarantine(suspects[0]!, loss, now);
     for (const fingerprint of fingerprints) this.#suspect(fingerprint, loss);
-    this.#forgetOldest();
+    this.#evictOldest();
   }
 
   /**
-   * How far a request had come when its upstream was lost. A content that kills
-   * does so at about the same point; one that got further than at its first loss
-   * met two unlucky upstreams and is not convicted for them.
+   * Records how many tokens a request had received when its upstream was lost.
+   * A poison request fails at about the same point each time; one that
+   * progressed further than at its first loss is not quarantined.
    */
   recordLossProgress(
     fingerprint: Digest,
     outputTokens: number,
     now: Milliseconds,
   ): void {
-    const record = this.#record(fingerprint, now);
+    const record = this.#currentRecord(fingerprint, now);
     if (record === undefined) return;
-    const former = record.furthest;
-    record.furthest = Math.max(former ?? 0, outputTokens);
-    if (record.kind !== "convicted" || former === undefined) return;
-    if (outputTokens <= former + PROGRESS_SLACK_TOKENS) return;
-    this.#set(fingerprint, "suspect", now + SUSPECT_MS);
+    const previous = record.maximumTokensAtLoss;
+    record.maximumTokensAtLoss = Math.max(previous ?? 0, outputTokens);
+    if (record.kind !== "convicted" || previous === undefined) return;
+    if (outputTokens <= previous + PROGRESS_TOLERANCE_TOKENS) return;
+    this.#set(fingerprint, "suspect", now + SUSPECT_TTL_MS);
   }
 
-  /** A request with this content was answered whole. */
+  /** Records that a request with this content completed. */
   recordCompletion(fingerprint: Digest, now: Milliseconds): void {
-    if (this.#record(fingerprint, now) === undefined) return;
-    this.#set(fingerprint, "cleared", now + SUSPECT_MS);
+    if (this.#currentRecord(fingerprint, now) === undefined) return;
+    this.#set(fingerprint, "cleared", now + SUSPECT_TTL_MS);
   }
 
-  /** Everything held now, as plain data for another keeper. */
+  /** Returns all current records as plain data for another scheduler. */
   exportRecords(now: Milliseconds): PoisonRecord[] {
     return [...this.#records.keys()].flatMap((fingerprint) =>
-      this.#suspicion(fingerprint, now)
+      this.#toPoisonRecords(fingerprint, now)
     );
   }
 
-  /** What changed since the last call, for the peers. */
+  /** Returns the records that changed since the last call. */
   drainChangedRecords(now: Milliseconds): PoisonRecord[] {
     const changed = [...this.#changed];
     this.#changed.clear();
-    return changed.flatMap((fingerprint) => this.#suspicion(fingerprint, now));
+    return changed.flatMap((fingerprint) =>
+      this.#toPoisonRecords(fingerprint, now)
+    );
   }
 
-  /** Takes in what other keepers hold; the graver of two views stands. */
-  importRecords(suspicions: readonly PoisonRecord[], now: Milliseconds): void {
-    for (const { fingerprint, kind, remainingMs } of suspicions) {
-      const record = this.#record(fingerprint, now);
+  /** Merges records of other schedulers; the more severe kind wins. */
+  importRecords(records: readonly PoisonRecord[], now: Milliseconds): void {
+    for (const { fingerprint, kind, remainingMs } of records) {
+      const record = this.#currentRecord(fingerprint, now);
       if (record?.kind === "convicted") continue;
       if (record?.kind === "cleared" && kind === "suspect") continue;
       this.#records.delete(fingerprint);
@@ -159,56 +156,57 @@
         expiresAt: now + remainingMs,
       });
     }
-    this.#forgetOldest();
+    this.#evictOldest();
   }
 
-  #isOutage(loss: Loss): boolean {
+  #isOutage(loss: UpstreamLoss): boolean {
     this.#recentLosses = this.#recentLosses.filter(({ at }) =>
       loss.at - at < OUTAGE_WINDOW_MS
     );
-    const present = new Set(loss.fingerprints);
-    const neighbours = this.#recentLosses.filter((other) =>
+    const lostFingerprints = new Set(loss.fingerprints);
+    const unrelated = this.#recentLosses.filter((other) =>
       other.upstream !== loss.upstream &&
-      !other.fingerprints.some((fingerprint) => present.has(fingerprint))
+      !other.fingerprints.some((fingerprint) =>
+        lostFingerprints.has(fingerprint)
+      )
     );
-    if (neighbours.length === 0) return false;
-    for (const neighbour of neighbours) this.#absolve(neighbour, loss.at);
+    if (unrelated.length === 0) return false;
+    for (const other of unrelated) this.#reclassifyAsOutage(other, loss.at);
     this.#recentLosses.push({ ...loss, isOutage: true });
     return true;
   }
 
-  #absolve(loss: Loss, now: Milliseconds): void {
+  #reclassifyAsOutage(loss: UpstreamLoss, now: Milliseconds): void {
     if (loss.isOutage) return;
     loss.isOutage = true;
     for (const fingerprint of loss.fingerprints) {
-      const record = this.#record(fingerprint, now);
+      const record = this.#currentRecord(fingerprint, now);
       if (record === undefined || !record.losses.includes(loss)) continue;
       record.losses = record.losses.filter((other) => other !== loss);
-      // With no loss left, nothing is held against it.
       const kind = record.losses.length > 0 ? "suspect" : "cleared";
       this.#set(fingerprint, kind, record.expiresAt);
     }
   }
 
-  #convict(culprit: Digest, loss: Loss, now: Milliseconds): void {
-    const record = this.#records.get(culprit)!;
-    const explained = [...record.losses, loss];
-    record.losses = explained;
-    this.#set(culprit, "convicted", now + CONVICTED_MS);
-    for (const { fingerprints } of explained) {
+  #quarantine(poison: Digest, loss: UpstreamLoss, now: Milliseconds): void {
+    const record = this.#records.get(poison)!;
+    const attributed = [...record.losses, loss];
+    record.losses = attributed;
+    this.#set(poison, "convicted", now + QUARANTINE_TTL_MS);
+    for (const { fingerprints } of attributed) {
       for (const fingerprint of fingerprints) {
-        if (fingerprint === culprit) continue;
-        const other = this.#record(fingerprint, now);
+        if (fingerprint === poison) continue;
+        const other = this.#currentRecord(fingerprint, now);
         if (other?.kind !== "suspect") continue;
-        if (!other.losses.every((held) => explained.includes(held))) continue;
-        this.#set(fingerprint, "cleared", now + SUSPECT_MS);
+        if (!other.losses.every((item) => attributed.includes(item))) continue;
+        this.#set(fingerprint, "cleared", now + SUSPECT_TTL_MS);
       }
     }
   }
 
-  #suspect(fingerprint: Digest, loss: Loss): void {
+  #suspect(fingerprint: Digest, loss: UpstreamLoss): void {
     const losses = [...this.#records.get(fingerprint)?.losses ?? [], loss];
-    this.#set(fingerprint, "suspect", loss.at + SUSPECT_MS);
+    this.#set(fingerprint, "suspect", loss.at + SUSPECT_TTL_MS);
     this.#records.get(fingerprint)!.losses = losses;
   }
 
@@ -217,29 +215,32 @@
     kind: PoisonRecord["kind"],
     expiresAt: Milliseconds,
   ): void {
-    const former = this.#records.get(fingerprint) ?? { losses: [] };
+    const previous = this.#records.get(fingerprint) ?? { losses: [] };
     this.#records.delete(fingerprint);
-    this.#records.set(fingerprint, { ...former, kind, expiresAt });
+    this.#records.set(fingerprint, { ...previous, kind, expiresAt });
     this.#changed.add(fingerprint);
   }
 
-  #record(fingerprint: Digest, now: Milliseconds): Record | undefined {
+  #currentRecord(
+    fingerprint: Digest,
+    now: Milliseconds,
+  ): RequestRecord | undefined {
     const record = this.#records.get(fingerprint);
     if (record === undefined || record.expiresAt > now) return record;
     this.#records.delete(fingerprint);
     return undefined;
   }
 
-  #suspicion(fingerprint: Digest, now: Milliseconds): PoisonRecord[] {
-    const record = this.#record(fingerprint, now);
+  #toPoisonRecords(fingerprint: Digest, now: Milliseconds): PoisonRecord[] {
+    const record = this.#currentRecord(fingerprint, now);
     if (record === undefined) return [];
     const remainingMs = record.expiresAt - now;
     return [{ fingerprint, kind: record.kind, remainingMs }];
   }
 
-  #forgetOldest(): void {
+  #evictOldest(): void {
     for (const fingerprint of this.#records.keys()) {
-      if (this.#records.size <= this.#maximumSuspicions) return;
+      if (this.#records.size <= this.#maximumRecords) return;
       this.#records.delete(fingerprint);
       this.#changed.delete(fingerprint);
     }
--- a/packages/decisions/src/poolScheduler.ts
+++ b/packages/decisions/src/poolScheduler.ts
@@ -44,33 +44,34 @@
 /** Options of a {@link PoolScheduler}. */
 export interface PoolSchedulerOptions {
   readonly random: Random;
-  /** Known times of the generations, before any answer was seen. */
+  /** Times by generation, used until responses were observed. */
   readonly generationTimes?: Readonly<Record<string, TokenTimes>>;
 }
 
-const PACE_PERIOD_MS = 500;
+const PACE_UPDATE_PERIOD_MS = 500;
 
 /**
- * The scheduler of a pool: it composes the modules of this package and decides
- * nothing that one of them could. {@link AdmissionControl} refuses on arrival,
- * {@link WaitQueue} keeps the order, {@link QueueDispatcher} finds who starts where, and
- * {@link UpstreamPool} learns how much each upstream may run.
+ * Schedules the requests of a pool by their tiers, deadlines and account
+ * limits. {@link AdmissionControl} refuses requests on arrival,
+ * {@link WaitQueue} orders the waiting ones, {@link QueueDispatcher} selects
+ * the next one and its upstream, and {@link UpstreamPool} limits the requests
+ * in flight at each upstream.
  */
 export class PoolScheduler extends Scheduler {
   readonly #pool: UpstreamPool;
   readonly #queue: WaitQueue;
   readonly #limits: AccountLimits;
-  readonly #lengths = new OutputLengthEstimator();
-  readonly #suspects = new PoisonRequestDetector();
-  readonly #suspectRuns = new PoisonAttemptTracker(this.#suspects);
-  readonly #drain = new DrainRate();
-  readonly #ladder = new PaceAllocator();
-  #pacedAt: Milliseconds = -Infinity;
+  readonly #lengthEstimator = new OutputLengthEstimator();
+  readonly #poisonRequests = new PoisonRequestDetector();
+  readonly #poisonAttempts = new PoisonAttemptTracker(this.#poisonRequests);
+  readonly #drainRate = new DrainRate();
+  readonly #paceAllocator = new PaceAllocator();
+  #paceLimitsUpdatedAt: Milliseconds = -Infinity;
   readonly #attempts = new Map<RequestId, PoolAttempt>();
-  readonly #distributions = new Map<RequestId, OutputLengthDistribution>();
+  readonly #outputLengths = new Map<RequestId, OutputLengthDistribution>();
   readonly #serviceTime: ServiceTime;
-  readonly #admission: AdmissionControl;
-  readonly #nextStart: QueueDispatcher;
+  readonly #admissionControl: AdmissionControl;
+  readonly #dispatcher: QueueDispatcher;
   #policy: PoolPolicy;
 
   constructor(policy: PoolPolicy, options: PoolSchedulerOptions) {
@@ -83,20 +84,20 @@
       maximumBytes: policy.maximumWaitingBytes,
     });
     this.#serviceTime = new ServiceTime(this.#pool);
-    this.#nextStart = new QueueDispatcher({
+    this.#dispatcher = new QueueDispatcher({
       pool: this.#pool,
       queue: this.#queue,
       limits: this.#limits,
-      poisonRequests: this.#suspects,
-      outputLengths: this.#distributions,
+      poisonRequests: this.#poisonRequests,
+      outputLengths: this.#outputLengths,
       policy: () => this.#policy,
     });
-    this.#admission = new AdmissionControl({
+    this.#admissionControl = new AdmissionControl({
       pool: this.#pool,
       queue: this.#queue,
       limits: this.#limits,
-      poisonRequests: this.#suspects,
-      drainRate: this.#drain,
+      poisonRequests: this.#poisonRequests,
+      drainRate: this.#drainRate,
       serviceTime: this.#serviceTime,
     });
   }
@@ -115,47 +116,58 @@
     return [...refused, ...this.#grantWaiting(now)];
   }
 
-  override submit(ask: PlacementRequest, now: Milliseconds): Decision[] {
-    // An ask that was delivered twice must not be granted twice.
-    if (this.#isKnown(ask.request)) return [];
-    const refusal = this.#admission.refuseImmediately(ask, now);
+  override submit(
+    placementRequest: PlacementRequest,
+    now: Milliseconds,
+  ): Decision[] {
+    // A request may be delivered twice but must be granted only once.
+    if (this.#isActive(placementRequest.request)) return [];
+    const refusal = this.#admissionControl.refuseImmediately(
+      placementRequest,
+      now,
+    );
     if (refusal !== undefined) return [refusal];
-    const lengths = this.#lengths.distribution(ask);
-    const expectedTokens = ask.promptTokens + lengths.mean();
-    this.#distributions.set(ask.request, lengths);
-    const { paceQuantile: longQuantile } = tierTargetsOf(
-      ask.tier,
+    const lengths = this.#lengthEstimator.distribution(placementRequest);
+    const expectedTokens = placementRequest.promptTokens + lengths.mean();
+    this.#outputLengths.set(placementRequest.request, lengths);
+    const { paceQuantile } = tierTargetsOf(
+      placementRequest.tier,
       this.#policy.tiers,
     );
-    this.#ladder.recordArrival({
-      tier: ask.tier,
-      remaining: ask.deadline - now,
+    this.#paceAllocator.recordArrival({
+      tier: placementRequest.tier,
+      remaining: placementRequest.deadline - now,
       meanOutputTokens: lengths.mean(),
-      longOutputTokens: lengths.quantile(longQuantile),
+      longOutputTokens: lengths.quantile(paceQuantile),
     }, now);
-    const latestStart = this.#latestStart(ask);
+    const latestStart = this.#latestStart(placementRequest);
     const details = { lengths, expectedTokens, latestStart, now };
-    const late = this.#admission.refuseUnreachable(ask, details);
-    if (late !== undefined) {
-      this.#distributions.delete(ask.request);
-      return [late];
+    const unreachable = this.#admissionControl.refuseUnreachable(
+      placementRequest,
+      details,
+    );
+    if (unreachable !== undefined) {
+      this.#outputLengths.delete(placementRequest.request);
+      return [unreachable];
     }
-    this.#limits.charge(ask, expectedTokens);
-    const shed = this.#queue.push(ask, {
+    this.#limits.charge(placementRequest, expectedTokens);
+    const shed = this.#queue.push(placementRequest, {
       now,
       expectedTokens,
-      expectedMs: this.#serviceTime.expected(ask, lengths.mean()),
-      costMs: this.#serviceTime.cost(ask, lengths.mean(), now),
+      expectedMs: this.#serviceTime.expected(placementRequest, lengths.mean()),
+      costMs: this.#serviceTime.cost(placementRequest, lengths.mean(), now),
       latestStart,
     });
-    const decisions = shed.map((waiting) => this.#giveUp(waiting, "shed", now));
+    const decisions = shed.map((queued) =>
+      this.#refuseWaiting(queued, "shed", now)
+    );
     return [...decisions, ...this.#grantWaiting(now)];
   }
 
   override withdraw(request: RequestId, _now: Milliseconds): boolean {
-    const waiting = this.#queue.remove(request);
-    if (waiting === undefined) return false;
-    this.#leaveQueue(waiting);
+    const queued = this.#queue.remove(request);
+    if (queued === undefined) return false;
+    this.#releaseWaiting(queued);
     return true;
   }
 
@@ -168,34 +180,36 @@
     const attempt = this.#attempts.get(report.request);
     if (attempt === undefined) return [];
     this.#attempts.delete(report.request);
-    this.#suspectRuns.recordEnd(attempt, report, now);
+    this.#poisonAttempts.recordEnd(attempt, report, now);
     this.#pool.recordEnd(attempt, report, now);
-    this.#settle(attempt, report);
+    this.#recordUsage(attempt, report);
     return this.#grantWaiting(now);
   }
 
   override adopt(
-    { placementRequest: ask, upstream, grantedAt, hasFirstToken }:
-      InFlightAttempt,
+    { placementRequest, upstream, grantedAt, hasFirstToken }: InFlightAttempt,
     now: Milliseconds,
   ): void {
     const state = this.#pool.states.get(upstream);
-    if (state === undefined || this.#attempts.has(ask.request)) return;
-    const attempt = state.add(ask, {
+    if (state === undefined || this.#attempts.has(placementRequest.request)) {
+      return;
+    }
+    const attempt = state.add(placementRequest, {
       now: grantedAt,
-      uncachedTokens: ask.promptTokens,
-      expectedTokens: ask.promptTokens + this.#lengths.distribution(ask).mean(),
+      uncachedTokens: placementRequest.promptTokens,
+      expectedTokens: placementRequest.promptTokens +
+        this.#lengthEstimator.distribution(placementRequest).mean(),
     });
     if (hasFirstToken) state.recordPrefill(attempt, now);
-    this.#suspectRuns.recordStart(attempt, now);
-    this.#attempts.set(ask.request, attempt);
-    this.#limits.recordAdoption(ask.account);
+    this.#poisonAttempts.recordStart(attempt, now);
+    this.#attempts.set(placementRequest.request, attempt);
+    this.#limits.recordAdoption(placementRequest.account);
     this.#pool.refreshAvailability(state);
   }
 
   override dropOrigin(origin: HostId, now: Milliseconds): Decision[] {
-    for (const waiting of this.#queue.removeAll(origin)) {
-      this.#leaveQueue(waiting);
+    for (const queued of this.#queue.removeAll(origin)) {
+      this.#releaseWaiting(queued);
     }
     for (const attempt of [...this.#attempts.values()]) {
       if (attempt.placementRequest.origin !== origin) continue;
@@ -227,34 +241,34 @@
 
   override tick(now: Milliseconds): Decision[] {
     this.#pool.tick(now);
-    if (now - this.#pacedAt >= PACE_PERIOD_MS) {
-      this.#pacedAt = now;
-      this.#pool.assignPaceLimits(this.#ladder, now);
-      this.#queue.updateLatestStarts(({ placementRequest: ask }) =>
-        this.#latestStart(ask)
+    if (now - this.#paceLimitsUpdatedAt >= PACE_UPDATE_PERIOD_MS) {
+      this.#paceLimitsUpdatedAt = now;
+      this.#pool.assignPaceLimits(this.#paceAllocator, now);
+      this.#queue.updateLatestStarts(({ placementRequest }) =>
+        this.#latestStart(placementRequest)
       );
     }
-    const decisions = this.#queue.removeExpired(now).map((waiting) =>
-      this.#giveUp(waiting, "deadline-unreachable", now)
+    const decisions = this.#queue.removeExpired(now).map((queued) =>
+      this.#refuseWaiting(queued, "deadline-unreachable", now)
     );
     decisions.push(...this.#grantWaiting(now));
-    this.#drain.closePeriod(this.#queue.size > 0, now);
+    this.#drainRate.closePeriod(this.#queue.size > 0, now);
     return decisions;
   }
 
   override importPoisonRecords(
-    suspicions: readonly PoisonRecord[],
+    records: readonly PoisonRecord[],
     now: Milliseconds,
   ): void {
-    this.#suspects.importRecords(suspicions, now);
+    this.#poisonRequests.importRecords(records, now);
   }
 
   override exportPoisonRecords(now: Milliseconds): PoisonRecord[] {
-    return this.#suspects.exportRecords(now);
+    return this.#poisonRequests.exportRecords(now);
   }
 
   override drainPoisonRecords(now: Milliseconds): PoisonRecord[] {
-    return this.#suspects.drainChangedRecords(now);
+    return this.#poisonRequests.drainChangedRecords(now);
   }
 
   override status(): SchedulerStatus {
@@ -270,118 +284,123 @@
     };
   }
 
-  #isKnown(request: RequestId): boolean {
-    return this.#distributions.has(request) || this.#attempts.has(request);
+  #isActive(request: RequestId): boolean {
+    return this.#outputLengths.has(request) || this.#attempts.has(request);
   }
 
   #grantWaiting(now: Milliseconds): Decision[] {
     const decisions: Decision[] = [];
-    let start = this.#nextStart.next(now);
-    while (start !== undefined) {
+    let result = this.#dispatcher.next(now);
+    while (result !== undefined) {
       decisions.push(
-        start.kind === "place"
-          ? this.#grant(start.queued, start.selected, now)
-          : this.#refuseConvicted(start.queued, now),
+        result.kind === "start"
+          ? this.#grant(result.queued, result.selected, now)
+          : this.#refuseQuarantined(result.queued, now),
       );
-      start = this.#nextStart.next(now);
+      result = this.#dispatcher.next(now);
     }
     return decisions;
   }
 
-  /** Another copy of the request was convicted while this one waited. */
-  #refuseConvicted(waiting: QueuedRequest, now: Milliseconds): Decision {
-    this.#leaveQueue(waiting);
-    return this.#admission.refuseImmediately(waiting.placementRequest, now)!;
+  /** Refuses a request whose content was quarantined while it waited. */
+  #refuseQuarantined(queued: QueuedRequest, now: Milliseconds): Decision {
+    this.#releaseWaiting(queued);
+    return this.#admissionControl.refuseImmediately(
+      queued.placementRequest,
+      now,
+    )!;
   }
 
-  /** Upstreams turn slower or faster than they were when a request came. */
-  #latestStart(ask: PlacementRequest): Milliseconds {
-    const { abandonBelow: giveUpBelow } = tierTargetsOf(
-      ask.tier,
+  /** Returns the latest start at the current upstream speeds. */
+  #latestStart(placementRequest: PlacementRequest): Milliseconds {
+    const { abandonBelow } = tierTargetsOf(
+      placementRequest.tier,
       this.#policy.tiers,
     );
-    return this.#serviceTime.latestStart(ask, {
-      lengths: this.#distributions.get(ask.request)!,
-      probability: giveUpBelow,
+    return this.#serviceTime.latestStart(placementRequest, {
+      lengths: this.#outputLengths.get(placementRequest.request)!,
+      probability: abandonBelow,
     });
   }
 
   #grant(
-    waiting: QueuedRequest,
-    place: SelectedUpstream,
+    queued: QueuedRequest,
+    selected: SelectedUpstream,
     now: Milliseconds,
   ): Decision {
-    const { placementRequest: ask, expectedTokens } = waiting;
-    const { state, cachedTokens } = place;
-    this.#distributions.delete(ask.request);
-    const attempt = state.add(ask, {
+    const { placementRequest, expectedTokens } = queued;
+    const { state, cachedTokens } = selected;
+    this.#outputLengths.delete(placementRequest.request);
+    const attempt = state.add(placementRequest, {
       now,
-      uncachedTokens: ask.promptTokens - cachedTokens,
+      uncachedTokens: placementRequest.promptTokens - cachedTokens,
       expectedTokens,
     });
-    this.#suspectRuns.recordStart(attempt, now);
-    this.#attempts.set(ask.request, attempt);
-    this.#limits.recordStart(ask.account);
-    this.#drain.recordGrant(expectedTokens);
+    this.#poisonAttempts.recordStart(attempt, now);
+    this.#attempts.set(placementRequest.request, attempt);
+    this.#limits.recordStart(placementRequest.account);
+    this.#drainRate.recordGrant(expectedTokens);
     this.#pool.recordGrant(attempt);
     return {
       kind: "grant",
-      placementRequest: ask,
+      placementRequest,
       upstream: state.description.upstream,
       expectedCachedTokens: cachedTokens,
     };
   }
 
-  /** Every upstream is leaving; no wait would help. */
+  /** Refuses all waiting requests when no active upstream is left. */
   #refuseAllWaiting(): Decision[] {
-    return this.#queue.removeAll().map((waiting) => {
-      this.#leaveQueue(waiting);
+    return this.#queue.removeAll().map((queued) => {
+      this.#releaseWaiting(queued);
       return createRefusal(
-        waiting.placementRequest,
+        queued.placementRequest,
         "no-upstream",
         NO_UPSTREAM_RETRY_MS,
       );
     });
   }
 
-  #settle(attempt: PoolAttempt, report: AttemptReport): void {
-    const { placementRequest: ask, expectedTokens } = attempt;
-    const usedTokens = ask.promptTokens + report.outputTokens;
-    this.#limits.recordEnd(ask.account, {
+  #recordUsage(attempt: PoolAttempt, report: AttemptReport): void {
+    const { placementRequest, expectedTokens } = attempt;
+    const usedTokens = placementRequest.promptTokens + report.outputTokens;
+    this.#limits.recordEnd(placementRequest.account, {
       chargedTokens: expectedTokens,
       usedTokens,
     });
     this.#queue.correctServedTokens(
-      ask.tier,
-      ask.account,
+      placementRequest.tier,
+      placementRequest.account,
       usedTokens - expectedTokens,
     );
-    this.#lengths.observe({
-      account: ask.account,
-      tier: ask.tier,
+    this.#lengthEstimator.observe({
+      account: placementRequest.account,
+      tier: placementRequest.tier,
       outputTokens: report.outputTokens,
       isComplete: report.outcome === "whole",
     });
   }
 
-  #leaveQueue({ placementRequest: ask, expectedTokens }: QueuedRequest): void {
-    this.#distributions.delete(ask.request);
-    this.#limits.refund(ask, expectedTokens);
+  #releaseWaiting(
+    { placementRequest, expectedTokens }: QueuedRequest,
+  ): void {
+    this.#outputLengths.delete(placementRequest.request);
+    this.#limits.refund(placementRequest, expectedTokens);
   }
 
-  #giveUp(
-    waiting: QueuedRequest,
+  #refuseWaiting(
+    queued: QueuedRequest,
     reason: "shed" | "deadline-unreachable",
     now: Milliseconds,
   ): Decision {
-    this.#leaveQueue(waiting);
-    const retryAfter = this.#admission.queueRetryAfter();
+    this.#releaseWaiting(queued);
+    const retryAfter = this.#admissionControl.queueRetryAfter();
     return {
       kind: "refuse",
-      placementRequest: waiting.placementRequest,
+      placementRequest: queued.placementRequest,
       reason,
       retryAfter,
-      estimate: now - waiting.enqueuedAt + retryAfter + waiting.expectedMs,
+      estimate: now - queued.enqueuedAt + retryAfter + queued.expectedMs,
     };
   }
 }
--- a/packages/decisions/src/prefixCacheIndex.ts
+++ b/packages/decisions/src/prefixCacheIndex.ts
@@ -2,7 +2,7 @@
 import { BYTES_PER_TOKEN, PREFIX_BLOCK_BYTES } from "@wasabivane/common";
 import type { CacheEvent } from "./types.ts";
 
-/** An upstream that holds leading blocks of a prompt. */
+/** Names an upstream that has leading blocks of a prompt in its cache. */
 export interface CacheHolder {
   readonly upstream: UpstreamId;
   readonly blocks: number;
@@ -10,52 +10,48 @@
 
 /** Options of a {@link PrefixCacheIndex}. */
 export interface PrefixCacheIndexOptions {
-  /** Bound on remembered blocks over all upstreams. */
+  /** Limit on cached blocks, summed over all upstreams. */
   readonly maximumBlocks?: number;
 }
 
-/** Prompt tokens in one cached block. */
+/** Counts the prompt tokens in one cached block. */
 export const TOKENS_PER_BLOCK = PREFIX_BLOCK_BYTES / BYTES_PER_TOKEN;
 
 const DEFAULT_MAXIMUM_BLOCKS = 400_000;
-/** After a gap, an eviction may have been missed: older entries count so long. */
-const DOUBTED_ENTRY_MS = 30_000;
-/** An entry that nothing confirmed counts so long. */
-const ENTRY_MS = 300_000;
-/** An entry younger than this is not renewed. */
-const FRESH_ENTRY_MS = 5_000;
-/** More holders than these add no choice to one decision. */
-const MAXIMUM_HOLDERS = 8;
-/** More holders of one block are not remembered; the oldest is forgotten first. */
-const MAXIMUM_HOLDERS_KEPT = 32;
-
-interface Entry {
+/** Lifetime of entries older than an event gap, which may hide an eviction. */
+const UNCERTAIN_ENTRY_TTL_MS = 30_000;
+const ENTRY_TTL_MS = 300_000;
+/** Minimum age at which an entry is renewed. */
+const MINIMUM_RENEWAL_AGE_MS = 5_000;
+/** Maximum holders returned by a search. */
+const MAXIMUM_HOLDERS_RETURNED = 8;
+/** Maximum holders stored for one block; the oldest is evicted first. */
+const MAXIMUM_HOLDERS_PER_BLOCK = 32;
+
+interface CacheEntry {
   readonly storedAt: Milliseconds;
   readonly epoch: number;
 }
 
-interface UpstreamEvents {
+interface EventState {
   sequence: number;
+  /** Incremented when the cache is cleared, to invalidate older entries. */
   epoch: number;
-  gapAt: Milliseconds;
+  lastGapAt: Milliseconds;
 }
 
 /**
- * Answers the load pattern of prompts that share prefixes: which upstream holds
- * which blocks, from its late and gapped cache events and from our own
- * dispatches, which are known at once. A wrong entry costs a prefill, never an
- * answer. Without it, a shared prefix is computed at every upstream again.
- *
- * Grounds: blocks are chained, so a holder of a later block holds the earlier
- * ones, and a binary search finds the longest match in eight look-ups. A missed
- * eviction is possible only after a gap; 30 s is about the time in which a busy
- * engine turns its cache over.
+ * Tracks which upstream has which prompt blocks cached, based on its cache
+ * events, which may be late or missing, and on the prompts sent to it. A wrong
+ * entry only costs an additional prefill. Blocks are chained: a holder of a
+ * block also holds all earlier ones, so that a binary search finds the longest
+ * match.
  */
 export class PrefixCacheIndex {
   readonly #maximumBlocks: number;
-  readonly #holders = new Map<Digest, Map<UpstreamId, Entry>>();
-  readonly #events = new Map<UpstreamId, UpstreamEvents>();
-  #entries = 0;
+  readonly #holders = new Map<Digest, Map<UpstreamId, CacheEntry>>();
+  readonly #eventStates = new Map<UpstreamId, EventState>();
+  #entryCount = 0;
 
   constructor(
     { maximumBlocks = DEFAULT_MAXIMUM_BLOCKS }: PrefixCacheIndexOptions = {},
@@ -63,46 +59,46 @@
     this.#maximumBlocks = maximumBlocks;
   }
 
-  /** Blocks that a dispatched prompt has left at its upstream. */
+  /** Records that an upstream has these blocks cached. */
   recordStored(
     upstream: UpstreamId,
     digests: readonly Digest[],
     now: Milliseconds,
   ): void {
     const last = digests.at(-1);
-    if (last === undefined || this.#isFresh(last, upstream, now)) return;
-    const { epoch } = this.#eventsOf(upstream);
+    if (last === undefined || this.#isRecent(last, upstream, now)) return;
+    const { epoch } = this.#eventStateOf(upstream);
     for (const digest of digests) this.#store(digest, upstream, now, epoch);
-    this.#forgetOldest();
+    this.#evictOldest();
   }
 
-  /** Takes in an event of the upstream itself. */
+  /** Applies a cache event of an upstream; outdated events are ignored. */
   applyEvent(event: CacheEvent, now: Milliseconds): void {
-    const known = this.#eventsOf(event.upstream);
-    if (event.sequence <= known.sequence) return;
-    if (known.sequence > 0 && event.sequence > known.sequence + 1) {
-      known.gapAt = now;
+    const eventState = this.#eventStateOf(event.upstream);
+    if (event.sequence <= eventState.sequence) return;
+    if (eventState.sequence > 0 && event.sequence > eventState.sequence + 1) {
+      eventState.lastGapAt = now;
     }
-    known.sequence = event.sequence;
+    eventState.sequence = event.sequence;
     switch (event.kind) {
       case "stored":
         return this.recordStored(event.upstream, event.digests, now);
       case "evicted":
         return event.digests.forEach((digest) =>
-          this.#drop(digest, event.upstream)
+          this.#delete(digest, event.upstream)
         );
       case "cleared":
-        known.epoch++;
+        eventState.epoch++;
     }
   }
 
-  /** The upstream lost its cache, as after a crash. */
+  /** Invalidates all entries of an upstream, such as after a crash. */
   clear(upstream: UpstreamId): void {
-    const known = this.#eventsOf(upstream);
-    known.epoch++;
+    const eventState = this.#eventStateOf(upstream);
+    eventState.epoch++;
   }
 
-  /** How many leading blocks an upstream holds. */
+  /** Returns how many leading blocks an upstream has cached. */
   cachedBlocks(
     upstream: UpstreamId,
     digests: readonly Digest[],
@@ -111,18 +107,18 @@
     return longestMatch(digests, (digest) => this.#has(digest, upstream, now));
   }
 
-  /** Upstreams that hold leading blocks, the longest match first. */
+  /** Returns upstreams that hold leading blocks, the longest match first. */
   holders(digests: readonly Digest[], now: Milliseconds): CacheHolder[] {
     if (digests.length === 0 || !this.#holders.has(digests[0]!)) return [];
     const found: CacheHolder[] = [];
     const seen = new Set<UpstreamId>();
     let blocks = longestMatch(digests, (digest) => this.#holders.has(digest));
-    // A holder of a later block holds the earlier ones, so that the first level
-    // at which it is met is a lower bound of what it holds.
-    while (blocks > 0 && found.length < MAXIMUM_HOLDERS) {
+    // `blocks` is halved in each step, so the match found for a holder is a
+    // lower bound of its longest match.
+    while (blocks > 0 && found.length < MAXIMUM_HOLDERS_RETURNED) {
       const digest = digests[blocks - 1]!;
       for (const upstream of this.#holders.get(digest)!.keys()) {
-        if (found.length >= MAXIMUM_HOLDERS) break;
+        if (found.length >= MAXIMUM_HOLDERS_RETURNED) break;
         if (seen.has(upstream)) continue;
         seen.add(upstream);
         if (this.#has(digest, upstream, now)) found.push({ upstream, blocks });
@@ -132,20 +128,22 @@
     return found;
   }
 
-  /** Whether a block was stored so lately that storing it again says nothing new. */
-  #isFresh(digest: Digest, upstream: UpstreamId, now: Milliseconds): boolean {
+  /** Returns whether the entry is too recent to be renewed. */
+  #isRecent(digest: Digest, upstream: UpstreamId, now: Milliseconds): boolean {
     const entry = this.#holders.get(digest)?.get(upstream);
-    return entry !== undefined && now - entry.storedAt < FRESH_ENTRY_MS &&
-      entry.epoch === this.#eventsOf(upstream).epoch;
+    return entry !== undefined &&
+      now - entry.storedAt < MINIMUM_RENEWAL_AGE_MS &&
+      entry.epoch === this.#eventStateOf(upstream).epoch;
   }
 
   #has(digest: Digest, upstream: UpstreamId, now: Milliseconds): boolean {
     const entry = this.#holders.get(digest)?.get(upstream);
     if (entry === undefined) return false;
-    const { epoch, gapAt } = this.#eventsOf(upstream);
+    const { epoch, lastGapAt } = this.#eventStateOf(upstream);
     if (entry.epoch !== epoch) return false;
     const age = now - entry.storedAt;
-    return age < (entry.storedAt < gapAt ? DOUBTED_ENTRY_MS : ENTRY_MS);
+    return age <
+      (entry.storedAt < lastGapAt ? UNCERTAIN_ENTRY_TTL_MS : ENTRY_TTL_MS);
   }
 
   #store(
@@ -154,49 +152,50 @@
     storedAt: Milliseconds,
     epoch: number,
   ): void {
-    const holders = this.#holders.get(digest) ?? new Map<UpstreamId, Entry>();
+    const holders = this.#holders.get(digest) ??
+      new Map<UpstreamId, CacheEntry>();
     this.#holders.delete(digest);
     this.#holders.set(digest, holders);
-    if (!holders.delete(upstream)) this.#entries++;
+    if (!holders.delete(upstream)) this.#entryCount++;
     holders.set(upstream, { storedAt, epoch });
-    if (holders.size <= MAXIMUM_HOLDERS_KEPT) return;
+    if (holders.size <= MAXIMUM_HOLDERS_PER_BLOCK) return;
     holders.delete(holders.keys().next().value!);
-    this.#entries--;
+    this.#entryCount--;
   }
 
-  #drop(digest: Digest, upstream: UpstreamId): void {
+  #delete(digest: Digest, upstream: UpstreamId): void {
     const holders = this.#holders.get(digest);
     if (holders?.delete(upstream) !== true) return;
-    this.#entries--;
+    this.#entryCount--;
     if (holders.size === 0) this.#holders.delete(digest);
   }
 
-  #forgetOldest(): void {
+  #evictOldest(): void {
     for (const [digest, holders] of this.#holders) {
-      if (this.#entries <= this.#maximumBlocks) return;
+      if (this.#entryCount <= this.#maximumBlocks) return;
       this.#holders.delete(digest);
-      this.#entries -= holders.size;
+      this.#entryCount -= holders.size;
     }
   }
 
-  #eventsOf(upstream: UpstreamId): UpstreamEvents {
-    const known = this.#events.get(upstream);
-    if (known !== undefined) return known;
-    const added = { sequence: 0, epoch: 0, gapAt: -Infinity };
-    this.#events.set(upstream, added);
-    return added;
+  #eventStateOf(upstream: UpstreamId): EventState {
+    const existing = this.#eventStates.get(upstream);
+    if (existing !== undefined) return existing;
+    const created = { sequence: 0, epoch: 0, lastGapAt: -Infinity };
+    this.#eventStates.set(upstream, created);
+    return created;
   }
 }
 
 function longestMatch(
   digests: readonly Digest[],
-  isHeld: (digest: Digest) => boolean,
+  isCached: (digest: Digest) => boolean,
 ): number {
   let low = 0;
   let high = digests.length;
   while (low < high) {
     const middle = (low + high + 1) >> 1;
-    if (isHeld(digests[middle - 1]!)) low = middle;
+    if (isCached(digests[middle - 1]!)) low = middle;
     else high = middle - 1;
   }
   return low;
--- a/packages/decisions/src/queueDispatcher.ts
+++ b/packages/decisions/src/queueDispatcher.ts
@@ -13,7 +13,7 @@
 import type { UpstreamPool } from "./upstreamPool.ts";
 import type { WaitQueue } from "./waitQueue.ts";
 
-/** What a {@link QueueDispatcher} looks at. */
+/** Holds the components that a {@link QueueDispatcher} uses. */
 export interface QueueDispatcherOptions {
   readonly pool: UpstreamPool;
   readonly queue: WaitQueue;
@@ -23,19 +23,22 @@
   readonly policy: () => PoolPolicy;
 }
 
-/** A request that left the queue: to start, or never to. */
+/** Holds a request that left the queue, to be started or to be refused. */
 export type DispatchResult =
   | {
-    readonly kind: "place";
+    readonly kind: "start";
     readonly queued: QueuedRequest;
     readonly selected: SelectedUpstream;
   }
   | { readonly kind: "convicted"; readonly queued: QueuedRequest };
 
-/** A request that found no place is looked at again when another kind of upstream is free, or after this. */
+/**
+ * Time for which a request stays blocked unless another upstream group becomes
+ * free.
+ */
 const BLOCKED_MS = 250;
 
-/** Finds the first waiting request that can start, and where. */
+/** Selects the next waiting request that can start, and its upstream. */
 export class QueueDispatcher {
   readonly #options: QueueDispatcherOptions;
 
@@ -43,54 +46,58 @@
     this.#options = options;
   }
 
-  /** Takes the next request out of the queue; undefined when none can start. */
+  /**
+   * Removes the next request from the queue; returns `undefined` if none can
+   * start.
+   */
   next(now: Milliseconds): DispatchResult | undefined {
-    const { queue, pool, poisonRequests: suspects } = this.#options;
+    const { queue, pool, poisonRequests } = this.#options;
     if (queue.size === 0 || pool.free.size === 0) return undefined;
-    let place: SelectedUpstream | undefined;
-    const waiting = queue.take((candidate): StartEligibility => {
-      const verdict = suspects.statusOf(
+    let selected: SelectedUpstream | undefined;
+    const queued = queue.take((candidate): StartEligibility => {
+      const status = poisonRequests.statusOf(
         candidate.placementRequest.fingerprint,
         now,
       );
-      if (verdict.kind === "convicted") return "start";
-      const acceptance = this.#checkBefore(candidate, now);
-      if (acceptance !== undefined) return acceptance;
-      place = this.#findPlace(candidate, verdict, now);
-      if (place !== undefined) return "start";
+      if (status.kind === "convicted") return "start";
+      const eligibility = this.#preCheck(candidate, now);
+      if (eligibility !== undefined) return eligibility;
+      selected = this.#selectUpstream(candidate, status, now);
+      if (selected !== undefined) return "start";
       candidate.blockedGroupMask = pool.free.groupMask;
       candidate.blockedUntil = now + BLOCKED_MS;
       return "blocked";
     });
-    if (waiting === undefined) return undefined;
-    if (place === undefined) return { kind: "convicted", queued: waiting };
-    return { kind: "place", queued: waiting, selected: place };
+    if (queued === undefined) return undefined;
+    if (selected === undefined) return { kind: "convicted", queued };
+    return { kind: "start", queued, selected };
   }
 
-  /** Why a request need not be looked at closely. */
-  #checkBefore(
-    { placementRequest: ask, blockedGroupMask: blockedKinds, blockedUntil }:
-      QueuedRequest,
+  /**
+   * Returns why no upstream has to be selected, or `undefined` if one must be.
+   */
+  #preCheck(
+    { placementRequest, blockedGroupMask, blockedUntil }: QueuedRequest,
     now: Milliseconds,
   ): StartEligibility | undefined {
     const { limits, pool } = this.#options;
-    if (!limits.hasFreeSlot(ask.account)) return "account-blocked";
+    if (!limits.hasFreeSlot(placementRequest.account)) return "account-blocked";
     const isStillBlocked = now < blockedUntil &&
-      (pool.free.groupMask & ~blockedKinds) === 0;
+      (pool.free.groupMask & ~blockedGroupMask) === 0;
     return isStillBlocked ? "still-blocked" : undefined;
   }
 
-  #findPlace(
-    waiting: QueuedRequest,
-    verdict: PoisonStatus,
+  #selectUpstream(
+    queued: QueuedRequest,
+    status: PoisonStatus,
     now: Milliseconds,
   ): SelectedUpstream | undefined {
-    const { pool, queue, outputLengths: distributions, policy } = this.#options;
+    const { pool, queue, outputLengths, policy } = this.#options;
     return selectUpstream(pool, {
-      queued: waiting,
-      lengths: distributions.get(waiting.placementRequest.request)!,
-      isSuspect: verdict.kind === "suspect",
-      minimumProbability: this.#leastProbability(waiting, now),
+      queued,
+      lengths: outputLengths.get(queued.placementRequest.request)!,
+      isSuspect: status.kind === "suspect",
+      minimumProbability: this.#minimumProbability(queued, now),
       isBusy: queue.size > 1,
       domainDistanceMs: policy().domainDistanceMs,
       now,
@@ -98,17 +105,17 @@
   }
 
   /**
-   * A request waits for a better upstream only while no lower tier would take
-   * the place; else it could be given up after the lower tier was served.
+   * Returns the probability below which a request waits for a better upstream.
+   * It is lower when a request of a lower tier would take the slot instead.
    */
-  #leastProbability(
-    { placementRequest: { tier }, enqueuedAt: since }: QueuedRequest,
+  #minimumProbability(
+    { placementRequest: { tier }, enqueuedAt }: QueuedRequest,
     now: Milliseconds,
   ): number {
     const { queue, policy } = this.#options;
     const targets = tierTargetsOf(tier, policy().tiers);
     const isContended = (queue.lowestTier() ?? tier) > tier &&
-      now - since >= targets.contentionGraceMs;
+      now - enqueuedAt >= targets.contentionGraceMs;
     return isContended ? targets.contendedWaitBelow : targets.waitBelow;
   }
 }
--- a/packages/decisions/src/roundRobinScheduler.ts
+++ b/packages/decisions/src/roundRobinScheduler.ts
@@ -21,42 +21,45 @@
 } from "./types.ts";
 
 /**
- * The obvious scheduler, kept as the naive twin of `PoolScheduler`: round robin,
- * first come first served, no bounds. Under overload every engine queues
- * without limit, answers come after their deadlines and their prefill is wasted.
+ * Schedules round robin, as a baseline for `PoolScheduler`: every request is
+ * granted on arrival, without queue or limits.
  */
 export class RoundRobinScheduler extends Scheduler {
   readonly #running = new RunningAttempts();
   #policy: PoolPolicy;
-  #targets: UpstreamId[] = [];
-  #turn = 0;
+  #activeUpstreams: UpstreamId[] = [];
+  #nextIndex = 0;
 
   constructor(policy: PoolPolicy) {
     super();
     this.#policy = policy;
-    this.#listTargets();
+    this.#updateActiveUpstreams();
   }
 
   override setPolicy(policy: PoolPolicy, _now: Milliseconds): Decision[] {
     this.#policy = policy;
-    this.#listTargets();
+    this.#updateActiveUpstreams();
     return [];
   }
 
-  override submit(ask: PlacementRequest, now: Milliseconds): Decision[] {
-    if (this.#targets.length === 0) {
+  override submit(
+    placementRequest: PlacementRequest,
+    now: Milliseconds,
+  ): Decision[] {
+    if (this.#activeUpstreams.length === 0) {
       return [{
         kind: "refuse",
-        placementRequest: ask,
+        placementRequest,
         reason: "no-upstream",
         retryAfter: NO_UPSTREAM_RETRY_MS,
       }];
     }
-    const upstream = this.#targets[this.#turn++ % this.#targets.length]!;
-    this.#running.grant(ask, upstream, now);
+    const upstream = this
+      .#activeUpstreams[this.#nextIndex++ % this.#activeUpstreams.length]!;
+    this.#running.grant(placementRequest, upstream, now);
     return [{
       kind: "grant",
-      placementRequest: ask,
+      placementRequest,
       upstream,
       expectedCachedTokens: 0,
     }];
@@ -78,8 +81,8 @@
   }
 
   override dropOrigin(origin: HostId, _now: Milliseconds): Decision[] {
-    for (const { placementRequest: ask } of this.#running.ofOrigin(origin)) {
-      this.#running.remove(ask.request);
+    for (const { placementRequest } of this.#running.ofOrigin(origin)) {
+      this.#running.remove(placementRequest.request);
     }
     return [];
   }
@@ -114,8 +117,8 @@
     };
   }
 
-  #listTargets(): void {
-    this.#targets = this.#policy.upstreams
+  #updateActiveUpstreams(): void {
+    this.#activeUpstreams = this.#policy.upstreams
       .filter(({ isLeaving }) => !isLeaving)
       .map(({ upstream }) => upstream);
   }
--- a/packages/decisions/src/scheduler.ts
+++ b/packages/decisions/src/scheduler.ts
@@ -15,7 +15,9 @@
   PoolPolicy,
 } from "./types.ts";
 
-/** A request that was granted earlier, perhaps by another keeper of the pool. */
+/**
+ * Describes a granted request, possibly granted by a scheduler on another host.
+ */
 export interface InFlightAttempt {
   readonly placementRequest: PlacementRequest;
   readonly upstream: UpstreamId;
@@ -23,7 +25,7 @@
   readonly hasFirstToken: boolean;
 }
 
-/** How much a scheduler holds, for status and metrics. */
+/** Holds queue lengths and upstream states for status pages and metrics. */
 export interface SchedulerStatus {
   readonly waiting: readonly {
     tier: number;
@@ -40,47 +42,54 @@
 }
 
 /**
- * Decides for one pool of upstreams who starts where and when. It needs no
- * network: every input is a call, every output a {@link Decision}. The time of
- * each call is given and never goes back.
+ * Decides when and at which upstream of one pool each request starts. It does
+ * no I/O: every input is a method call, every output a {@link Decision}. The
+ * caller passes the current time, which never decreases.
  */
 export abstract class Scheduler {
   /** Replaces the policy; waiting and running requests stay. */
   abstract setPolicy(policy: PoolPolicy, now: Milliseconds): Decision[];
-  /** Takes a request in; the decision may come at once or from a later call. */
-  abstract submit(ask: PlacementRequest, now: Milliseconds): Decision[];
-  /** Takes back a waiting request; false when it is not waiting. */
+  /** Queues a request; this call or a later one returns its decision. */
+  abstract submit(
+    placementRequest: PlacementRequest,
+    now: Milliseconds,
+  ): Decision[];
+  /** Removes a waiting request; returns false if it is not waiting. */
   abstract withdraw(request: RequestId, now: Milliseconds): boolean;
-  /** The first token of a granted request arrived. */
+  /** Records that the first token of a granted request arrived. */
   abstract recordFirstToken(request: RequestId, now: Milliseconds): void;
-  /** A granted request ended; frees its place. */
+  /** Records the end of a granted request and frees its slot. */
   abstract finish(report: AttemptReport, now: Milliseconds): Decision[];
-  /** Takes over a request that is running already. */
+  /** Takes over a request that is already running. */
   abstract adopt(attempt: InFlightAttempt, now: Milliseconds): void;
-  /** An origin is gone; its waiting asks are dropped and running ones freed. */
+  /** Removes the waiting and running requests of an entry host that is gone. */
   abstract dropOrigin(origin: HostId, now: Milliseconds): Decision[];
-  /** An engine's lagging report. */
+  /** Applies a load report of an engine. */
   abstract applyLoadReport(report: LoadReport, now: Milliseconds): Decision[];
-  /** An engine's late cache event. */
+  /** Applies a prefix cache event of an engine. */
   abstract applyCacheEvent(event: CacheEvent, now: Milliseconds): void;
-  /** Share of the pool's capacity that this scheduler may fill, 0 to 1; below 1 in a partition. */
+  /**
+   * Sets the share of the pool's capacity that this scheduler may use, 0 to 1;
+   * it is below 1 during a network partition.
+   */
   abstract setCapacityShare(share: number, now: Milliseconds): Decision[];
-  /** Deadlines, probes and expiries; call at least every 100 ms. */
+  /** Handles deadlines and expiries; must be called at least every 100 ms. */
   abstract tick(now: Milliseconds): Decision[];
+  /** Returns the current queue lengths and upstream states. */
   abstract status(): SchedulerStatus;
 
-  /** Takes in what other keepers hold against request contents. */
+  /** Merges poison records of schedulers on other hosts. */
   importPoisonRecords(
-    _suspicions: readonly PoisonRecord[],
+    _records: readonly PoisonRecord[],
     _now: Milliseconds,
   ): void {}
 
-  /** All that is held against request contents, for a keeper that takes over. */
+  /** Returns all poison records, for a scheduler that takes over the pool. */
   exportPoisonRecords(_now: Milliseconds): PoisonRecord[] {
     return [];
   }
 
-  /** What changed since the last call; to be told to the peers at once. */
+  /** Returns the poison records that changed since the last call. */
   drainPoisonRecords(_now: Milliseconds): PoisonRecord[] {
     return [];
   }
--- a/packages/decisions/src/serviceTime.ts
+++ b/packages/decisions/src/serviceTime.ts
@@ -4,7 +4,7 @@
 import type { PlacementRequest } from "./types.ts";
 import type { UpstreamPool } from "./upstreamPool.ts";
 
-/** What requests take of a pool, at the upstreams that answer them soonest. */
+/** Estimates the time that requests take at the fastest upstreams of a pool. */
 export class ServiceTime {
   readonly #pool: UpstreamPool;
 
@@ -12,41 +12,57 @@
     this.#pool = pool;
   }
 
-  /** Time from the start to the whole answer. */
-  expected(ask: PlacementRequest, outputTokens: number): Milliseconds {
-    const times = this.#pool.fastestTimes(outputTokens, ask.promptTokens);
-    return ask.promptTokens * times.prefillMsPerToken +
+  /** Returns the expected time from the start to the complete response. */
+  expected(
+    placementRequest: PlacementRequest,
+    outputTokens: number,
+  ): Milliseconds {
+    const times = this.#pool.fastestTimes(
+      outputTokens,
+      placementRequest.promptTokens,
+    );
+    return placementRequest.promptTokens * times.prefillMsPerToken +
       outputTokens * times.decodeMsPerToken;
   }
 
   /**
-   * Time of an upstream that the request takes from others: its prompt the whole
-   * upstream, each output token its share of a batch.
+   * Returns the upstream time that the request uses: the full time of its
+   * uncached prompt, and its share of the batch for each output token.
    */
   cost(
-    ask: PlacementRequest,
+    placementRequest: PlacementRequest,
     outputTokens: number,
     now: Milliseconds,
   ): Milliseconds {
-    const times = this.#pool.fastestTimes(outputTokens, ask.promptTokens);
-    const [holder] = this.#pool.cache.holders(ask.prefixDigests, now);
+    const times = this.#pool.fastestTimes(
+      outputTokens,
+      placementRequest.promptTokens,
+    );
+    const [holder] = this.#pool.cache.holders(
+      placementRequest.prefixDigests,
+      now,
+    );
     const cachedTokens = (holder?.blocks ?? 0) * TOKENS_PER_BLOCK;
-    const uncachedTokens = Math.max(0, ask.promptTokens - cachedTokens);
+    const uncachedTokens = Math.max(
+      0,
+      placementRequest.promptTokens - cachedTokens,
+    );
     return uncachedTokens * times.prefillMsPerToken +
       outputTokens * times.decodeMsPerToken /
         Math.max(1, times.typicalInFlight);
   }
 
-  /** The last moment at which a start leaves this chance of meeting the deadline. */
+  /** Returns the latest start that meets the deadline with this probability. */
   latestStart(
-    ask: PlacementRequest,
+    placementRequest: PlacementRequest,
     { lengths, probability }: {
       lengths: OutputLengthDistribution;
       probability: number;
     },
   ): Milliseconds {
-    // Nothing was answered yet: a guess at the speed is no ground for a refusal.
-    if (!this.#pool.hasKnownSpeeds) return ask.deadline;
-    return ask.deadline - this.expected(ask, lengths.quantile(probability));
+    // Default speeds are too unreliable to refuse a request.
+    if (!this.#pool.hasKnownSpeeds) return placementRequest.deadline;
+    return placementRequest.deadline -
+      this.expected(placementRequest, lengths.quantile(probability));
   }
 }
--- a/packages/decisions/src/tierQueue.ts
+++ b/packages/decisions/src/tierQueue.ts
@@ -2,8 +2,9 @@
 import { AccountQueue, type QueuedRequest } from "./accountQueue.ts";
 
 /**
- * Whether a waiting request can start now: yes; not where there is room; not,
- * as was found before; or no request of its account.
+ * Tells whether a queued request can start now: it can, no free upstream is
+ * suitable, nothing has changed since it was blocked, or its account is at its
+ * concurrency limit.
  */
 export type StartEligibility =
   | "start"
@@ -11,21 +12,21 @@
   | "still-blocked"
   | "account-blocked";
 
-/** Accounts that are looked at in one call. */
-const MAXIMUM_LANES = 8;
-/** Requests of one account that are looked at in one call. */
+/** Maximum accounts tried in one call. */
+const MAXIMUM_ACCOUNTS_TRIED = 8;
+/** Maximum requests of one account tried in one call. */
 const MAXIMUM_BLOCKED_TRIES = 4;
-const MAXIMUM_FRESH_TRIES = 4;
+const MAXIMUM_UNTRIED_TRIES = 4;
 
-/** The lanes of one tier, the account with the fewest served tokens first. */
+/** Holds the account queues of one tier, the fewest served tokens first. */
 export class TierQueue {
   readonly tier: Tier;
-  readonly #lanes = new Map<ClientAccountId, AccountQueue>();
-  #ready = new Heap<AccountQueue>((left, right) =>
+  readonly #queues = new Map<ClientAccountId, AccountQueue>();
+  #heap = new Heap<AccountQueue>((left, right) =>
     left.servedTokens < right.servedTokens
   );
-  #costly = new Heap<QueuedRequest>(isCostlier);
-  #reached = 0;
+  #bySize = new Heap<QueuedRequest>(isLarger);
+  #servedFloor = 0;
   size = 0;
   tokens = 0;
 
@@ -33,91 +34,97 @@
     this.tier = tier;
   }
 
-  add(waiting: QueuedRequest): void {
-    const { account } = waiting.placementRequest;
-    const lane = this.#lanes.get(account) ?? new AccountQueue(account);
-    this.#lanes.set(account, lane);
-    if (lane.size === 0) {
-      lane.servedTokens = Math.max(lane.servedTokens, this.#reached);
-      this.#enter(lane);
+  add(queued: QueuedRequest): void {
+    const { account } = queued.placementRequest;
+    const queue = this.#queues.get(account) ?? new AccountQueue(account);
+    this.#queues.set(account, queue);
+    if (queue.size === 0) {
+      queue.servedTokens = Math.max(queue.servedTokens, this.#servedFloor);
+      this.#addToHeap(queue);
     }
-    lane.add(waiting);
+    queue.add(queued);
     this.size++;
-    this.tokens += waiting.expectedTokens;
-    this.#costly.push(waiting);
-    if (this.#costly.size > 64 + 2 * this.size) this.#rebuildCostly();
+    this.tokens += queued.expectedTokens;
+    this.#bySize.push(queued);
+    if (this.#bySize.size > 64 + 2 * this.size) this.#rebuildBySize();
   }
 
-  /** Counts out a request that left; the heaps drop it later. */
-  remove(waiting: QueuedRequest): void {
+  /** Removes a request; the heaps discard it later. */
+  remove(queued: QueuedRequest): void {
     this.size--;
-    this.tokens -= waiting.expectedTokens;
-    this.#lanes.get(waiting.placementRequest.account)!.remove(waiting);
+    this.tokens -= queued.expectedTokens;
+    this.#queues.get(queued.placementRequest.account)!.remove(queued);
   }
 
   /**
-   * Takes out the first request that can start. Each lane's blocked requests are
-   * tried again before its fresh ones; a few of each, so that a call stays cheap.
+   * Removes and returns the first request that can start. Blocked requests of
+   * an account are tried before untried ones; the number of tries is limited.
    */
   take(
-    accept: (waiting: QueuedRequest) => StartEligibility,
+    check: (queued: QueuedRequest) => StartEligibility,
   ): QueuedRequest | undefined {
     if (this.size === 0) return undefined;
-    const lanes: AccountQueue[] = [];
+    const tried: AccountQueue[] = [];
     let found: QueuedRequest | undefined;
-    while (found === undefined && lanes.length < MAXIMUM_LANES) {
-      const lane = this.#ready.pop();
-      if (lane === undefined) break;
-      lanes.push(lane);
-      found = takeFrom(lane, accept);
+    while (found === undefined && tried.length < MAXIMUM_ACCOUNTS_TRIED) {
+      const queue = this.#heap.pop();
+      if (queue === undefined) break;
+      tried.push(queue);
+      found = takeFrom(queue, check);
       if (found === undefined) continue;
-      this.#reached = Math.max(this.#reached, lane.servedTokens);
-      lane.servedTokens += found.expectedTokens;
+      this.#servedFloor = Math.max(this.#servedFloor, queue.servedTokens);
+      queue.servedTokens += found.expectedTokens;
     }
-    for (const lane of lanes) {
-      lane.isInHeap = false;
-      if (lane.size > 0) this.#enter(lane);
+    for (const queue of tried) {
+      queue.isInHeap = false;
+      if (queue.size > 0) this.#addToHeap(queue);
     }
     return found;
   }
 
+  /** Adds to the served tokens of an account and restores the heap order. */
   addServedTokens(account: ClientAccountId, tokens: number): void {
-    const lane = this.#lanes.get(account);
-    if (lane === undefined) return;
-    lane.servedTokens += tokens;
-    if (!lane.isInHeap) return;
-    const lanes = [...this.#lanes.values()].filter(({ isInHeap: isReady }) =>
-      isReady
+    const queue = this.#queues.get(account);
+    if (queue === undefined) return;
+    queue.servedTokens += tokens;
+    if (!queue.isInHeap) return;
+    const queues = [...this.#queues.values()].filter(({ isInHeap }) =>
+      isInHeap
     );
-    this.#ready = new Heap((left, right) =>
+    this.#heap = new Heap((left, right) =>
       left.servedTokens < right.servedTokens
     );
-    lanes.forEach((ready) => this.#ready.push(ready));
+    queues.forEach((entry) => this.#heap.push(entry));
   }
 
+  /** Returns the request with the most expected tokens. */
   largest(): QueuedRequest | undefined {
-    let first = this.#costly.peek();
+    let first = this.#bySize.peek();
     while (first?.isRemoved) {
-      this.#costly.pop();
-      first = this.#costly.peek();
+      this.#bySize.pop();
+      first = this.#bySize.peek();
     }
     return first;
   }
 
+  /**
+   * Returns the tokens that would be served before a request of this length.
+   */
   tokensAhead(account: ClientAccountId, expectedTokens: number): number {
-    const lane = this.#lanes.get(account);
-    const own = lane?.tokensOfShorterRequests(expectedTokens) ?? 0;
+    const queue = this.#queues.get(account);
+    const own = queue?.tokensOfShorterRequests(expectedTokens) ?? 0;
     let ahead = own;
-    // While the account's own share is served, each other account gets as much.
-    for (const other of this.#lanes.values()) {
-      if (other === lane || other.size === 0) continue;
+    // Until then, each other account is served at most as many tokens.
+    for (const other of this.#queues.values()) {
+      if (other === queue || other.size === 0) continue;
       ahead += Math.min(other.tokens, own + expectedTokens);
     }
     return ahead;
   }
 
+  /** Returns the number of waiting requests by account. */
   counts(): { tier: Tier; account: ClientAccountId; requests: number }[] {
-    return [...this.#lanes.values()]
+    return [...this.#queues.values()]
       .filter(({ size }) => size > 0)
       .map(({ account, size }) => ({
         tier: this.tier,
@@ -126,57 +133,57 @@
       }));
   }
 
-  #enter(lane: AccountQueue): void {
-    if (lane.isInHeap) return;
-    lane.isInHeap = true;
-    this.#ready.push(lane);
+  #addToHeap(queue: AccountQueue): void {
+    if (queue.isInHeap) return;
+    queue.isInHeap = true;
+    this.#heap.push(queue);
   }
 
-  #rebuildCostly(): void {
-    this.#costly = new Heap(isCostlier);
-    for (const lane of this.#lanes.values()) {
-      for (const waiting of lane.waiting()) this.#costly.push(waiting);
+  #rebuildBySize(): void {
+    this.#bySize = new Heap(isLarger);
+    for (const queue of this.#queues.values()) {
+      for (const queued of queue.list()) this.#bySize.push(queued);
     }
   }
 }
 
 function takeFrom(
-  lane: AccountQueue,
-  accept: (waiting: QueuedRequest) => StartEligibility,
+  queue: AccountQueue,
+  check: (queued: QueuedRequest) => StartEligibility,
 ): QueuedRequest | undefined {
-  return tryEach(lane, accept, {
-    pop: () => lane.popBlocked(),
+  return tryEach(queue, check, {
+    pop: () => queue.popBlocked(),
     limit: MAXIMUM_BLOCKED_TRIES,
-  }) ?? tryEach(lane, accept, {
-    pop: () => lane.popUntried(),
-    limit: MAXIMUM_FRESH_TRIES,
+  }) ?? tryEach(queue, check, {
+    pop: () => queue.popUntried(),
+    limit: MAXIMUM_UNTRIED_TRIES,
   });
 }
 
 function tryEach(
-  lane: AccountQueue,
-  accept: (waiting: QueuedRequest) => StartEligibility,
+  queue: AccountQueue,
+  check: (queued: QueuedRequest) => StartEligibility,
   { pop, limit }: { pop: () => QueuedRequest | undefined; limit: number },
 ): QueuedRequest | undefined {
-  const untried: QueuedRequest[] = [];
+  const unchanged: QueuedRequest[] = [];
   let found: QueuedRequest | undefined;
   for (let tries = 0; tries < limit; tries++) {
-    const waiting = pop();
-    if (waiting === undefined) break;
-    const acceptance = accept(waiting);
-    if (acceptance === "start") {
-      found = waiting;
+    const queued = pop();
+    if (queued === undefined) break;
+    const eligibility = check(queued);
+    if (eligibility === "start") {
+      found = queued;
       break;
     }
-    if (acceptance === "blocked") lane.pushBlocked(waiting);
-    else untried.push(waiting);
-    if (acceptance === "account-blocked") break;
+    if (eligibility === "blocked") queue.pushBlocked(queued);
+    else unchanged.push(queued);
+    if (eligibility === "account-blocked") break;
   }
-  untried.forEach((waiting) => lane.putBack(waiting));
+  unchanged.forEach((queued) => queue.putBack(queued));
   return found;
 }
 
-function isCostlier(left: QueuedRequest, right: QueuedRequest): boolean {
+function isLarger(left: QueuedRequest, right: QueuedRequest): boolean {
   if (left.expectedTokens !== right.expectedTokens) {
     return left.expectedTokens > right.expectedTokens;
   }
--- a/packages/decisions/src/types.ts
+++ b/packages/decisions/src/types.ts
@@ -9,31 +9,31 @@
   UpstreamId,
 } from "@wasabivane/common";
 
-/** A request that wants to start at one upstream of a service. */
+/** Describes a request that is submitted to the scheduler of a pool. */
 export interface PlacementRequest {
   readonly request: RequestId;
-  /** The entry host that holds the caller and the body. */
+  /** Entry host that holds the caller's connection and the request body. */
   readonly origin: HostId;
   readonly originDomain: FailureDomain;
   readonly account: ClientAccountId;
   readonly tier: Tier;
   readonly promptTokens: number;
-  /** Upper bound that the caller set on generated tokens. */
+  /** Limit that the caller set on generated tokens. */
   readonly maximumOutputTokens: number;
-  /** Bytes that the entry host holds while the request waits. */
+  /** Size of the body that the entry host buffers while the request waits. */
   readonly bodyBytes: number;
-  /** When the whole answer must have arrived, on the scheduler's clock. */
+  /** Time by which the complete response is due, on the scheduler's clock. */
   readonly deadline: Milliseconds;
   /**
-   * Digests of the prompt's leading blocks, longest prefix last. They are
-   * salted by client account, so equal prompts of two accounts never match.
+   * Digests of the prompt's prefixes, the longest last. They are salted with
+   * the client account, so equal prompts of two accounts never match.
    */
   readonly prefixDigests: readonly Digest[];
-  /** Client account, model and content; the same for every resend. */
+  /** Digest of client account, model and content; equal for every retry. */
   readonly fingerprint: Digest;
 }
 
-/** Why a request was refused before it ran. */
+/** Lists the reasons for refusing a request before it runs. */
 export const REFUSAL_REASONS = [
   "deadline-unreachable",
   "deadline-passed",
@@ -44,16 +44,16 @@
   "stopping",
 ] as const;
 
-/** See {@link REFUSAL_REASONS}. */
+/** Names one of {@link REFUSAL_REASONS}. */
 export type RefusalReason = typeof REFUSAL_REASONS[number];
 
-/** What the scheduler decided about one ask. */
+/** Holds the scheduler's decision on one request. */
 export type Decision =
   | {
     readonly kind: "grant";
     readonly placementRequest: PlacementRequest;
     readonly upstream: UpstreamId;
-    /** Prompt tokens expected to be found in the upstream's cache. */
+    /** Prompt tokens expected to be in the upstream's prefix cache. */
     readonly expectedCachedTokens: number;
   }
   | {
@@ -61,11 +61,11 @@
     readonly placementRequest: PlacementRequest;
     readonly reason: RefusalReason;
     readonly retryAfter: Milliseconds;
-    /** Estimated whole time, where the refusal rests on one. */
+    /** Estimated total response time, if the refusal is based on one. */
     readonly estimate?: Milliseconds;
   };
 
-/** How one granted request ended at its upstream. */
+/** Lists the ways in which an attempt at an upstream ends. */
 export const ATTEMPT_OUTCOMES = [
   "whole",
   "cancelled",
@@ -75,20 +75,20 @@
   "timeout",
 ] as const;
 
-/** See {@link ATTEMPT_OUTCOMES}. */
+/** Names one of {@link ATTEMPT_OUTCOMES}. */
 export type AttemptOutcome = typeof ATTEMPT_OUTCOMES[number];
 
-/** What an entry host saw of a granted request. */
+/** Reports how a granted request ended, as seen by its entry host. */
 export interface AttemptReport {
   readonly request: RequestId;
   readonly upstream: UpstreamId;
   readonly outcome: AttemptOutcome;
   readonly outputTokens: number;
-  /** Prompt tokens that the engine reported as cached, when it did. */
+  /** Prompt tokens that the engine reported as cached, if it did. */
   readonly cachedTokens?: number;
 }
 
-/** One upstream as the bundle, the host list and load reports describe it. */
+/** Describes one upstream as the bundle and the host list define it. */
 export interface UpstreamDescription {
   readonly upstream: UpstreamId;
   readonly failureDomain: FailureDomain;
@@ -96,18 +96,18 @@
   readonly isLeaving: boolean;
 }
 
-/** An engine's own report of load; it lags. */
+/** Holds a load report of an engine, which arrives with a delay. */
 export interface LoadReport {
   readonly upstream: UpstreamId;
-  /** When the engine took the reading, on the scheduler's clock. */
+  /** Time of the measurement, on the scheduler's clock. */
   readonly takenAt: Milliseconds;
   readonly runningRequests: number;
   readonly waitingRequests: number;
-  /** Share of KV memory in use, 0 to 1. */
+  /** Share of the KV cache memory in use, 0 to 1. */
   readonly memoryShare: number;
 }
 
-/** An engine's cache event; events come late and with gaps. */
+/** Holds a prefix cache event of an engine; events may be late or missing. */
 export interface CacheEvent {
   readonly upstream: UpstreamId;
   readonly sequence: number;
@@ -115,7 +115,7 @@
   readonly digests: readonly Digest[];
 }
 
-/** Limits of one client account at one service. */
+/** Holds the limits of one client account at one service. */
 export interface AccountPolicy {
   readonly account: ClientAccountId;
   readonly requestsPerSecond: number;
@@ -124,7 +124,7 @@
   readonly waitingRequests: number;
 }
 
-/** What a scheduler is built for: one service of the bundle in force. */
+/** Configures a scheduler for one service of the active bundle. */
 export interface PoolPolicy {
   readonly upstreams: readonly UpstreamDescription[];
   readonly accounts: readonly AccountPolicy[];
@@ -134,5 +134,6 @@
   readonly maximumWaitingTokens: number;
   readonly maximumWaitingBytes: number;
   readonly maximumEjectedShare: number;
+  /** One-way network latency between failure domains. */
   readonly domainDistanceMs: Milliseconds;
 }
--- a/packages/decisions/src/upstreamPool.ts
+++ b/packages/decisions/src/upstreamPool.ts
@@ -23,32 +23,32 @@
   readonly generationTimes?: Readonly<Record<string, TokenTimes>>;
 }
 
-/** A first token that may come to be overdue. */
-interface ExpectedFirstToken {
+/** Holds the time at which a missing first token becomes overdue. */
+interface PendingFirstToken {
   readonly attempt: PoolAttempt;
   readonly dueAt: Milliseconds;
-  readonly wait: Milliseconds;
+  readonly timeout: Milliseconds;
 }
 
-/** An upstream so many times slower than its generation is slow itself. */
-const BEHIND_RATIO = 3;
-/** From this share of KV memory on, or with a queue inside the engine, a bound does not grow. */
-const FULL_MEMORY_SHARE = 0.9;
+/** Ratio to its generation's prefill time above which an upstream is slow. */
+const SLOW_UPSTREAM_RATIO = 3;
+/** Share of KV memory above which the concurrency limit does not grow. */
+const MEMORY_PRESSURE_SHARE = 0.9;
 
-/** The upstreams of one pool and what was learned of each from its own answers. */
+/** Manages the upstreams of one pool and the estimates for each of them. */
 export class UpstreamPool {
   readonly cache = new PrefixCacheIndex();
   readonly speeds: SpeedEstimator;
   readonly free = new FreeUpstreams();
   readonly #states = new Map<UpstreamId, UpstreamState>();
-  readonly #ejection: OutlierDetector;
+  readonly #outlierDetector: OutlierDetector;
   readonly #random: Random;
-  readonly #expected = new Heap<ExpectedFirstToken>((left, right) =>
+  readonly #pendingFirstTokens = new Heap<PendingFirstToken>((left, right) =>
     left.dueAt < right.dueAt
   );
   #generations: string[] = [];
   #policy: PoolPolicy;
-  #share = 1;
+  #capacityShare = 1;
 
   constructor(
     policy: PoolPolicy,
@@ -57,46 +57,52 @@
     this.#policy = policy;
     this.#random = random;
     this.speeds = new SpeedEstimator({ initialTimes: generationTimes });
-    this.#ejection = new OutlierDetector({
+    this.#outlierDetector = new OutlierDetector({
       upstreamCount: policy.upstreams.length,
       maximumEjectedShare: policy.maximumEjectedShare,
     });
     this.configure(policy);
   }
 
+  /** Returns the state of each upstream. */
   get states(): ReadonlyMap<UpstreamId, UpstreamState> {
     return this.#states;
   }
 
+  /** Returns the share of the pool's capacity that may be used, 0 to 1. */
   get capacityShare(): number {
-    return this.#share;
+    return this.#capacityShare;
   }
 
-  /** Whether any upstream may be sent work, now or once it is free or back. */
+  /** Returns whether any upstream is not leaving. */
   get hasActiveUpstreams(): boolean {
     return this.#policy.upstreams.some(({ isLeaving }) => !isLeaving);
   }
 
-  /** Whether the speed of every generation is known. */
+  /** Returns whether the speed of every generation is known. */
   get hasKnownSpeeds(): boolean {
     return this.#generations.every((generation) =>
       this.speeds.isKnown(generation)
     );
   }
 
-  /** Takes in a new list of upstreams; one that is gone ends its running work. */
+  /**
+   * Replaces the list of upstreams; running requests of removed ones continue.
+   */
   configure(policy: PoolPolicy): void {
     this.#policy = policy;
-    this.#ejection.configure({
+    this.#outlierDetector.configure({
       upstreamCount: policy.upstreams.length,
       maximumEjectedShare: policy.maximumEjectedShare,
     });
-    const listed = new Set(policy.upstreams.map(({ upstream }) => upstream));
+    const configured = new Set(
+      policy.upstreams.map(({ upstream }) => upstream),
+    );
     for (const [upstream, state] of this.#states) {
-      if (!listed.has(upstream)) this.#retire(state);
+      if (!configured.has(upstream)) this.#retire(state);
     }
     for (const description of policy.upstreams) {
-      const state = this.#stateOf(description);
+      const state = this.#getOrCreateState(description);
       this.free.remove(state);
       state.description = description;
       this.speeds.register(description.upstream, description.generation);
@@ -107,19 +113,19 @@
     ];
   }
 
-  /** Replaces the share of the pool that may be filled from here. */
+  /** Replaces the share of the pool's capacity that may be used. */
   setCapacityShare(share: number): void {
-    this.#share = share;
+    this.#capacityShare = share;
     for (const state of this.#states.values()) this.refreshAvailability(state);
   }
 
-  /** Looks again whether the upstream may take one more request. */
+  /** Updates whether the upstream is in the set of free upstreams. */
   refreshAvailability(state: UpstreamState): void {
-    if (state.hasFreeSlot(this.#share)) this.free.add(state);
+    if (state.hasFreeSlot(this.#capacityShare)) this.free.add(state);
     else this.free.remove(state);
   }
 
-  /** Free upstreams to choose from, and free holders of the prompt's prefix. */
+  /** Returns a sample of free upstreams and the free ones among `holders`. */
   candidates(holders: Iterable<UpstreamId>): UpstreamState[] {
     const candidates = this.free.sample(this.#random);
     if (candidates.length === this.free.size) return candidates;
@@ -130,7 +136,10 @@
     return candidates;
   }
 
-  /** The times of the generation with the shortest answers. */
+  /**
+   * Returns the times of the generation that responds fastest to such a
+   * request.
+   */
   fastestTimes(outputTokens: number, promptTokens: number): TokenTimes {
     let best: TokenTimes | undefined;
     let least = Infinity;
@@ -145,18 +154,18 @@
     return best ?? this.speeds.generationTimes("");
   }
 
-  /** Counts a granted request in. */
+  /** Records a granted request. */
   recordGrant(attempt: PoolAttempt): void {
-    this.#expectFirstToken(
+    this.#scheduleOverdueCheck(
       attempt,
       attempt.state.concurrencyLimit.overdueAfter(attempt.backlogTokens),
     );
     this.refreshAvailability(attempt.state);
   }
 
-  /** Learns from a first token. */
+  /** Updates the estimates with a first token. */
   recordFirstToken(attempt: PoolAttempt, now: Milliseconds): void {
-    const { state, backlogTokens, placementRequest: ask } = attempt;
+    const { state, backlogTokens, placementRequest } = attempt;
     if (attempt.firstTokenAt !== undefined) return;
     state.recordPrefill(attempt, now);
     const elapsed = now - attempt.grantedAt;
@@ -166,11 +175,17 @@
       elapsed,
     });
     state.concurrencyLimit.observe({ ...attempt, elapsed }, now);
-    this.cache.recordStored(state.description.upstream, ask.prefixDigests, now);
+    this.cache.recordStored(
+      state.description.upstream,
+      placementRequest.prefixDigests,
+      now,
+    );
     this.refreshAvailability(state);
   }
 
-  /** Counts a request out and learns from how it ended. */
+  /**
+   * Removes a request that ended and updates the estimates with its outcome.
+   */
   recordEnd(
     attempt: PoolAttempt,
     { outcome, outputTokens }: AttemptReport,
@@ -189,26 +204,26 @@
       });
     }
     if (outcome === "upstream-lost") this.cache.clear(upstream);
-    if (this.#ejection.observe(upstream, outcome, now)) {
+    if (this.#outlierDetector.observe(upstream, outcome, now)) {
       state.isEjected = true;
     }
     this.refreshAvailability(state);
   }
 
-  /** Takes in an engine's own report; it only holds growth back. */
+  /** Applies a load report; reports older than the last one are ignored. */
   applyLoadReport(report: LoadReport): void {
     const state = this.#states.get(report.upstream);
     if (state === undefined) return;
     if ((state.report?.takenAt ?? -Infinity) > report.takenAt) return;
     state.report = report;
     state.concurrencyLimit.setGrowthPaused(
-      report.waitingRequests > 0 || report.memoryShare > FULL_MEMORY_SHARE,
+      report.waitingRequests > 0 || report.memoryShare > MEMORY_PRESSURE_SHARE,
     );
   }
 
-  /** Bounds each upstream so that its answers keep the pace that tiers need. */
-  assignPaceLimits(ladder: PaceAllocator, now: Milliseconds): void {
-    const paced = [...this.#states.values()]
+  /** Updates the pace limit of each upstream. */
+  assignPaceLimits(allocator: PaceAllocator, now: Milliseconds): void {
+    const pacedUpstreams = [...this.#states.values()]
       .filter(({ description }) => !description.isLeaving)
       .map((state) => ({
         state,
@@ -216,46 +231,48 @@
         paceLimit: state.paceLimit,
         paceTier: state.paceTier,
       }))
-      .sort((left, right) => this.#rank(left.state) - this.#rank(right.state));
-    ladder.assignLimits(paced, now);
-    for (const { state, paceLimit: paceBound, paceTier } of paced) {
-      state.paceLimit = paceBound;
+      .sort((left, right) =>
+        this.#prefillRank(left.state) - this.#prefillRank(right.state)
+      );
+    allocator.assignLimits(pacedUpstreams, now);
+    for (const { state, paceLimit, paceTier } of pacedUpstreams) {
+      state.paceLimit = paceLimit;
       state.paceTier = paceTier;
       this.refreshAvailability(state);
     }
   }
 
   /**
-   * Prefill tells fast generations from slow ones whatever their load is; an
-   * upstream far behind its generation is slow itself.
+   * Returns the prefill time by which upstreams are ranked; it hardly depends
+   * on load. It is that of the generation unless the upstream is much slower.
    */
-  #rank({ description }: UpstreamState): Milliseconds {
+  #prefillRank({ description }: UpstreamState): Milliseconds {
     const generation = this.speeds.generationTimes(description.generation);
     const own = this.speeds.times(description.upstream);
-    const isBehind =
-      own.prefillMsPerToken > BEHIND_RATIO * generation.prefillMsPerToken;
-    return isBehind ? own.prefillMsPerToken : generation.prefillMsPerToken;
+    const isSlow = own.prefillMsPerToken >
+      SLOW_UPSTREAM_RATIO * generation.prefillMsPerToken;
+    return isSlow ? own.prefillMsPerToken : generation.prefillMsPerToken;
   }
 
-  /** Brings ejected upstreams back and notices first tokens that are overdue. */
+  /** Readmits ejected upstreams and handles overdue first tokens. */
   tick(now: Milliseconds): void {
-    for (const upstream of this.#ejection.takeExpired(now)) {
+    for (const upstream of this.#outlierDetector.takeExpired(now)) {
       const state = this.#states.get(upstream);
       if (state === undefined) continue;
       state.isEjected = false;
       state.concurrencyLimit.beginSlowStart();
       this.refreshAvailability(state);
     }
-    let next = this.#expected.peek();
+    let next = this.#pendingFirstTokens.peek();
     while (next !== undefined && next.dueAt <= now) {
-      this.#expected.pop();
-      this.#noticeOverdue(next, now);
-      next = this.#expected.peek();
+      this.#pendingFirstTokens.pop();
+      this.#handleOverdue(next, now);
+      next = this.#pendingFirstTokens.peek();
     }
   }
 
-  #noticeOverdue(
-    { attempt, wait }: ExpectedFirstToken,
+  #handleOverdue(
+    { attempt, timeout }: PendingFirstToken,
     now: Milliseconds,
   ): void {
     const { state } = attempt;
@@ -266,23 +283,27 @@
     const elapsed = now - attempt.grantedAt;
     state.concurrencyLimit.observeOverdue({ ...attempt, elapsed }, now);
     this.refreshAvailability(state);
-    this.#expectFirstToken(attempt, wait * 2);
+    this.#scheduleOverdueCheck(attempt, timeout * 2);
   }
 
-  #expectFirstToken(attempt: PoolAttempt, wait: Milliseconds): void {
-    this.#expected.push({ attempt, dueAt: attempt.grantedAt + wait, wait });
+  #scheduleOverdueCheck(attempt: PoolAttempt, timeout: Milliseconds): void {
+    this.#pendingFirstTokens.push({
+      attempt,
+      dueAt: attempt.grantedAt + timeout,
+      timeout,
+    });
   }
 
-  #stateOf(description: UpstreamDescription): UpstreamState {
+  #getOrCreateState(description: UpstreamDescription): UpstreamState {
     const { upstream } = description;
-    const known = this.#states.get(upstream);
-    if (known !== undefined) return known;
-    const added = new UpstreamState(description, {
+    const existing = this.#states.get(upstream);
+    if (existing !== undefined) return existing;
+    const created = new UpstreamState(description, {
       initialRequests: this.#policy.initialConcurrency,
       maximumRequests: this.#policy.maximumConcurrency,
     });
-    this.#states.set(upstream, added);
-    return added;
+    this.#states.set(upstream, created);
+    return created;
   }
 
   #retire(state: UpstreamState): void {
@@ -292,6 +313,6 @@
     if (state.attempts.size > 0) return;
     this.#states.delete(upstream);
     this.speeds.remove(upstream);
-    this.#ejection.remove(upstream);
+    this.#outlierDetector.remove(upstream);
   }
 }
--- a/packages/decisions/src/upstreamSelection.ts
+++ b/packages/decisions/src/upstreamSelection.ts
@@ -12,42 +12,44 @@
 import type { UpstreamPool } from "./upstreamPool.ts";
 import type { UpstreamState } from "./upstreamState.ts";
 
-/** Where a request should start. */
+/**
+ * Holds the upstream selected for a request and the estimate it is based on.
+ */
 export interface SelectedUpstream {
   readonly state: UpstreamState;
   readonly cachedTokens: number;
   readonly estimate: RouteEstimate;
 }
 
-/** What a placement is asked for. */
+/** Describes the request for which an upstream is selected. */
 export interface UpstreamSelectionQuery {
   readonly queued: QueuedRequest;
   readonly lengths: OutputLengthDistribution;
   readonly isSuspect: boolean;
-  /** With this chance or more, it need not wait for a better upstream. */
+  /** Minimum probability at which it does not wait for a better upstream. */
   readonly minimumProbability: number;
-  /** More requests wait, so that upstreams will be filled to their bounds. */
+  /** Whether more requests wait, so that upstreams will run at their limits. */
   readonly isBusy: boolean;
   readonly domainDistanceMs: Milliseconds;
   readonly now: Milliseconds;
 }
 
-/** Requests in flight at an upstream of a generation that has answered nothing yet. */
-const UNKNOWN_BOUND = 4;
-/** A better upstream must raise the chance by so much to be waited for. */
-const WORTHWHILE_GAIN = 0.005;
+/** Maximum requests in flight at an upstream of unknown speed. */
+const UNKNOWN_SPEED_LIMIT = 4;
+/** Minimum gain in probability that justifies waiting for a better upstream. */
+const MINIMUM_PROBABILITY_GAIN = 0.005;
 
 /**
- * The best free upstream for a request; `undefined` when it should rather wait:
- * for room, for an upstream where it can meet its deadline, or for one that holds
- * its prefix.
+ * Selects the best free upstream for a request. Returns `undefined` if the
+ * request should wait for capacity, for an upstream that can meet its deadline,
+ * or for one that has its prefix cached.
  */
 export function selectUpstream(
   pool: UpstreamPool,
   query: UpstreamSelectionQuery,
 ): SelectedUpstream | undefined {
-  const { placementRequest: ask } = query.queued;
-  const holders = cachedTokensByUpstream(pool, ask, query.now);
+  const { placementRequest } = query.queued;
+  const holders = cachedTokensByUpstream(pool, placementRequest, query.now);
   const route = routeQuery(query);
   let best: SelectedUpstream | undefined;
   for (const state of pool.candidates(holders.keys())) {
@@ -58,8 +60,8 @@
       route,
       isBusy: query.isBusy,
     });
-    const place = { state, cachedTokens, estimate };
-    if (best === undefined || isBetter(place, best, query)) best = place;
+    const option = { state, cachedTokens, estimate };
+    if (best === undefined || isBetter(option, best, query)) best = option;
   }
   if (best === undefined) return undefined;
   if (shouldWaitForFaster(pool, best, query)) return undefined;
@@ -70,10 +72,10 @@
 }
 
 function routeQuery(
-  { queued: waiting, lengths, domainDistanceMs, now }: UpstreamSelectionQuery,
+  { queued, lengths, domainDistanceMs, now }: UpstreamSelectionQuery,
 ): RouteQuery {
   return {
-    placementRequest: waiting.placementRequest,
+    placementRequest: queued.placementRequest,
     meanOutputTokens: lengths.mean(),
     probabilityWithin: (tokens) => lengths.probabilityWithin(tokens),
     domainDistanceMs,
@@ -106,38 +108,43 @@
 function isAllowed(
   pool: UpstreamPool,
   state: UpstreamState,
-  { queued: waiting, isSuspect }: UpstreamSelectionQuery,
+  { queued, isSuspect }: UpstreamSelectionQuery,
 ): boolean {
   if (isSuspect && state.suspectRequest !== undefined) return false;
   const isKnown = pool.speeds.isKnown(state.description.generation);
-  if (!isKnown && state.attempts.size >= UNKNOWN_BOUND) return false;
-  return state.hasCapacityFor(waiting.expectedTokens, pool.capacityShare);
+  if (!isKnown && state.attempts.size >= UNKNOWN_SPEED_LIMIT) return false;
+  return state.hasCapacityFor(queued.expectedTokens, pool.capacityShare);
 }
 
-/** A suspect goes where its loss would cost the fewest; others where they end first. */
+/** Prefers fewer requests in flight for a suspect, lower cost otherwise. */
 function isBetter(
-  place: SelectedUpstream,
+  option: SelectedUpstream,
   other: SelectedUpstream,
   { isSuspect }: UpstreamSelectionQuery,
 ): boolean {
-  if (isSuspect && place.state.attempts.size !== other.state.attempts.size) {
-    return place.state.attempts.size < other.state.attempts.size;
+  if (isSuspect && option.state.attempts.size !== other.state.attempts.size) {
+    return option.state.attempts.size < other.state.attempts.size;
   }
-  return place.estimate.cost < other.estimate.cost;
+  return option.estimate.cost < other.estimate.cost;
 }
 
 function shouldWaitForFaster(
   pool: UpstreamPool,
   { estimate }: SelectedUpstream,
-  { queued: waiting, lengths, minimumProbability: leastProbability, now }:
-    UpstreamSelectionQuery,
+  { queued, lengths, minimumProbability, now }: UpstreamSelectionQuery,
 ): boolean {
-  if (estimate.probability >= leastProbability) return false;
-  const { placementRequest: ask } = waiting;
-  const times = pool.fastestTimes(lengths.mean(), ask.promptTokens);
-  const left = ask.deadline - now - ask.promptTokens * times.prefillMsPerToken;
-  const possible = lengths.probabilityWithin(left / times.decodeMsPerToken);
-  return possible > estimate.probability + WORTHWHILE_GAIN;
+  if (estimate.probability >= minimumProbability) return false;
+  const { placementRequest } = queued;
+  const times = pool.fastestTimes(
+    lengths.mean(),
+    placementRequest.promptTokens,
+  );
+  const decodeMs = placementRequest.deadline - now -
+    placementRequest.promptTokens * times.prefillMsPerToken;
+  const achievable = lengths.probabilityWithin(
+    decodeMs / times.decodeMsPerToken,
+  );
+  return achievable > estimate.probability + MINIMUM_PROBABILITY_GAIN;
 }
 
 function shouldWaitForCache(
@@ -149,8 +156,8 @@
     holders: ReadonlyMap<UpstreamId, number>;
   },
 ): boolean {
-  const { queued: waiting, now } = query;
-  if (waiting.cacheWaitUntil !== undefined && waiting.cacheWaitUntil <= now) {
+  const { queued, now } = query;
+  if (queued.cacheWaitUntil !== undefined && queued.cacheWaitUntil <= now) {
     return false;
   }
   const { prefillMsPerToken } = pool.speeds.times(
@@ -175,22 +182,28 @@
       inFlightRequests,
     });
     if (!isWorthWaiting) continue;
-    waiting.cacheWaitUntil ??= now + savedTokens * prefillMsPerToken / 2;
-    return waiting.cacheWaitUntil > now;
+    queued.cacheWaitUntil ??= now + savedTokens * prefillMsPerToken / 2;
+    return queued.cacheWaitUntil > now;
   }
   return false;
 }
 
 function cachedTokensByUpstream(
   pool: UpstreamPool,
-  ask: PlacementRequest,
+  placementRequest: PlacementRequest,
   now: Milliseconds,
 ): Map<UpstreamId, number> {
   const found = new Map<UpstreamId, number>();
   for (
-    const { upstream, blocks } of pool.cache.holders(ask.prefixDigests, now)
+    const { upstream, blocks } of pool.cache.holders(
+      placementRequest.prefixDigests,
+      now,
+    )
   ) {
-    const tokens = Math.min(blocks * TOKENS_PER_BLOCK, ask.promptTokens - 1);
+    const tokens = Math.min(
+      blocks * TOKENS_PER_BLOCK,
+      placementRequest.promptTokens - 1,
+    );
     found.set(upstream, tokens);
   }
   return found;
--- a/packages/decisions/src/upstreamState.ts
+++ b/packages/decisions/src/upstreamState.ts
@@ -9,83 +9,87 @@
   type AdaptiveConcurrencyLimitOptions,
 } from "./adaptiveConcurrencyLimit.ts";
 
-/** A request in flight, with what its grant rested on. */
+/** Holds a request in flight and the load of its upstream at the grant. */
 export interface PoolAttempt {
   readonly placementRequest: PlacementRequest;
   readonly state: UpstreamState;
   readonly grantedAt: Milliseconds;
   firstTokenAt?: Milliseconds;
-  /** Prompt tokens that were to be computed there at the grant, its own included. */
+  /** Prompt tokens to be computed at the grant, its own included. */
   readonly backlogTokens: number;
   readonly uncachedTokens: number;
-  /** Tokens that it counts against the bound, the account and its fairness. */
+  /** Tokens counted against the limits of its upstream and its account. */
   readonly expectedTokens: number;
   readonly inFlightRequests: number;
   readonly inFlightTokens: number;
-  /** The loss of its upstream has been taken in already. */
+  /** Whether the loss of its upstream was already recorded. */
   isLossRecorded: boolean;
 }
 
-/** What counts towards one attempt at its grant. */
+/** Holds the token counts of a request when it is granted. */
 export interface GrantDetails {
   readonly now: Milliseconds;
   readonly uncachedTokens: number;
   readonly expectedTokens: number;
 }
 
-/** One upstream as its keeper knows it: own work in flight first, reports second. */
+/** Tracks the requests in flight, limits and load report of one upstream. */
 export class UpstreamState {
   readonly concurrencyLimit: AdaptiveConcurrencyLimit;
   readonly attempts = new Map<RequestId, PoolAttempt>();
   description: UpstreamDescription;
   isEjected = false;
-  /** The one suspect that runs here. */
+  /** Suspect request that runs here, if any. */
   suspectRequest: RequestId | undefined;
   report: LoadReport | undefined;
-  /** Requests in flight at which answers keep their pace. */
+  /**
+   * Maximum requests in flight at which responses keep the pace of `paceTier`.
+   */
   paceLimit = Infinity;
-  /** The tier whose pace that is. */
   paceTier: Tier | undefined;
   prefillBacklogTokens = 0;
   inFlightTokens = 0;
 
   constructor(
     description: UpstreamDescription,
-    bound: AdaptiveConcurrencyLimitOptions,
+    limitOptions: AdaptiveConcurrencyLimitOptions,
   ) {
     this.description = description;
-    this.concurrencyLimit = new AdaptiveConcurrencyLimit(bound);
+    this.concurrencyLimit = new AdaptiveConcurrencyLimit(limitOptions);
   }
 
-  /** Whether one more request may be in flight. */
+  /** Returns whether the upstream may receive one more request. */
   hasFreeSlot(share: number): boolean {
     return !this.description.isLeaving && !this.isEjected &&
       this.attempts.size < this.requestLimit(share);
   }
 
-  /** Requests that may be in flight under a share of the pool. */
+  /**
+   * Returns the maximum requests in flight under a share of the pool's
+   * capacity.
+   */
   requestLimit(share: number): number {
     if (share <= 0) return 0;
-    const bound = Math.min(this.concurrencyLimit.requests, this.paceLimit);
-    return Math.max(1, Math.floor(bound * share));
+    const limit = Math.min(this.concurrencyLimit.requests, this.paceLimit);
+    return Math.max(1, Math.floor(limit * share));
   }
 
   /**
-   * Whether a request of this size fits. A large one needs half of the bound at
-   * most: else small ones would take every place before enough is free for it.
+   * Returns whether a request of this size fits. A large one requires at most
+   * half of the limit, so that small requests cannot starve it.
    */
   hasCapacityFor(tokens: number, share: number): boolean {
-    const bound = this.concurrencyLimit.tokens * share;
+    const limit = this.concurrencyLimit.tokens * share;
     return this.attempts.size === 0 ||
-      this.inFlightTokens + Math.min(tokens, bound / 2) <= bound;
+      this.inFlightTokens + Math.min(tokens, limit / 2) <= limit;
   }
 
-  /** Counts a request in. */
-  add(ask: PlacementRequest, details: GrantDetails): PoolAttempt {
+  /** Adds a granted request. */
+  add(placementRequest: PlacementRequest, details: GrantDetails): PoolAttempt {
     this.prefillBacklogTokens += details.uncachedTokens;
     this.inFlightTokens += details.expectedTokens;
     const attempt: PoolAttempt = {
-      placementRequest: ask,
+      placementRequest,
       state: this,
       grantedAt: details.now,
       backlogTokens: this.prefillBacklogTokens,
@@ -95,18 +99,18 @@
       inFlightTokens: this.inFlightTokens,
       isLossRecorded: false,
     };
-    this.attempts.set(ask.request, attempt);
+    this.attempts.set(placementRequest.request, attempt);
     return attempt;
   }
 
-  /** The prompt of an attempt is computed. */
+  /** Records that the prompt of an attempt is computed. */
   recordPrefill(attempt: PoolAttempt, now: Milliseconds): void {
     if (attempt.firstTokenAt !== undefined) return;
     attempt.firstTokenAt = now;
     this.prefillBacklogTokens -= attempt.uncachedTokens;
   }
 
-  /** Counts a request out. */
+  /** Removes a request that ended. */
   remove(attempt: PoolAttempt): void {
     this.attempts.delete(attempt.placementRequest.request);
     this.inFlightTokens -= attempt.expectedTokens;
--- a/packages/decisions/src/waitQueue.ts
+++ b/packages/decisions/src/waitQueue.ts
@@ -10,16 +10,16 @@
 import type { QueuedRequest } from "./accountQueue.ts";
 import { type StartEligibility, TierQueue } from "./tierQueue.ts";
 
-/** What is known of a request when it starts to wait. */
+/** Holds the estimates for a request that is added to the queue. */
 export interface QueuedRequestDetails {
   readonly now: Milliseconds;
-  /** Prompt and expected output. */
+  /** Prompt tokens and expected output tokens. */
   readonly expectedTokens: number;
-  /** Expected time at an upstream. */
+  /** Expected time from its start to its complete response. */
   readonly expectedMs: Milliseconds;
-  /** Expected time of an upstream that it takes from others. */
+  /** Expected upstream time that it uses, given its share of the batch. */
   readonly costMs: Milliseconds;
-  /** The last moment at which a start can still meet the deadline. */
+  /** Latest start that can still meet the deadline. */
   readonly latestStart: Milliseconds;
 }
 
@@ -27,30 +27,27 @@
 export interface WaitQueueOptions {
   readonly maximumTokens: number;
   readonly maximumBytes: number;
-  /** How many times its own cost a request gives way to shorter ones. */
+  /**
+   * Wait, as a multiple of its cost, for which shorter requests may overtake.
+   */
   readonly costMultiplier?: number;
 }
 
-/** A request has given way to shorter ones when it waited so many times its own cost. */
-const DEFAULT_STRETCH = 1_000;
+const DEFAULT_COST_MULTIPLIER = 1_000;
 
 /**
- * Answers the load patterns of a burst, a hot account, long jobs among short
- * ones and overload. Order: tier; then the account with the fewest served tokens;
- * then arrival plus a multiple of the expected cost, so that short requests
- * overtake long ones but not for ever. A full queue sheds the lowest tier first,
- * there the request with the most expected tokens. Without it, whoever sends
- * most is served most, and one long job delays a hundred short ones.
- *
- * Grounds: an account that was idle starts at the count of the one that is next
- * to be served, so idleness saves up nothing; served tokens rather than requests
- * count, since lengths differ a hundredfold.
+ * Orders waiting requests by tier, then by the served tokens of their account,
+ * then by arrival time plus a multiple of the expected cost, so that short
+ * requests overtake long ones without starving them. An account that becomes
+ * active starts at the served tokens of the account served last, so that it
+ * gains no credit for idle time. A full queue sheds requests of the lowest
+ * tier, the largest first.
  */
 export class WaitQueue {
-  readonly #tiers = new Map<Tier, TierQueue>();
-  #order: TierQueue[] = [];
-  readonly #waiting = new Map<RequestId, QueuedRequest>();
-  readonly #stretch: number;
+  readonly #tierQueues = new Map<Tier, TierQueue>();
+  #tiersInOrder: TierQueue[] = [];
+  readonly #requests = new Map<RequestId, QueuedRequest>();
+  readonly #costMultiplier: number;
   #maximumTokens: number;
   #maximumBytes: number;
   #tokens = 0;
@@ -60,134 +57,152 @@
   );
 
   constructor(
-    { maximumTokens, maximumBytes, costMultiplier: stretch = DEFAULT_STRETCH }:
-      WaitQueueOptions,
+    {
+      maximumTokens,
+      maximumBytes,
+      costMultiplier = DEFAULT_COST_MULTIPLIER,
+    }: WaitQueueOptions,
   ) {
     this.#maximumTokens = maximumTokens;
     this.#maximumBytes = maximumBytes;
-    this.#stretch = stretch;
+    this.#costMultiplier = costMultiplier;
   }
 
+  /** Returns the number of waiting requests. */
   get size(): number {
-    return this.#waiting.size;
+    return this.#requests.size;
   }
 
+  /** Returns the expected tokens of all waiting requests. */
   get tokens(): number {
     return this.#tokens;
   }
 
-  /** Replaces the bounds; requests beyond them are shed by the next push. */
+  /** Replaces the limits; the next push sheds requests that exceed them. */
   setLimits(maximumTokens: number, maximumBytes: number): void {
     this.#maximumTokens = maximumTokens;
     this.#maximumBytes = maximumBytes;
   }
 
-  /** Takes a request in and returns those shed for it, perhaps itself. */
-  push(ask: PlacementRequest, details: QueuedRequestDetails): QueuedRequest[] {
-    const waiting: QueuedRequest = {
-      placementRequest: ask,
+  /**
+   * Adds a request; returns the requests that are shed, possibly including it.
+   */
+  push(
+    placementRequest: PlacementRequest,
+    details: QueuedRequestDetails,
+  ): QueuedRequest[] {
+    const queued: QueuedRequest = {
+      placementRequest,
       expectedTokens: details.expectedTokens,
       expectedMs: details.expectedMs,
       latestStart: details.latestStart,
-      orderKey: details.now + this.#stretch * details.costMs,
+      orderKey: details.now + this.#costMultiplier * details.costMs,
       enqueuedAt: details.now,
       isRemoved: false,
       timesBlocked: 0,
       blockedGroupMask: 0,
       blockedUntil: 0,
     };
-    this.#waiting.set(ask.request, waiting);
-    this.#tokens += waiting.expectedTokens;
-    this.#bytes += ask.bodyBytes;
-    this.#tier(ask.tier).add(waiting);
-    this.#byLatestStart.push(waiting);
+    this.#requests.set(placementRequest.request, queued);
+    this.#tokens += queued.expectedTokens;
+    this.#bytes += placementRequest.bodyBytes;
+    this.#tierQueueOf(placementRequest.tier).add(queued);
+    this.#byLatestStart.push(queued);
     return this.#shedOverflow();
   }
 
-  /** Takes a request out; undefined when it does not wait. */
+  /** Removes a request; returns `undefined` if it is not waiting. */
   remove(request: RequestId): QueuedRequest | undefined {
-    const waiting = this.#waiting.get(request);
-    if (waiting !== undefined) this.#leave(waiting);
-    return waiting;
+    const queued = this.#requests.get(request);
+    if (queued !== undefined) this.#remove(queued);
+    return queued;
   }
 
-  /** Takes out every request, or every one of an origin. */
+  /** Removes and returns all requests, or those of one entry host. */
   removeAll(origin?: HostId): QueuedRequest[] {
-    const found = [...this.#waiting.values()].filter((
-      { placementRequest: ask },
-    ) => origin === undefined || ask.origin === origin);
-    found.forEach((waiting) => this.#leave(waiting));
+    const found = [...this.#requests.values()].filter((
+      { placementRequest },
+    ) => origin === undefined || placementRequest.origin === origin);
+    found.forEach((queued) => this.#remove(queued));
     return found;
   }
 
-  /** Sets the latest start of every request anew. */
-  updateLatestStarts(revise: (waiting: QueuedRequest) => Milliseconds): void {
-    for (const waiting of this.#waiting.values()) {
-      waiting.latestStart = revise(waiting);
+  /** Recomputes the latest start of every request. */
+  updateLatestStarts(
+    latestStartOf: (queued: QueuedRequest) => Milliseconds,
+  ): void {
+    for (const queued of this.#requests.values()) {
+      queued.latestStart = latestStartOf(queued);
     }
     this.#rebuildByLatestStart();
   }
 
-  /** Takes out the requests whose latest start has passed. */
+  /** Removes and returns the requests whose latest start has passed. */
   removeExpired(now: Milliseconds): QueuedRequest[] {
-    const late: QueuedRequest[] = [];
+    const expired: QueuedRequest[] = [];
     let next = this.#byLatestStart.peek();
     while (next !== undefined && (next.isRemoved || next.latestStart < now)) {
       this.#byLatestStart.pop();
       if (!next.isRemoved) {
-        this.#leave(next);
-        late.push(next);
+        this.#remove(next);
+        expired.push(next);
       }
       next = this.#byLatestStart.peek();
     }
-    return late;
+    return expired;
   }
 
   /**
-   * Takes out the first request, in order, that can start. Blocked ones are
-   * passed by and stay; a few in each tier, so that one call stays cheap.
+   * Removes and returns the first request that can start. Blocked requests are
+   * skipped; the number of tries in each tier is limited.
    */
   take(
-    accept: (waiting: QueuedRequest) => StartEligibility,
+    check: (queued: QueuedRequest) => StartEligibility,
   ): QueuedRequest | undefined {
-    for (const tier of this.#order) {
-      const found = tier.take(accept);
+    for (const tier of this.#tiersInOrder) {
+      const found = tier.take(check);
       if (found === undefined) continue;
-      this.#leave(found);
+      this.#remove(found);
       return found;
     }
     return undefined;
   }
 
-  /** Corrects an account's served tokens once the real length is known. */
+  /** Corrects an account's served tokens once the actual length is known. */
   correctServedTokens(
     tier: Tier,
     account: ClientAccountId,
     tokens: number,
   ): void {
-    this.#tiers.get(tier)?.addServedTokens(account, tokens);
-  }
-
-  /** Expected tokens that would be served before a request of this tier, account and length. */
-  tokensAhead(ask: PlacementRequest, expectedTokens: number): number {
-    let ahead = 0;
-    for (const tier of this.#order) {
-      if (tier.tier < ask.tier) ahead += tier.tokens;
-      if (tier.tier === ask.tier) {
-        ahead += tier.tokensAhead(ask.account, expectedTokens);
+    this.#tierQueues.get(tier)?.addServedTokens(account, tokens);
+  }
+
+  /** Returns the expected tokens that would be served before this request. */
+  tokensAhead(
+    placementRequest: PlacementRequest,
+    expectedTokens: number,
+  ): number {
+    let tokensAhead = 0;
+    for (const tier of this.#tiersInOrder) {
+      if (tier.tier < placementRequest.tier) tokensAhead += tier.tokens;
+      if (tier.tier === placementRequest.tier) {
+        tokensAhead += tier.tokensAhead(
+          placementRequest.account,
+          expectedTokens,
+        );
       }
     }
-    return ahead;
+    return tokensAhead;
   }
 
-  /** Waiting requests by tier and account. */
+  /** Returns the number of waiting requests by tier and account. */
   counts(): { tier: Tier; account: ClientAccountId; requests: number }[] {
-    return this.#order.flatMap((tier) => tier.counts());
+    return this.#tiersInOrder.flatMap((tier) => tier.counts());
   }
 
-  /** The least urgent tier that has a waiting request. */
+  /** Returns the least urgent tier that has a waiting request. */
   lowestTier(): Tier | undefined {
-    return this.#order.findLast(({ size }) => size > 0)?.tier;
+    return this.#tiersInOrder.findLast(({ size }) => size > 0)?.tier;
   }
 
   #shedOverflow(): QueuedRequest[] {
@@ -195,21 +210,22 @@
     while (
       this.#tokens > this.#maximumTokens || this.#bytes > this.#maximumBytes
     ) {
-      const victim = this.#order.findLast(({ size }) => size > 0)?.largest();
-      if (victim === undefined) break;
-      this.#leave(victim);
-      shed.push(victim);
+      const largest = this.#tiersInOrder.findLast(({ size }) => size > 0)
+        ?.largest();
+      if (largest === undefined) break;
+      this.#remove(largest);
+      shed.push(largest);
     }
     return shed;
   }
 
-  #leave(waiting: QueuedRequest): void {
-    waiting.isRemoved = true;
-    this.#waiting.delete(waiting.placementRequest.request);
-    this.#tokens -= waiting.expectedTokens;
-    this.#bytes -= waiting.placementRequest.bodyBytes;
-    this.#tiers.get(waiting.placementRequest.tier)!.remove(waiting);
-    if (this.#byLatestStart.size > 64 + 2 * this.#waiting.size) {
+  #remove(queued: QueuedRequest): void {
+    queued.isRemoved = true;
+    this.#requests.delete(queued.placementRequest.request);
+    this.#tokens -= queued.expectedTokens;
+    this.#bytes -= queued.placementRequest.bodyBytes;
+    this.#tierQueues.get(queued.placementRequest.tier)!.remove(queued);
+    if (this.#byLatestStart.size > 64 + 2 * this.#requests.size) {
       this.#rebuildByLatestStart();
     }
   }
@@ -218,18 +234,18 @@
     this.#byLatestStart = new Heap((left, right) =>
       left.latestStart < right.latestStart
     );
-    for (const waiting of this.#waiting.values()) {
-      this.#byLatestStart.push(waiting);
+    for (const queued of this.#requests.values()) {
+      this.#byLatestStart.push(queued);
     }
   }
 
-  #tier(tier: Tier): TierQueue {
-    const known = this.#tiers.get(tier);
-    if (known !== undefined) return known;
-    const added = new TierQueue(tier);
-    this.#tiers.set(tier, added);
-    this.#order = [...this.#tiers.values()]
+  #tierQueueOf(tier: Tier): TierQueue {
+    const existing = this.#tierQueues.get(tier);
+    if (existing !== undefined) return existing;
+    const created = new TierQueue(tier);
+    this.#tierQueues.set(tier, created);
+    this.#tiersInOrder = [...this.#tierQueues.values()]
       .sort((left, right) => left.tier - right.tier);
-    return added;
+    return created;
   }
 }
--- a/packages/decisions/tests/baselineSchedulers.test.ts
+++ b/packages/decisions/tests/baselineSchedulers.test.ts
@@ -11,7 +11,7 @@
   upstreamId,
 } from "./helpers/pools.ts";
 
-test("first come goes round the upstreams that do not leave", (t) => {
+test("round robin skips upstreams that are leaving", (t) => {
   const { upstreams, ...policy } = buildPolicy(3);
   const scheduler = new RoundRobinScheduler({
     ...policy,
@@ -30,7 +30,7 @@
   ]);
 });
 
-test("first come refuses only when no upstream is left", (t) => {
+test("round robin refuses a request when no upstream is left", (t) => {
   const scheduler = new RoundRobinScheduler(buildPolicy(0));
   t.deepEqual(
     describeDecisions(scheduler.submit(buildPlacementRequest("a"), 0)),
@@ -40,7 +40,7 @@
   );
 });
 
-test("least outstanding holds its bounds and grants in order of arrival", (t) => {
+test("least outstanding keeps its limits and grants in order of arrival", (t) => {
   const scheduler = new LeastOutstandingScheduler(
     buildPolicy(1, { maximumConcurrency: 1 }),
     { random: new SeededRandom(1), queueLimitPerUpstream: 1 },
--- a/packages/decisions/tests/examples.test.ts
+++ b/packages/decisions/tests/examples.test.ts
@@ -3,22 +3,22 @@
 import { result as holders } from "../../../examples/cacheMap.ts";
 import { result as ejected } from "../../../examples/ejection.ts";
 import { result as length } from "../../../examples/lengthEstimate.ts";
-import { result as paceBound } from "../../../examples/paceLadder.ts";
+import { result as paceLimit } from "../../../examples/paceLadder.ts";
 import { result as routeMs } from "../../../examples/router.ts";
 import { result as decodeMs } from "../../../examples/speedEstimate.ts";
-import { result as verdicts } from "../../../examples/suspects.ts";
-import { result as bound } from "../../../examples/upstreamBound.ts";
+import { result as statuses } from "../../../examples/suspects.ts";
+import { result as concurrencyLimit } from "../../../examples/upstreamBound.ts";
 import { result as first } from "../../../examples/waitQueue.ts";
 
-test("each module does alone what its example says", (t) => {
+test("each example gives its documented result", (t) => {
   t.is(first as string, "live draft");
   t.deepEqual(limit, { kind: "over", limit: "requests", retryAfter: 750 });
-  t.true(bound < 8);
+  t.true(concurrencyLimit < 8);
   t.true(length >= 430 && length <= 560);
   t.is(decodeMs, 12);
   t.is(routeMs, 1_040);
   t.deepEqual(holders as unknown, [{ upstream: "u1", blocks: 2 }]);
   t.deepEqual(ejected, [true, true, false]);
-  t.deepEqual(verdicts, ["convicted", "clean"]);
-  t.true(paceBound < 60);
+  t.deepEqual(statuses, ["convicted", "clean"]);
+  t.true(paceLimit < 60);
 });
--- a/packages/decisions/tests/failingUpstreams.test.ts
+++ b/packages/decisions/tests/failingUpstreams.test.ts
@@ -4,7 +4,7 @@
 import { OutlierDetector, PoisonRequestDetector } from "@wasabivane/decisions";
 import { upstreamId } from "./helpers/pools.ts";
 
-test("never more than the given share is ejected, and each comes back", (t) => {
+test("at most the given share is ejected, and all upstreams return", (t) => {
   const failure = fc.record({
     upstream: fc.integer({ min: 0, max: 9 }),
     outcome: fc.constantFrom(
@@ -17,97 +17,95 @@
   });
   fc.assert(
     fc.property(fc.array(failure, { maxLength: 100 }), (failures) => {
-      const ejection = new OutlierDetector({
+      const detector = new OutlierDetector({
         upstreamCount: 10,
         maximumEjectedShare: 0.3,
       });
       let now = 0;
       for (const { upstream, outcome, gap } of failures) {
         now += gap;
-        ejection.takeExpired(now);
-        ejection.observe(upstreamId(upstream), outcome, now);
-        t.true(countEjected(ejection) <= 3);
+        detector.takeExpired(now);
+        detector.observe(upstreamId(upstream), outcome, now);
+        t.true(countEjected(detector) <= 3);
       }
-      ejection.takeExpired(now + 30_000);
-      t.is(countEjected(ejection), 0);
+      detector.takeExpired(now + 30_000);
+      t.is(countEjected(detector), 0);
     }),
     { numRuns: 100, seed: 1 },
   );
 });
 
-test("an ejection lasts longer each time in a row", (t) => {
-  const ejection = new OutlierDetector({
+test("consecutive ejections of an upstream last longer", (t) => {
+  const detector = new OutlierDetector({
     upstreamCount: 2,
     maximumEjectedShare: 1,
   });
-  const spans: number[] = [];
+  const durations: number[] = [];
   let now = 0;
   for (let round = 0; round < 4; round++) {
     now += 1_000;
-    ejection.observe(upstreamId(0), "upstream-refused", now);
-    spans.push(ejection.nextExpiry()! - now);
-    now = ejection.nextExpiry()!;
-    ejection.takeExpired(now);
+    detector.observe(upstreamId(0), "upstream-refused", now);
+    durations.push(detector.nextExpiry()! - now);
+    now = detector.nextExpiry()!;
+    detector.takeExpired(now);
   }
-  t.deepEqual(spans, [1_000, 2_000, 4_000, 8_000]);
+  t.deepEqual(durations, [1_000, 2_000, 4_000, 8_000]);
 });
 
-// Callers of innocent requests see their answers break twice, with two upstreams
-// that were lost at the same moment. Each request ran at one of them only, so no
-// request can have caused both; making them all suspect would have dozens of
-// innocents wait for each other.
-test("losses of several upstreams at once make nobody suspect", (t) => {
-  const suspects = new PoisonRequestDetector();
-  suspects.recordUpstreamLoss(upstreamId(0), prints("a", "b"), 1_000);
-  suspects.recordUpstreamLoss(upstreamId(1), prints("c", "d"), 1_300);
-  const verdicts = prints("a", "b", "c", "d").map((fingerprint) =>
-    suspects.statusOf(fingerprint, 2_000).kind
+// Guards against treating every request in flight during an outage as a
+// suspect.
+test("simultaneous losses of unrelated upstreams create no suspects", (t) => {
+  const detector = new PoisonRequestDetector();
+  detector.recordUpstreamLoss(upstreamId(0), fingerprintsOf("a", "b"), 1_000);
+  detector.recordUpstreamLoss(upstreamId(1), fingerprintsOf("c", "d"), 1_300);
+  const statuses = fingerprintsOf("a", "b", "c", "d").map((fingerprint) =>
+    detector.statusOf(fingerprint, 2_000).kind
   );
-  t.deepEqual(verdicts, ["clean", "clean", "clean", "clean"]);
+  t.deepEqual(statuses, ["clean", "clean", "clean", "clean"]);
 });
 
-test("one that got further than at its first loss is not convicted", (t) => {
-  const suspects = new PoisonRequestDetector();
-  const [innocent] = prints("a") as [Digest];
-  suspects.recordUpstreamLoss(upstreamId(0), [innocent], 0);
-  suspects.recordLossProgress(innocent, 40, 0);
-  suspects.recordUpstreamLoss(upstreamId(1), [innocent], 9_000);
-  suspects.recordLossProgress(innocent, 400, 9_000);
-  t.is(suspects.statusOf(innocent, 9_001).kind, "suspect");
+test("a request that progressed further than at its first loss is not quarantined", (t) => {
+  const detector = new PoisonRequestDetector();
+  const [innocent] = fingerprintsOf("a") as [Digest];
+  detector.recordUpstreamLoss(upstreamId(0), [innocent], 0);
+  detector.recordLossProgress(innocent, 40, 0);
+  detector.recordUpstreamLoss(upstreamId(1), [innocent], 9_000);
+  detector.recordLossProgress(innocent, 400, 9_000);
+  t.is(detector.statusOf(innocent, 9_001).kind, "suspect");
 });
 
-test("a conviction that one keeper found holds at another and expires", (t) => {
-  const finder = new PoisonRequestDetector();
-  const [killer] = prints("a") as [Digest];
-  finder.recordUpstreamLoss(upstreamId(0), [killer], 0);
-  finder.recordUpstreamLoss(upstreamId(1), [killer], 5_000);
-  const told = finder.drainChangedRecords(6_000);
-  t.deepEqual(finder.drainChangedRecords(6_000), []);
-  const other = new PoisonRequestDetector();
-  // The other keeper's clock has another origin.
-  other.importRecords(structuredClone(told), 1_000_000);
-  t.is(other.statusOf(killer, 1_000_001).kind, "convicted");
-  t.is(other.statusOf(killer, 1_000_000 + 3_600_000).kind, "clean");
+test("an imported quarantine applies and expires", (t) => {
+  const source = new PoisonRequestDetector();
+  const [poison] = fingerprintsOf("a") as [Digest];
+  source.recordUpstreamLoss(upstreamId(0), [poison], 0);
+  source.recordUpstreamLoss(upstreamId(1), [poison], 5_000);
+  const records = source.drainChangedRecords(6_000);
+  t.deepEqual(source.drainChangedRecords(6_000), []);
+  const target = new PoisonRequestDetector();
+  // The clock of the target host has another origin.
+  target.importRecords(structuredClone(records), 1_000_000);
+  t.is(target.statusOf(poison, 1_000_001).kind, "convicted");
+  t.is(target.statusOf(poison, 1_000_000 + 3_600_000).kind, "clean");
 });
 
-test("what is remembered of suspects is bounded", (t) => {
-  const suspects = new PoisonRequestDetector({ maximumRecords: 100 });
+test("the number of poison records is limited", (t) => {
+  const detector = new PoisonRequestDetector({ maximumRecords: 100 });
   for (let round = 0; round < 50; round++) {
     const names = Array.from({ length: 20 }, (_, index) => `${round}/${index}`);
-    suspects.recordUpstreamLoss(
+    detector.recordUpstreamLoss(
       upstreamId(round),
-      prints(...names),
+      fingerprintsOf(...names),
       round * 2_000,
     );
   }
-  t.true(suspects.exportRecords(100_000).length <= 100);
+  t.true(detector.exportRecords(100_000).length <= 100);
 });
 
-function countEjected(ejection: OutlierDetector): number {
+function countEjected(detector: OutlierDetector): number {
   return Array.from({ length: 10 }, (_, index) => upstreamId(index))
-    .filter((upstream) => ejection.isEjected(upstream)).length;
+    .filter((upstream) => detector.isEjected(upstream)).length;
 }
 
-function prints(...names: string[]): Digest[] {
+function fingerprintsOf(...names: string[]): Digest[] {
   return names.map((name) => asId<Digest>(name));
 }
--- a/packages/decisions/tests/helpers/pools.ts
+++ b/packages/decisions/tests/helpers/pools.ts
@@ -13,7 +13,9 @@
   PoolPolicy,
 } from "@wasabivane/decisions";
 
-/** An ask with customary values; only what a test is about is given. */
+/**
+ * Builds a placement request with default values, which a test may override.
+ */
 export function buildPlacementRequest(
   name: string,
   { account = "account-a", tier = 1, ...rest }:
@@ -36,7 +38,9 @@
   };
 }
 
-/** A pool of equal upstreams `u0`, `u1`, ... in three failure domains. */
+/**
+ * Builds a pool of equal upstreams `u0`, `u1`, ... in three failure domains.
+ */
 export function buildPolicy(
   upstreams: number,
   overrides: Partial<PoolPolicy> = {},
@@ -60,12 +64,12 @@
   };
 }
 
-/** The id of the upstream with this number. */
+/** Returns the id of the upstream with this index. */
 export function upstreamId(index: number): UpstreamId {
   return asId<UpstreamId>(`u${index}`);
 }
 
-/** Short readable form of decisions, such as `grant a u0` or `refuse b shed`. */
+/** Formats decisions, such as `grant a u0` or `refuse b shed`. */
 export function describeDecisions(decisions: readonly Decision[]): string[] {
   return decisions.map((decision) =>
     decision.kind === "grant"
