--- a/packages/decisions/tests/learning.test.ts
+++ b/packages/decisions/tests/learning.test.ts
@@ -19,22 +19,22 @@
   maximumOutputTokens: 8_192,
 };
 
-test("quantiles of lengths follow the sorted answers within a bucket", (t) => {
+test("length quantiles match the sorted lengths within one bucket", (t) => {
   fc.assert(
     fc.property(fc.integer(), (seed) => {
       const random = new SeededRandom(seed);
       const lengths = new OutputLengthEstimator();
-      const seen: number[] = [];
+      const observed: number[] = [];
       for (let index = 0; index < 500; index++) {
         const tokens = Math.ceil(150 * Math.exp(0.9 * random.normal()));
-        seen.push(tokens);
+        observed.push(tokens);
         lengths.observe({ ...QUERY, outputTokens: tokens, isComplete: true });
       }
-      seen.sort((left, right) => left - right);
-      const known = lengths.distribution(QUERY);
+      observed.sort((left, right) => left - right);
+      const distribution = lengths.distribution(QUERY);
       for (const quantile of [0.25, 0.5, 0.75]) {
-        const exact = seen[Math.floor(quantile * seen.length)]!;
-        const ratio = known.quantile(quantile) / exact;
+        const exact = observed[Math.floor(quantile * observed.length)]!;
+        const ratio = distribution.quantile(quantile) / exact;
         t.true(ratio > 0.75 && ratio < 1.35, `${quantile}: ${ratio}`);
       }
     }),
@@ -42,68 +42,68 @@
   );
 });
 
-test("the chance of a length grows with it and ends at the caller's bound", (t) => {
+test("the probability of a length is monotonic and is 1 at the caller's limit", (t) => {
   const lengths = new OutputLengthEstimator();
   for (let tokens = 10; tokens < 500; tokens += 7) {
     lengths.observe({ ...QUERY, outputTokens: tokens, isComplete: true });
   }
-  const known = lengths.distribution({ ...QUERY, maximumOutputTokens: 400 });
-  let former = 0;
+  const distribution = lengths.distribution({
+    ...QUERY,
+    maximumOutputTokens: 400,
+  });
+  let previous = 0;
   for (let tokens = 0; tokens <= 400; tokens += 5) {
-    const chance = known.probabilityWithin(tokens);
-    t.true(chance >= former - 1e-9);
-    former = chance;
+    const probability = distribution.probabilityWithin(tokens);
+    t.true(probability >= previous - 1e-9);
+    previous = probability;
   }
-  t.is(known.probabilityWithin(400), 1);
+  t.is(distribution.probabilityWithin(400), 1);
 });
 
-test("an estimate of speed follows a slowdown within five answers", (t) => {
+test("the speed estimate follows a slowdown within five responses", (t) => {
   const speeds = new SpeedEstimator();
   const upstream = asId<UpstreamId>("u0");
   speeds.register(upstream, "a");
-  const answer = (msPerToken: number): void =>
+  const observeResponse = (msPerToken: number): void =>
     speeds.observeDecode({
       upstream,
       outputTokens: 101,
       elapsed: 100 * msPerToken,
       inFlight: 4,
     });
-  for (let index = 0; index < 30; index++) answer(10);
-  for (let index = 0; index < 5; index++) answer(60);
+  for (let index = 0; index < 30; index++) observeResponse(10);
+  for (let index = 0; index < 5; index++) observeResponse(60);
   t.true(speeds.times(upstream).decodeMsPerToken > 40);
 });
 
-// Callers see first tokens come ten times later from one upstream. Its engine
-// turned slow while work was in flight; without a smaller bound it would be sent
-// as much as before. The bound falls while the first tokens say so, and rises
-// again with them.
-test("the bound of a slow upstream shrinks within seconds and recovers", (t) => {
-  const bound = new AdaptiveConcurrencyLimit({
+// Guards against sending a slowed-down upstream as many requests as before.
+test("the limit of a slow upstream shrinks within seconds and recovers", (t) => {
+  const limit = new AdaptiveConcurrencyLimit({
     initialRequests: 8,
     maximumRequests: 64,
   });
   let now = 0;
   const observe = (elapsed: number): void => {
     now += 100;
-    bound.observe({
+    limit.observe({
       elapsed,
       backlogTokens: 1_000,
       uncachedTokens: 1_000,
-      inFlightRequests: bound.requests,
-      inFlightTokens: bound.requests * 2_000,
+      inFlightRequests: limit.requests,
+      inFlightTokens: limit.requests * 2_000,
     }, now);
   };
   for (let index = 0; index < 100; index++) observe(120);
-  const healthy = bound.requests;
+  const healthyLimit = limit.requests;
   for (let index = 0; index < 40; index++) observe(1_200 * 4);
-  t.is(healthy, 64);
-  t.true(bound.requests <= 8);
+  t.is(healthyLimit, 64);
+  t.true(limit.requests <= 8);
   for (let index = 0; index < 150; index++) observe(120);
-  t.true(bound.requests >= 32);
+  t.true(limit.requests >= 32);
 });
 
-test("an overdue first token shrinks the bound before it comes", (t) => {
-  const bound = new AdaptiveConcurrencyLimit({
+test("an overdue first token shrinks the limit before it arrives", (t) => {
+  const limit = new AdaptiveConcurrencyLimit({
     initialRequests: 16,
     maximumRequests: 64,
   });
@@ -113,8 +113,8 @@
     inFlightRequests: 16,
     inFlightTokens: 20_000,
   };
-  bound.observe({ ...sample, elapsed: 100 }, 0);
-  const before = bound.requests;
-  bound.observeOverdue({ ...sample, elapsed: 5_000 }, 1_000);
-  t.true(bound.requests < before);
+  limit.observe({ ...sample, elapsed: 100 }, 0);
+  const before = limit.requests;
+  limit.observeOverdue({ ...sample, elapsed: 5_000 }, 1_000);
+  t.true(limit.requests < before);
 });
--- a/packages/decisions/tests/limitsAndCache.test.ts
+++ b/packages/decisions/tests/limitsAndCache.test.ts
@@ -21,7 +21,7 @@
 
 const ACCOUNT = asId<ClientAccountId>("account-a");
 
-test("no second of a steady stream exceeds the published rates", (t) => {
+test("admitted requests and tokens never exceed the account's rates", (t) => {
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 50 }),
@@ -46,9 +46,9 @@
         let tokens = 0;
         for (const arrival of arrivals) {
           now += arrival.gap;
-          const ask = buildPlacementRequest("r");
-          if (limits.check(ask, now).kind === "over") continue;
-          limits.charge(ask, arrival.tokens);
+          const placementRequest = buildPlacementRequest("r");
+          if (limits.check(placementRequest, now).kind === "over") continue;
+          limits.charge(placementRequest, arrival.tokens);
           requests++;
           tokens += arrival.tokens;
           const seconds = now / 1_000 + 1;
@@ -61,7 +61,7 @@
   );
 });
 
-test("the wait that a limited account is told is enough", (t) => {
+test("a limited account is admitted again after the retry delay", (t) => {
   const limits = new AccountLimits([{
     account: ACCOUNT,
     requestsPerSecond: 2,
@@ -69,16 +69,16 @@
     concurrentRequests: 10,
     waitingRequests: 10,
   }]);
-  const ask = buildPlacementRequest("r");
-  limits.charge(ask, 4_000);
-  const check = limits.check(ask, 0);
+  const placementRequest = buildPlacementRequest("r");
+  limits.charge(placementRequest, 4_000);
+  const check = limits.check(placementRequest, 0);
   t.is(check.kind, "over");
   if (check.kind !== "over") return;
-  t.is(limits.check(ask, check.retryAfter).kind, "within");
-  t.is(limits.check(ask, check.retryAfter - 10).kind, "over");
+  t.is(limits.check(placementRequest, check.retryAfter).kind, "within");
+  t.is(limits.check(placementRequest, check.retryAfter - 10).kind, "over");
 });
 
-test("the cache map finds what a plain search finds", (t) => {
+test("the prefix cache index finds the same blocks as a linear search", (t) => {
   const operation = fc.record({
     upstream: fc.integer({ min: 0, max: 3 }),
     prompt: fc.integer({ min: 0, max: 2 }),
@@ -88,17 +88,17 @@
   fc.assert(
     fc.property(fc.array(operation, { maxLength: 60 }), (operations) => {
       const cache = new PrefixCacheIndex();
-      const held = new Map<UpstreamId, Set<Digest>>();
+      const cachedBlocks = new Map<UpstreamId, Set<Digest>>();
       const sequences = new Map<UpstreamId, number>();
       operations.forEach(({ upstream, prompt, length, kind }, index) => {
         const id = upstreamId(upstream);
-        const blocks = held.get(id) ?? new Set();
-        held.set(id, blocks);
-        const chain = chainOf(prompt);
-        // Engines evict the end of a chain first, which keeps what is held whole.
+        const blocks = cachedBlocks.get(id) ?? new Set();
+        cachedBlocks.set(id, blocks);
+        const blockChain = blockChainOf(prompt);
+        // Engines evict the end of a block chain first.
         const digests = kind === "evicted"
-          ? chain.slice(length)
-          : chain.slice(0, length);
+          ? blockChain.slice(length)
+          : blockChain.slice(0, length);
         if (kind === "stored") digests.forEach((digest) => blocks.add(digest));
         if (kind === "evicted") {
           digests.forEach((digest) => blocks.delete(digest));
@@ -114,13 +114,13 @@
         }, index * 10_000);
       });
       const now = operations.length * 10_000;
-      for (const [upstream, blocks] of held) {
+      for (const [upstream, blocks] of cachedBlocks) {
         for (let prompt = 0; prompt < 3; prompt++) {
-          const chain = chainOf(prompt);
-          const missing = chain.findIndex((digest) => !blocks.has(digest));
-          const expected = missing < 0 ? chain.length : missing;
-          const found = cache.cachedBlocks(upstream, chain, now);
-          // Entries expire after five minutes, so that only older ones may differ.
+          const blockChain = blockChainOf(prompt);
+          const missing = blockChain.findIndex((digest) => !blocks.has(digest));
+          const expected = missing < 0 ? blockChain.length : missing;
+          const found = cache.cachedBlocks(upstream, blockChain, now);
+          // Entries expire after five minutes, so fewer may be found later.
           if (now < 300_000) t.is(found, expected);
           else t.true(found <= expected);
         }
@@ -130,19 +130,22 @@
   );
 });
 
-test("after a gap in the events, what may have been evicted is doubted", (t) => {
+test("entries older than an event gap expire sooner", (t) => {
   const cache = new PrefixCacheIndex();
   const upstream = upstreamId(0);
-  const chain = chainOf(0);
+  const blockChain = blockChainOf(0);
   const event = { upstream, kind: "stored" as const };
-  cache.applyEvent({ ...event, sequence: 1, digests: chain }, 0);
-  cache.applyEvent({ ...event, sequence: 5, digests: chainOf(1) }, 1_000);
-  t.is(cache.cachedBlocks(upstream, chain, 2_000), chain.length);
-  t.is(cache.cachedBlocks(upstream, chain, 40_000), 0);
-  t.is(cache.cachedBlocks(upstream, chainOf(1), 40_000), chain.length);
+  cache.applyEvent({ ...event, sequence: 1, digests: blockChain }, 0);
+  cache.applyEvent({ ...event, sequence: 5, digests: blockChainOf(1) }, 1_000);
+  t.is(cache.cachedBlocks(upstream, blockChain, 2_000), blockChain.length);
+  t.is(cache.cachedBlocks(upstream, blockChain, 40_000), 0);
+  t.is(
+    cache.cachedBlocks(upstream, blockChainOf(1), 40_000),
+    blockChain.length,
+  );
 });
 
-test("a sample of free upstreams holds only free ones, of each generation", (t) => {
+test("a sample of free upstreams covers exactly the generations with free ones", (t) => {
   const random = new SeededRandom(1);
   const free = new FreeUpstreams();
   const states = buildPolicy(300).upstreams.map((description, index) =>
@@ -174,7 +177,7 @@
   }
 });
 
-function chainOf(prompt: number): Digest[] {
+function blockChainOf(prompt: number): Digest[] {
   return Array.from(
     { length: 12 },
     (_, block) => asId<Digest>(`${prompt}/${block}`),
--- a/packages/decisions/tests/poolScheduler.test.ts
+++ b/packages/decisions/tests/poolScheduler.test.ts
@@ -32,7 +32,7 @@
   medium: { prefillMsPerToken: 0.1, decodeMsPerToken: 20, typicalInFlight: 8 },
 };
 
-test("a free place goes to the most urgent tier", (t) => {
+test("a free slot goes to the most urgent tier", (t) => {
   const scheduler = buildScheduler(1, { initialConcurrency: 1 });
   scheduler.submit(buildPlacementRequest("running"), 0);
   scheduler.submit(buildPlacementRequest("low", { tier: 4 }), 0);
@@ -46,7 +46,7 @@
   t.deepEqual(describeDecisions(decisions), ["grant high u0"]);
 });
 
-test("a full queue sheds the lowest tier, whoever comes", (t) => {
+test("a full queue sheds the lowest tier, even a new request", (t) => {
   const scheduler = buildScheduler(1, {
     initialConcurrency: 1,
     maximumWaitingBytes: 3_000,
@@ -67,7 +67,7 @@
   );
 });
 
-test("a deadline that cannot be met is refused with the estimate", (t) => {
+test("a request that cannot meet its deadline is refused with an estimate", (t) => {
   const scheduler = buildScheduler(1, {}, { generationTimes: MEDIUM_TIMES });
   const [decision] = scheduler.submit(
     buildPlacementRequest("late", { promptTokens: 20_000, deadline: 100 }),
@@ -79,7 +79,7 @@
   t.true(decision.estimate! > 100);
 });
 
-test("a guess at the speed of unknown upstreams refuses nobody", (t) => {
+test("default speeds of unknown upstreams do not refuse a request", (t) => {
   const decisions = buildScheduler(1).submit(
     buildPlacementRequest("early", { promptTokens: 20_000, deadline: 100 }),
     0,
@@ -87,21 +87,21 @@
   t.deepEqual(describeDecisions(decisions), ["grant early u0"]);
 });
 
-test("an ask that is delivered twice is granted once", (t) => {
+test("a request that is delivered twice is granted once", (t) => {
   const scheduler = buildScheduler(2);
   t.is(scheduler.submit(buildPlacementRequest("a"), 0).length, 1);
   t.deepEqual(scheduler.submit(buildPlacementRequest("a"), 1), []);
 });
 
-test("a waiting copy of a convicted request never starts", (t) => {
+test("a waiting request with quarantined content is refused", (t) => {
   const scheduler = buildScheduler(1, { initialConcurrency: 1 });
   scheduler.submit(buildPlacementRequest("running"), 0);
   scheduler.submit(
-    buildPlacementRequest("copy", { fingerprint: asId<Digest>("killer") }),
+    buildPlacementRequest("copy", { fingerprint: asId<Digest>("poison") }),
     0,
   );
   scheduler.importPoisonRecords([{
-    fingerprint: asId<Digest>("killer"),
+    fingerprint: asId<Digest>("poison"),
     kind: "convicted",
     remainingMs: 60_000,
   }], 10);
@@ -114,7 +114,7 @@
   t.deepEqual(describeDecisions(decisions), ["refuse copy convicted"]);
 });
 
-test("when all upstreams leave, whoever waits is told at once", (t) => {
+test("waiting requests are refused at once when all upstreams leave", (t) => {
   const scheduler = buildScheduler(1, { initialConcurrency: 1 });
   scheduler.submit(buildPlacementRequest("running"), 0);
   scheduler.submit(buildPlacementRequest("waiting"), 0);
--- a/packages/decisions/tests/waitQueue.test.ts
+++ b/packages/decisions/tests/waitQueue.test.ts
@@ -8,29 +8,34 @@
 } from "@wasabivane/decisions";
 import { buildPlacementRequest } from "./helpers/pools.ts";
 
-const STRETCH = 10;
+const COST_MULTIPLIER = 10;
 const MAXIMUM_TOKENS = 3_000;
 
 interface Entry {
-  readonly ask: PlacementRequest;
+  readonly placementRequest: PlacementRequest;
   readonly tokens: number;
   readonly key: number;
   readonly since: number;
 }
 
-/** The queue as one list, searched from end to end for each question. */
-class ListedQueue {
+/** Implements the queue as one list, as a reference. */
+class ReferenceQueue {
   entries: Entry[] = [];
-  readonly served = new Map<string, number>();
-  readonly #reached = new Map<number, number>();
+  readonly servedTokens = new Map<string, number>();
+  readonly #servedFloor = new Map<number, number>();
 
   push(entry: Entry): string[] {
-    const { tier, account } = entry.ask;
-    const lane = laneOf(entry);
-    const isIdle = !this.entries.some((other) => laneOf(other) === lane);
+    const { tier, account } = entry.placementRequest;
+    const queueKey = queueKeyOf(entry);
+    const isIdle = !this.entries.some((other) =>
+      queueKeyOf(other) === queueKey
+    );
     if (isIdle) {
-      const reached = this.#reached.get(tier) ?? 0;
-      this.served.set(lane, Math.max(this.served.get(lane) ?? 0, reached));
+      const servedFloor = this.#servedFloor.get(tier) ?? 0;
+      this.servedTokens.set(
+        queueKey,
+        Math.max(this.servedTokens.get(queueKey) ?? 0, servedFloor),
+      );
     }
     this.entries.push(entry);
     void account;
@@ -39,50 +44,67 @@
 
   remove(request: string): boolean {
     const before = this.entries.length;
-    this.entries = this.entries.filter(({ ask }) => ask.request !== request);
+    this.entries = this.entries.filter(({ placementRequest }) =>
+      placementRequest.request !== request
+    );
     return this.entries.length < before;
   }
 
-  /** Whether the rules allow this request to be the next. */
-  mayBeNext(request: string): boolean {
-    const chosen = this.entries.find(({ ask }) => ask.request === request)!;
-    const topTier = Math.min(...this.entries.map(({ ask }) => ask.tier));
-    const rivals = this.entries.filter(({ ask }) => ask.tier === topTier);
-    const least = Math.min(...rivals.map((entry) => this.#servedOf(entry)));
-    const mates = rivals.filter((entry) => laneOf(entry) === laneOf(chosen));
-    return chosen.ask.tier === topTier &&
-      this.#servedOf(chosen) === least &&
-      chosen.key === Math.min(...mates.map(({ key }) => key));
+  /** Returns whether the ordering rules allow this request to be next. */
+  isValidNext(request: string): boolean {
+    const chosen = this.entries.find(({ placementRequest }) =>
+      placementRequest.request === request
+    )!;
+    const topTier = Math.min(
+      ...this.entries.map(({ placementRequest }) => placementRequest.tier),
+    );
+    const sameTier = this.entries.filter(({ placementRequest }) =>
+      placementRequest.tier === topTier
+    );
+    const leastServed = Math.min(
+      ...sameTier.map((entry) => this.#servedOf(entry)),
+    );
+    const sameQueue = sameTier.filter((entry) =>
+      queueKeyOf(entry) === queueKeyOf(chosen)
+    );
+    return chosen.placementRequest.tier === topTier &&
+      this.#servedOf(chosen) === leastServed &&
+      chosen.key === Math.min(...sameQueue.map(({ key }) => key));
   }
 
   take(request: string): void {
-    const chosen = this.entries.find(({ ask }) => ask.request === request)!;
-    const served = this.#servedOf(chosen);
-    const { tier } = chosen.ask;
-    this.#reached.set(tier, Math.max(this.#reached.get(tier) ?? 0, served));
-    this.served.set(laneOf(chosen), served + chosen.tokens);
+    const chosen = this.entries.find(({ placementRequest }) =>
+      placementRequest.request === request
+    )!;
+    const servedTokens = this.#servedOf(chosen);
+    const { tier } = chosen.placementRequest;
+    this.#servedFloor.set(
+      tier,
+      Math.max(this.#servedFloor.get(tier) ?? 0, servedTokens),
+    );
+    this.servedTokens.set(queueKeyOf(chosen), servedTokens + chosen.tokens);
     this.remove(request);
   }
 
   #servedOf(entry: Entry): number {
-    return this.served.get(laneOf(entry)) ?? 0;
+    return this.servedTokens.get(queueKeyOf(entry)) ?? 0;
   }
 
   #shed(): string[] {
     const shed: string[] = [];
     while (sumTokens(this.entries) > MAXIMUM_TOKENS) {
-      const victim = this.entries.reduce((worst, entry) =>
-        isShedBefore(entry, worst) ? entry : worst
+      const selected = this.entries.reduce((current, entry) =>
+        isShedBefore(entry, current) ? entry : current
       );
-      this.remove(victim.ask.request);
-      shed.push(victim.ask.request);
+      this.remove(selected.placementRequest.request);
+      shed.push(selected.placementRequest.request);
     }
     return shed;
   }
 }
 
-function laneOf({ ask }: Entry): string {
-  return `${ask.tier}/${ask.account}`;
+function queueKeyOf({ placementRequest }: Entry): string {
+  return `${placementRequest.tier}/${placementRequest.account}`;
 }
 
 function sumTokens(entries: readonly Entry[]): number {
@@ -90,7 +112,9 @@
 }
 
 function isShedBefore(entry: Entry, other: Entry): boolean {
-  if (entry.ask.tier !== other.ask.tier) return entry.ask.tier > other.ask.tier;
+  if (entry.placementRequest.tier !== other.placementRequest.tier) {
+    return entry.placementRequest.tier > other.placementRequest.tier;
+  }
   if (entry.tokens !== other.tokens) return entry.tokens > other.tokens;
   return entry.since > other.since;
 }
@@ -114,73 +138,73 @@
   },
 );
 
-test("the queue orders and sheds as a plain list does", (t) => {
+test("the queue orders and sheds like the reference list", (t) => {
   fc.assert(
     fc.property(fc.array(step, { maxLength: 200 }), (steps) => {
       const queue = new WaitQueue({
         maximumTokens: MAXIMUM_TOKENS,
         maximumBytes: Infinity,
-        costMultiplier: STRETCH,
+        costMultiplier: COST_MULTIPLIER,
       });
-      const listed = new ListedQueue();
+      const reference = new ReferenceQueue();
       steps.forEach((action, now) => {
         if (action.kind === "push") {
-          const ask = buildPlacementRequest(`r${now}`, {
+          const placementRequest = buildPlacementRequest(`r${now}`, {
             tier: action.tier,
             account: `account-${action.account}`,
           });
-          const shed = queue.push(ask, {
+          const shed = queue.push(placementRequest, {
             now,
             expectedTokens: action.tokens,
             expectedMs: action.cost,
             costMs: action.cost,
             latestStart: Infinity,
           });
-          const key = now + STRETCH * action.cost;
-          const expected = listed.push({
-            ask,
+          const key = now + COST_MULTIPLIER * action.cost;
+          const expected = reference.push({
+            placementRequest,
             tokens: action.tokens,
             key,
             since: now,
           });
           t.deepEqual(
-            shed.map((waiting) => waiting.placementRequest.request as string),
+            shed.map((queued) => queued.placementRequest.request as string),
             expected,
           );
         } else if (action.kind === "remove") {
           const name = `r${action.which}`;
           const removed = queue.remove(asId<RequestId>(name));
-          t.is(removed !== undefined, listed.remove(name));
+          t.is(removed !== undefined, reference.remove(name));
         } else {
           const taken = queue.take(() => "start");
-          t.is(taken === undefined, listed.entries.length === 0);
+          t.is(taken === undefined, reference.entries.length === 0);
           if (taken === undefined) return;
-          t.true(listed.mayBeNext(taken.placementRequest.request));
-          listed.take(taken.placementRequest.request);
+          t.true(reference.isValidNext(taken.placementRequest.request));
+          reference.take(taken.placementRequest.request);
         }
       });
-      t.is(queue.size, listed.entries.length);
-      t.is(queue.tokens, sumTokens(listed.entries));
+      t.is(queue.size, reference.entries.length);
+      t.is(queue.tokens, sumTokens(reference.entries));
     }),
     { numRuns: 150, seed: 1 },
   );
 });
 
-test("requests that found no place do not hide those behind them", (t) => {
+test("blocked requests do not hide the requests behind them", (t) => {
   const queue = new WaitQueue({ maximumTokens: 1e6, maximumBytes: 1e6 });
   for (let index = 0; index < 40; index++) {
     queue.push(buildPlacementRequest(`r${index}`), details(index));
   }
   const tried = new Set<string>();
-  const refuseAll = (waiting: QueuedRequest): "blocked" => {
-    tried.add(waiting.placementRequest.request);
+  const blockAll = (queued: QueuedRequest): "blocked" => {
+    tried.add(queued.placementRequest.request);
     return "blocked";
   };
-  for (let call = 0; call < 10; call++) queue.take(refuseAll);
+  for (let call = 0; call < 10; call++) queue.take(blockAll);
   t.is(tried.size, 40);
 });
 
-test("an idle account saves up no claim", (t) => {
+test("an idle account gains no credit", (t) => {
   const queue = new WaitQueue({ maximumTokens: 1e6, maximumBytes: 1e6 });
   for (let index = 0; index < 20; index++) {
     queue.push(
