--- a/apps/bundle/src/diffCommand.ts
+++ b/apps/bundle/src/diffCommand.ts
@@ -1,6 +1,6 @@
 import {
   type Bundle,
-  compareBundles,
+  compareBundleParts,
   formatPath,
   readBundleFile,
 } from "@wasabivane/bundle";
@@ -18,7 +18,7 @@
 }
 
 function differenceReport(from: Bundle, to: Bundle): CommandReport {
-  const comparison = compareBundles(from, to)._unsafeUnwrap();
+  const comparison = compareBundleParts(from, to)._unsafeUnwrap();
   const changes = changesBetween(from, comparison);
   return {
     exitCode: changes.length === 0 ? EXIT_OK : EXIT_FINDINGS,
--- a/apps/bundle/src/program.ts
+++ b/apps/bundle/src/program.ts
@@ -1,11 +1,11 @@
 import { type CAC, cac } from "cac";
 import {
   type CommandOutput,
+  getIntegerOption,
+  getRequiredTextOption,
+  getTextOption,
   type ParsedOptions,
-  requiredTextOption,
   runCommandLine,
-  textOption,
-  wholeNumberOption,
 } from "@wasabivane/common";
 import { checkCommand } from "./checkCommand.ts";
 import { diffCommand } from "./diffCommand.ts";
@@ -41,8 +41,8 @@
     .option("--out <file>", "Write there instead of printing")
     .action((options: ParsedOptions) =>
       initCommand({
-        deployment: requiredTextOption(options, "deployment"),
-        out: textOption(options, "out"),
+        deployment: getRequiredTextOption(options, "deployment"),
+        out: getTextOption(options, "out"),
       })
     );
   cli.command("check <file>", "Say what is wrong with a bundle")
@@ -59,11 +59,11 @@
     .option("--tier <tier>", "Tier that the request asks for")
     .action((file: unknown, options: ParsedOptions) =>
       explainCommand(String(file), {
-        account: requiredTextOption(options, "account"),
-        model: textOption(options, "model"),
-        path: textOption(options, "path"),
-        method: textOption(options, "method")?.toUpperCase(),
-        tier: wholeNumberOption(options, "tier"),
+        account: getRequiredTextOption(options, "account"),
+        model: getTextOption(options, "model"),
+        path: getTextOption(options, "path"),
+        method: getTextOption(options, "method")?.toUpperCase(),
+        tier: getIntegerOption(options, "tier"),
       })
     );
 }
@@ -74,8 +74,8 @@
     .option("--out <file>", "File of the private key (default: ID.pem)")
     .action((options: ParsedOptions) =>
       keygenCommand({
-        keyId: textOption(options, "keyId"),
-        out: textOption(options, "out"),
+        keyId: getTextOption(options, "keyId"),
+        out: getTextOption(options, "out"),
       })
     );
   cli.command("sign <file>", "Check and sign a bundle")
@@ -84,16 +84,16 @@
     .option("--out <file>", "Write there instead of printing")
     .action((file: unknown, options: ParsedOptions) =>
       signCommand(String(file), {
-        key: requiredTextOption(options, "key"),
-        keyId: requiredTextOption(options, "keyId"),
-        out: textOption(options, "out"),
+        key: getRequiredTextOption(options, "key"),
+        keyId: getRequiredTextOption(options, "keyId"),
+        out: getTextOption(options, "out"),
       })
     );
   cli.command("verify <file>", "Say whether pinned keys trust a signed bundle")
     .option("--trust <file>", "Settings, or a list of trusted keys")
     .action((file: unknown, options: ParsedOptions) =>
       verifyCommand(String(file), {
-        trust: requiredTextOption(options, "trust"),
+        trust: getRequiredTextOption(options, "trust"),
       })
     );
 }
--- a/apps/ctl/src/operatorSettings.ts
+++ b/apps/ctl/src/operatorSettings.ts
@@ -7,24 +7,24 @@
   readDocument,
 } from "@wasabivane/bundle";
 import {
+  getIntegerOption,
+  getTextOption,
   type ParsedOptions,
-  textOption,
   UsageError,
-  wholeNumberOption,
 } from "@wasabivane/common";
 import { Agent, type Dispatcher } from "undici";
 
 /** The settings that a command line names: a file, or urls of entry hosts. */
 export function settingsOf(options: ParsedOptions): OperatorSettings {
-  const file = textOption(options, "settings");
-  const entries = textOption(options, "entries");
+  const file = getTextOption(options, "settings");
+  const entries = getTextOption(options, "entries");
   if ((file === undefined) === (entries === undefined)) {
     throw new UsageError("Give one of --entries and --settings");
   }
   const settings = file === undefined
     ? settingsOfUrls(entries!)
     : settingsOfFile(file);
-  const timeoutMs = wholeNumberOption(options, "timeout");
+  const timeoutMs = getIntegerOption(options, "timeout");
   return timeoutMs === undefined ? settings : { ...settings, timeoutMs };
 }
 
--- a/apps/ctl/src/program.ts
+++ b/apps/ctl/src/program.ts
@@ -2,10 +2,10 @@
 import {
   type CommandOutput,
   type CommandReport,
+  getTextOption,
   type ParsedOptions,
   runCommandLine,
   SystemTimer,
-  textOption,
   type Timer,
   UsageError,
 } from "@wasabivane/common";
@@ -120,7 +120,7 @@
       }
       return drainCommand(clientsOf(options, run), {
         host: String(host),
-        stopPlan: textOption(options, "stopPlan"),
+        stopPlan: getTextOption(options, "stopPlan"),
       });
     });
 }
@@ -142,7 +142,7 @@
 }
 
 function watchPeriod(options: ParsedOptions): number | undefined {
-  const text = textOption(options, "watch");
+  const text = getTextOption(options, "watch");
   if (text === undefined) return undefined;
   const seconds = Number(text);
   if (seconds > 0 && seconds <= 86_400) {
--- a/apps/entry/src/intake.ts
+++ b/apps/entry/src/acceptRequest.ts
@@ -122,7 +122,7 @@
     account,
     service,
     tier: tier.value,
-    key: key.value,
+    idempotencyKey: key.value,
     isIdempotent,
     acceptedAt: now,
     arrivedAt: incoming.arrivedAt ?? now,
@@ -131,7 +131,7 @@
     path: incoming.path,
     headers: endToEndHeaders(headers),
     body,
-    wantsStream: false,
+    shouldStream: false,
     promptTokens: estimateTokens(body.byteLength),
     maximumOutputTokens: 1,
     prefixDigests: [],
@@ -150,7 +150,7 @@
     // The salt keeps one account's cached prefixes from answering another's
     // timing probe: engines only match blocks under equal salts.
     body: Buffer.from(JSON.stringify({ ...chat, cache_salt: salt })),
-    wantsStream: chat.stream ?? false,
+    shouldStream: chat.stream ?? false,
     promptTokens: estimateTokens(Buffer.byteLength(prompt)),
     maximumOutputTokens: chat.max_completion_tokens ?? chat.max_tokens ??
       DEFAULT_OUTPUT_TOKENS,
--- a/apps/entry/src/acceptedRequest.ts
+++ b/apps/entry/src/acceptedRequest.ts
@@ -15,7 +15,7 @@
   readonly account: ClientAccount;
   readonly service: Service;
   readonly tier: Tier;
-  readonly key: IdempotencyKey | undefined;
+  readonly idempotencyKey: IdempotencyKey | undefined;
   readonly isIdempotent: boolean;
   readonly acceptedAt: Milliseconds;
   /** The earliest moment at which its first byte can have come in. */
@@ -27,7 +27,7 @@
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Buffer;
-  readonly wantsStream: boolean;
+  readonly shouldStream: boolean;
   readonly promptTokens: number;
   readonly maximumOutputTokens: number;
   readonly prefixDigests: readonly Digest[];
--- a/apps/entry/src/boundedTag.ts
+++ b/apps/entry/src/boundedTag.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds, Timer } from "@wasabivane/common";
 
 /** What further values of a tag share. */
-export const OTHER = "other";
+export const OTHER_TAG_VALUE = "other";
 
 const DEFAULT_MAXIMUM_VALUES = 200;
 const DEFAULT_INTERVAL_MS: Milliseconds = 300_000;
@@ -33,8 +33,8 @@
     };
   }
 
-  /** The value itself, or {@link OTHER}. */
-  shown(value: string): string {
+  /** The value itself, or {@link OTHER_TAG_VALUE}. */
+  boundedValue(value: string): string {
     const { timer, maximumValues, intervalMs } = this.#options;
     const now = timer.now();
     if (now >= this.#intervalEnd) {
@@ -42,7 +42,7 @@
       this.#intervalEnd = now + intervalMs;
     }
     if (this.#named.has(value)) return value;
-    if (this.#named.size >= maximumValues) return OTHER;
+    if (this.#named.size >= maximumValues) return OTHER_TAG_VALUE;
     this.#named.add(value);
     return value;
   }
--- a/apps/entry/src/answerRecord.ts
+++ b/apps/entry/src/bufferedResponse.ts
@@ -1,24 +1,24 @@
 import type { Problem } from "./problem.ts";
 
 /** Status and headers of an answer. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
 }
 
 /** How an answer ended. */
-export type AnswerEnd =
+export type ResponseEnd =
   | { readonly kind: "whole" }
   | { readonly kind: "failed"; readonly problem: Problem };
 
 /** What a reader gets next. */
-export type AnswerStep =
-  | { readonly kind: "head"; readonly head: AnswerHead }
+export type ResponseItem =
+  | { readonly kind: "head"; readonly head: ResponseHead }
   | { readonly kind: "part"; readonly part: Uint8Array }
-  | { readonly kind: "end"; readonly end: AnswerEnd };
+  | { readonly kind: "end"; readonly end: ResponseEnd };
 
-/** Options of an {@link AnswerRecord}. */
-export interface AnswerRecordOptions {
+/** Options of an {@link BufferedResponse}. */
+export interface BufferedResponseOptions {
   /** Keeps all parts, so that a resend can read the answer from its start. */
   readonly isReplayable?: boolean;
   /** Bytes that may stand unread before the writer waits. */
@@ -35,30 +35,30 @@
  * caller's resends. The writer waits while the slowest reader is far behind,
  * so that a slow caller slows the upstream's connection, not this host's memory.
  */
-export class AnswerRecord {
+export class BufferedResponse {
   readonly #highWaterBytes: number;
   readonly #maximumReplayBytes: number;
   #isReplayable: boolean;
-  #head: AnswerHead | undefined;
-  #end: AnswerEnd | undefined;
+  #head: ResponseHead | undefined;
+  #end: ResponseEnd | undefined;
   #parts: Uint8Array[] = [];
   #firstPart = 0;
   #retainedBytes = 0;
-  readonly #readers = new Set<AnswerReader>();
+  readonly #readers = new Set<ResponseReader>();
   #wakeWriter: (() => void) | undefined;
 
-  constructor(options: AnswerRecordOptions = {}) {
+  constructor(options: BufferedResponseOptions = {}) {
     this.#isReplayable = options.isReplayable ?? false;
     this.#highWaterBytes = options.highWaterBytes ?? DEFAULT_HIGH_WATER_BYTES;
     this.#maximumReplayBytes = options.maximumReplayBytes ??
       DEFAULT_MAXIMUM_REPLAY_BYTES;
   }
 
-  get head(): AnswerHead | undefined {
+  get head(): ResponseHead | undefined {
     return this.#head;
   }
 
-  get end(): AnswerEnd | undefined {
+  get end(): ResponseEnd | undefined {
     return this.#end;
   }
 
@@ -71,7 +71,7 @@
   }
 
   /** Steps written so far: the head counts as one, each part as one. */
-  get length(): number {
+  get itemCount(): number {
     if (this.#head === undefined) return 0;
     return 1 + this.#firstPart + this.#parts.length;
   }
@@ -82,7 +82,7 @@
   }
 
   /** Writes status and headers; once. */
-  begin(head: AnswerHead): void {
+  writeHead(head: ResponseHead): void {
     if (this.#head !== undefined || this.#end !== undefined) return;
     this.#head = head;
     this.#wakeReaders();
@@ -98,7 +98,7 @@
   }
 
   /** Ends the answer; the first end counts. */
-  finish(end: AnswerEnd): void {
+  finish(end: ResponseEnd): void {
     if (this.#end !== undefined) return;
     this.#end = end;
     this.#wakeReaders();
@@ -112,7 +112,7 @@
   }
 
   /** Resolves when there is room again, or the answer ended. */
-  whenRoom(): Promise<void> {
+  whenWritable(): Promise<void> {
     if (!this.isFull) return Promise.resolve();
     return new Promise((resolve) => {
       this.#wakeWriter = resolve;
@@ -120,20 +120,20 @@
   }
 
   /** A reader from the first byte; `undefined` when that is forgotten. */
-  open(): AnswerReader | undefined {
-    return this.openAt(0);
+  openReader(): ResponseReader | undefined {
+    return this.openReaderAt(0);
   }
 
   /** A reader from a position on, counted in steps. */
-  openAt(position: number): AnswerReader | undefined {
+  openReaderAt(position: number): ResponseReader | undefined {
     if (!this.canReplay) return undefined;
-    const reader = new AnswerReader(this, position);
+    const reader = new ResponseReader(this, position);
     this.#readers.add(reader);
     return reader;
   }
 
   /** Used by readers: the step at a position, if it is there. */
-  stepAt(position: number): AnswerStep | undefined {
+  itemAt(position: number): ResponseItem | undefined {
     if (position === 0) {
       if (this.#head !== undefined) return { kind: "head", head: this.#head };
       return this.#end === undefined
@@ -148,7 +148,7 @@
   }
 
   /** Used by readers: a reader moved on or left. */
-  onProgress(): void {
+  onReaderProgress(): void {
     this.#trim();
     if (this.#wakeWriter !== undefined && !this.isFull) {
       const wake = this.#wakeWriter;
@@ -158,9 +158,9 @@
   }
 
   /** Used by readers: a reader left. */
-  close(reader: AnswerReader): void {
+  removeReader(reader: ResponseReader): void {
     this.#readers.delete(reader);
-    this.onProgress();
+    this.onReaderProgress();
   }
 
   #unreadBytes(): number {
@@ -205,12 +205,12 @@
 }
 
 /** Reads one answer in order. */
-export class AnswerReader {
-  readonly #record: AnswerRecord;
+export class ResponseReader {
+  readonly #record: BufferedResponse;
   #position: number;
   #wake: (() => void) | undefined;
 
-  constructor(record: AnswerRecord, position = 0) {
+  constructor(record: BufferedResponse, position = 0) {
     this.#record = record;
     this.#position = position;
   }
@@ -220,16 +220,16 @@
   }
 
   /** The next step if it is there already. */
-  poll(): AnswerStep | undefined {
-    const step = this.#record.stepAt(this.#position);
+  poll(): ResponseItem | undefined {
+    const step = this.#record.itemAt(this.#position);
     if (step === undefined || step.kind === "end") return step;
     this.#position++;
-    this.#record.onProgress();
+    this.#record.onReaderProgress();
     return step;
   }
 
   /** The next step; after the end it is the end again. */
-  async next(): Promise<AnswerStep> {
+  async next(): Promise<ResponseItem> {
     while (true) {
       const step = this.poll();
       if (step !== undefined) return step;
@@ -246,6 +246,6 @@
 
   /** Leaves the answer; the record no longer waits for this reader. */
   close(): void {
-    this.#record.close(this);
+    this.#record.removeReader(this);
   }
 }
--- a/apps/entry/src/callerApi.ts
+++ b/apps/entry/src/callerApi.ts
@@ -12,29 +12,33 @@
 } from "@wasabivane/common";
 import type { Bundle, SignedBundle } from "@wasabivane/bundle";
 import type { AcceptedRequest } from "./acceptedRequest.ts";
-import type { AnswerRecord } from "./answerRecord.ts";
-import { refuseUnread, relayAnswer, writeProblem } from "./answerWriter.ts";
-import { Authenticator } from "./authentication.ts";
+import type { BufferedResponse } from "./bufferedResponse.ts";
+import {
+  refuseUnreadRequest,
+  writeProblem,
+  writeResponse,
+} from "./responseWriter.ts";
+import { Authenticator } from "./authenticator.ts";
 import { IDEMPOTENCY_KEY_HEADER, TICKETS_PATH } from "./constants.ts";
-import { acceptRequest } from "./intake.ts";
-import type { JobDesk } from "./jobDesk.ts";
+import { acceptRequest } from "./acceptRequest.ts";
+import type { JobApi } from "./jobApi.ts";
 import { type Problem, type ProblemName, problemOf } from "./problem.ts";
 import { readBody } from "./requestBody.ts";
-import { checkHead } from "./requestHead.ts";
+import { checkRequestHead } from "./requestHead.ts";
 
 const REQUEST_ID_BYTES = 9;
 const RETRY_AFTER_MS = 2_000;
 
 /** An answer that is on its way. */
-export interface ServedAnswer {
-  readonly record: AnswerRecord;
+export interface ServedResponse {
+  readonly response: BufferedResponse;
   /** The caller is gone; work that nobody will fetch should end. */
-  hangUp(): void;
+  handleDisconnect(): void;
 }
 
 /** Serves accepted requests; the rim knows no more of them. */
 export interface RequestService {
-  serve(request: AcceptedRequest): ServedAnswer;
+  serve(request: AcceptedRequest): ServedResponse;
 }
 
 /** What the caller interface needs from its process. */
@@ -49,10 +53,10 @@
   /** The earliest moment at which a request that is read now can have arrived. */
   readonly earliestArrival: () => Milliseconds;
   /** Serves requests without an idempotency key. */
-  readonly service: RequestService;
+  readonly unkeyedService: RequestService;
   readonly keyedService: RequestService;
   readonly mintTicket: (account: ClientAccountId) => IdempotencyKey;
-  readonly jobDesk: JobDesk;
+  readonly jobApi: JobApi;
 }
 
 /** The HTTP interface for callers. */
@@ -89,7 +93,7 @@
   ): void {
     const { metrics, maximumBodyBytes } = this.#options;
     metrics.count("request.refused_at_intake", 1, { problem: problem.name });
-    refuseUnread(incoming, {
+    refuseUnreadRequest(incoming, {
       outgoing,
       problem: hasKey(incoming) ? aboutKey(problem) : problem,
       maximumBytes: maximumBodyBytes,
@@ -100,7 +104,8 @@
     incoming: IncomingMessage,
     outgoing: ServerResponse,
   ): Promise<Problem | undefined> {
-    const { blackboard, bundleInForce, isStopping, jobDesk } = this.#options;
+    const { blackboard, bundleInForce, isStopping, jobApi: jobDesk } =
+      this.#options;
     const arrivedAt = this.#options.earliestArrival();
     if (isStopping()) {
       return problemOf("stopping", { retryAfter: RETRY_AFTER_MS });
@@ -109,15 +114,15 @@
     if (bundle === undefined) {
       return problemOf("not-ready", { retryAfter: RETRY_AFTER_MS });
     }
-    const target = checkHead(incoming);
+    const target = checkRequestHead(incoming);
     if (target.isErr()) return target.error;
     const path = target.value;
     const account = this.#authenticatorFor(bundle).authenticate(
       incoming.headers.authorization,
     );
     if (account === undefined) return problemOf("unauthenticated");
-    if (jobDesk.serves(path)) {
-      await jobDesk.tell({ path, account: account.account, outgoing });
+    if (jobDesk.handlesPath(path)) {
+      await jobDesk.fetch({ path, account: account.account, outgoing });
       return undefined;
     }
     if (path === TICKETS_PATH && incoming.method === "POST") {
@@ -138,7 +143,7 @@
       body: body.value,
     });
     if (accepted.isErr()) return accepted.error;
-    if (wantsJob(incoming)) await jobDesk.take(accepted.value, outgoing);
+    if (wantsJob(incoming)) await jobDesk.submit(accepted.value, outgoing);
     else {await this.#relay(
         this.#serviceFor(accepted.value).serve(accepted.value),
         outgoing,
@@ -146,16 +151,19 @@
     return undefined;
   }
 
-  #serviceFor({ key }: AcceptedRequest): RequestService {
-    const { service, keyedService } = this.#options;
+  #serviceFor({ idempotencyKey: key }: AcceptedRequest): RequestService {
+    const { unkeyedService: service, keyedService } = this.#options;
     return key === undefined ? service : keyedService;
   }
 
-  async #relay(answer: ServedAnswer, outgoing: ServerResponse): Promise<void> {
+  async #relay(
+    answer: ServedResponse,
+    outgoing: ServerResponse,
+  ): Promise<void> {
     outgoing.on("close", () => {
-      if (!outgoing.writableFinished) answer.hangUp();
+      if (!outgoing.writableFinished) answer.handleDisconnect();
     });
-    await relayAnswer(answer.record, outgoing);
+    await writeResponse(answer.response, outgoing);
   }
 
   #authenticatorFor(bundle: Bundle): Authenticator {
--- a/apps/entry/src/completionStream.ts
+++ b/apps/entry/src/completionStream.ts
@@ -42,7 +42,7 @@
   #isWhole = false;
   #resolveWhole: () => void = () => {};
   /** Resolves at the end mark. */
-  readonly whole: Promise<undefined> = new Promise((resolve) => {
+  readonly whenComplete: Promise<undefined> = new Promise((resolve) => {
     this.#resolveWhole = () => resolve(undefined);
   });
   #hasExcess = false;
@@ -58,16 +58,16 @@
   }
 
   /** Tokens passed on so far, over all connections of this dispatch. */
-  get tokens(): number {
+  get tokenCount(): number {
     return this.#tokens;
   }
 
-  get isWhole(): boolean {
+  get isComplete(): boolean {
     return this.#isWhole;
   }
 
   /** Whether the engine went on after the end mark. */
-  get hasExcess(): boolean {
+  get hasTrailingEvents(): boolean {
     return this.#hasExcess;
   }
 
@@ -90,7 +90,7 @@
   }
 
   /** Forgets a half event before the stream goes on over a new connection. */
-  restart(): void {
+  resetParser(): void {
     this.#parser.reset();
     this.#decoder.decode();
     this.#pendingCharacters = 0;
@@ -138,7 +138,7 @@
       choice.delta.content !== "";
     if (isToken) this.#tokens++;
     if (isPresent(choice?.finish_reason)) this.#hasFinishReason = true;
-    if (isPresent(chunk.usage)) this.#usage = usageOf(chunk.usage);
+    if (isPresent(chunk.usage)) this.#usage = completionUsageOf(chunk.usage);
     this.#onEvent({ data, isToken });
   }
 
@@ -148,7 +148,9 @@
 }
 
 /** Reads the usage member of a completion. */
-export function usageOf(usage: NonNullable<Chunk["usage"]>): CompletionUsage {
+export function completionUsageOf(
+  usage: NonNullable<Chunk["usage"]>,
+): CompletionUsage {
   return {
     promptTokens: usage.prompt_tokens ?? 0,
     completionTokens: usage.completion_tokens ?? 0,
--- a/apps/entry/src/connectionProblems.ts
+++ b/apps/entry/src/connectionErrorHandler.ts
@@ -7,7 +7,7 @@
 } from "node:http";
 import { Server as TlsServer } from "node:https";
 import type { Socket } from "node:net";
-import { writeProblem } from "./answerWriter.ts";
+import { writeProblem } from "./responseWriter.ts";
 import {
   type Problem,
   problemDocument,
@@ -35,7 +35,7 @@
  * Ends what cannot be read as a request with a problem document. Node.js would
  * send a bare status line, from which a caller cannot learn that nothing ran.
  */
-export class ConnectionProblems {
+export class ConnectionErrorHandler {
   /** A caller may send requests before the answers of former ones came. */
   readonly #pending = new WeakMap<Socket, Set<Pending>>();
   readonly #refused = new WeakSet<Socket>();
@@ -47,7 +47,7 @@
   }
 
   /** Wraps the handler of the server's requests. */
-  guard(handle: RequestHandler): RequestHandler {
+  wrapHandler(handle: RequestHandler): RequestHandler {
     return (incoming, outgoing) => {
       if (this.#refused.has(incoming.socket)) {
         refuse(
@@ -64,7 +64,7 @@
   }
 
   /** Watches the server's connections. */
-  watch(server: Server | TlsServer): void {
+  attachTo(server: Server | TlsServer): void {
     server.maxConnections = this.#maximumConnections + REFUSED_CONNECTIONS;
     const opened = server instanceof TlsServer
       ? "secureConnection"
--- a/apps/entry/src/constants.ts
+++ b/apps/entry/src/constants.ts
@@ -11,6 +11,6 @@
 /** Path below which jobs are fetched. */
 export const JOBS_PATH = "/v1/jobs";
 /** How long a job's answer is kept for its caller after the job's deadline. */
-export const ANSWER_KEPT_MS = 4 * 3_600_000;
+export const RESPONSE_RETENTION_MS = 4 * 3_600_000;
 /** Path at which callers get tickets. */
 export const TICKETS_PATH = "/v1/tickets";
--- a/apps/entry/src/daemon.ts
+++ b/apps/entry/src/daemon.ts
@@ -3,7 +3,7 @@
 import { EntryHost } from "./entryHost.ts";
 import type { EntryHostOptions } from "./entryHostOptions.ts";
 import { type HttpListener, listen } from "./httpListener.ts";
-import { operatorRoutes } from "./operatorApi.ts";
+import { createOperatorRoutes } from "./operatorApi.ts";
 
 /** Ports that a daemon listens on. */
 export interface DaemonPorts {
@@ -43,7 +43,7 @@
       { listener: callers, limits, metrics },
     );
     this.#listeners.push(callerListener);
-    const routes = operatorRoutes(this.host.operatorView());
+    const routes = createOperatorRoutes(this.host.createOperatorView());
     const operatorListener = await listen(
       getRequestListener(routes.fetch, { overrideGlobalObjects: false }),
       { listener: operators, limits, metrics },
--- a/apps/entry/src/dispatch.ts
+++ b/apps/entry/src/dispatch.ts
@@ -2,7 +2,7 @@
 import { err, ok, type Result } from "neverthrow";
 import type { Nonce, Timer, UpstreamId } from "@wasabivane/common";
 import type { AcceptedRequest } from "./acceptedRequest.ts";
-import type { AnswerRecord } from "./answerRecord.ts";
+import type { BufferedResponse } from "./bufferedResponse.ts";
 import type { UpstreamBody, UpstreamClient } from "./upstreamClient.ts";
 import type { UpstreamError } from "./upstreamError.ts";
 
@@ -29,7 +29,7 @@
   readonly timer: Timer;
   readonly request: AcceptedRequest;
   readonly target: DispatchTarget;
-  readonly record: AnswerRecord;
+  readonly response: BufferedResponse;
   readonly signal: AbortSignal;
   /** Called at the first token, or at the head of a whole answer. */
   readonly onFirstToken: () => void;
@@ -53,18 +53,18 @@
   abstract resume(): Promise<Result<DispatchSummary, UpstreamError>>;
 
   /** Counts an error that a safeguard found. */
-  protected noted(error: UpstreamError): UpstreamError {
+  protected countSafeguard(error: UpstreamError): UpstreamError {
     if (error.kind === "not-own") this.options.onSafeguard("answer_not_own");
     return error;
   }
 
   /** Reads an answer that is held whole before its caller sees any of it. */
-  protected async collectWhole(
+  protected async collectBody(
     body: UpstreamBody,
   ): Promise<Result<Buffer, UpstreamError>> {
     const parts: Buffer[] = [];
     let bytes = 0;
-    const read = await this.collect(body, (part) => {
+    const read = await this.readParts(body, (part) => {
       bytes += part.byteLength;
       if (bytes > MAX_WHOLE_BYTES) body.destroy();
       else parts.push(part);
@@ -75,7 +75,7 @@
     return read.map(() => Buffer.concat(parts));
   }
 
-  protected async collect(
+  protected async readParts(
     body: AsyncIterable<Buffer>,
     onPart: (part: Buffer) => void | Promise<void>,
   ): Promise<Result<void, UpstreamError>> {
--- a/apps/entry/src/entryHost.ts
+++ b/apps/entry/src/entryHost.ts
@@ -17,8 +17,8 @@
 } from "@wasabivane/coordination";
 import { CallerApi } from "./callerApi.ts";
 import type { EntryHostOptions } from "./entryHostOptions.ts";
-import { createHostParts, type HostParts } from "./hostParts.ts";
-import { JobDesk } from "./jobDesk.ts";
+import { createHostComponents, type HostComponents } from "./hostComponents.ts";
+import { JobApi } from "./jobApi.ts";
 import type { OperatorView } from "./operatorApi.ts";
 
 /** Phases of a planned stop in which requests are still served. */
@@ -38,7 +38,7 @@
   readonly #blackboard = new Blackboard();
   readonly #counters: MemoryMetrics;
   readonly #metrics: Metrics;
-  readonly #parts: HostParts;
+  readonly #parts: HostComponents;
   #isEnded = false;
 
   constructor(options: EntryHostOptions) {
@@ -46,7 +46,7 @@
     this.incarnation = options.incarnation;
     this.#counters = options.counters ?? new MemoryMetrics();
     this.#metrics = options.metrics ?? this.#counters;
-    this.#parts = createHostParts(options, {
+    this.#parts = createHostComponents(options, {
       blackboard: this.#blackboard,
       metrics: this.#metrics,
     });
@@ -54,7 +54,7 @@
 
   /** Joins the fleet. */
   start(): void {
-    const { keeper, controllers } = this.#parts;
+    const { coordinator: keeper, controllers } = this.#parts;
     for (const controller of controllers) controller.start();
     const refresh = (): void => keeper.refreshPolicies();
     this.#blackboard.watch(BUNDLE_IN_FORCE, refresh);
@@ -80,7 +80,7 @@
   requestStop(stopPlan?: string): boolean {
     const plan = this.#stopPlan(stopPlan);
     if (plan === undefined || this.isStopping) return false;
-    this.#parts.stopping.requestStop(plan);
+    this.#parts.stopController.requestStop(plan);
     return true;
   }
 
@@ -95,7 +95,13 @@
   /** The interface for callers. */
   createCallerApi(): CallerApi {
     const { settings, timer, random } = this.#options;
-    const { service, keyed, keys, jobs, stalls } = this.#parts;
+    const {
+      unkeyedService: service,
+      keyedService: keyed,
+      keyService: keys,
+      jobs,
+      stallDetector: stalls,
+    } = this.#parts;
     return new CallerApi({
       blackboard: this.#blackboard,
       timer,
@@ -105,15 +111,15 @@
       maximumBodyBytes: settings.limits.maximumBodyBytes,
       isStopping: () => !this.#isServing(),
       earliestArrival: () => stalls.earliestArrival(),
-      service,
+      unkeyedService: service,
       keyedService: keyed,
       mintTicket: (account) => keys.mintTicket(account),
-      jobDesk: new JobDesk({ timer, jobs, keys }),
+      jobApi: new JobApi({ timer, jobs, keys }),
     });
   }
 
   /** The interface for operators. */
-  operatorView(): OperatorView {
+  createOperatorView(): OperatorView {
     return {
       status: () => this.status(),
       isReady: () => this.#isReady(),
@@ -124,7 +130,13 @@
   /** What `wasabivane-ctl` shows of this host. */
   status(): Record<string, unknown> {
     const { settings } = this.#options;
-    const { keeper, pools, service, keyed, jobs } = this.#parts;
+    const {
+      coordinator: keeper,
+      pools,
+      unkeyedService: service,
+      keyedService: keyed,
+      jobs,
+    } = this.#parts;
     const signed = this.#blackboard.read(BUNDLE_IN_FORCE);
     const kept = [...keeper.schedulers()].map(([service, scheduler]) => ({
       service,
@@ -141,7 +153,7 @@
       members: this.#blackboard.read(MEMBERS),
       versions: Object.fromEntries(this.#blackboard.read(BUNDLE_VERSIONS)),
       phase: this.#isEnded ? "ended" : this.#blackboard.read(STOP_PHASE).kind,
-      openExchanges: service.openExchanges + keyed.openAnswers,
+      openExchanges: service.openExchanges + keyed.openResponses,
       jobs: jobs.held,
       pools: pools.status(),
       waiting: kept.flatMap(({ service, waiting }) =>
--- a/apps/entry/src/exchange.ts
+++ b/apps/entry/src/exchange.ts
@@ -12,14 +12,14 @@
 import type { AttemptOutcome, Decision } from "@wasabivane/decisions";
 import type { Result } from "neverthrow";
 import type { AcceptedRequest } from "./acceptedRequest.ts";
-import { type AnswerEnd, AnswerRecord } from "./answerRecord.ts";
+import { BufferedResponse, type ResponseEnd } from "./bufferedResponse.ts";
 import type { Dispatch, DispatchSummary, DispatchTarget } from "./dispatch.ts";
-import { askOf } from "./exchangeAsk.ts";
+import { placementRequestOf } from "./placementRequest.ts";
 import {
+  attemptOutcomeOf,
   isNotRun,
-  outcomeOf,
   problemOfError,
-  withoutNotRun,
+  withUnknownEnding,
 } from "./exchangeEnding.ts";
 import { ModelDispatch } from "./modelDispatch.ts";
 import { PlainDispatch } from "./plainDispatch.ts";
@@ -56,9 +56,9 @@
   /** Asks whoever else may have run the request before "not run" is said. */
   readonly confirmNotRun?: () => Promise<boolean>;
   /** Runs after a connection was refused: no byte has left after all. */
-  readonly afterRefusedConnection?: () => void;
+  readonly onConnectionRefused?: () => void;
   /** The upstream is settled for good: a refused connection is tried again, at no other. */
-  readonly isSingleAttempt?: boolean;
+  readonly isUpstreamPinned?: boolean;
 }
 
 /** Options of an {@link Exchange}. */
@@ -66,15 +66,15 @@
   readonly services: ExchangeServices;
   readonly hooks?: ExchangeHooks;
   /** Where the answer goes; a new record when left out. */
-  readonly record?: AnswerRecord;
+  readonly response?: BufferedResponse;
   /**
    * An earlier attempt under the same key may have run. Without this the caller
    * of an idempotent request, granted anew after "unknown", would be told "not
    * run" of a key that ran before.
    */
-  readonly mayHaveRun?: boolean;
+  readonly hasEarlierAttempt?: boolean;
   /** Called once, after the ending stands. */
-  readonly onEnd?: (end: AnswerEnd) => void;
+  readonly onEnd?: (end: ResponseEnd) => void;
 }
 
 type Phase = "waiting" | "dispatched" | "ended";
@@ -85,10 +85,10 @@
  */
 export class Exchange {
   readonly request: AcceptedRequest;
-  readonly record: AnswerRecord;
+  readonly response: BufferedResponse;
   readonly #services: ExchangeServices;
   readonly #hooks: ExchangeHooks;
-  readonly #onEnd: (end: AnswerEnd) => void;
+  readonly #onEnd: (end: ResponseEnd) => void;
   readonly #mayHaveRun: boolean;
   readonly #abort = new AbortController();
   readonly #metrics: RequestMetrics;
@@ -103,8 +103,8 @@
     {
       services,
       hooks = {},
-      record = new AnswerRecord(),
-      mayHaveRun = false,
+      response: record = new BufferedResponse(),
+      hasEarlierAttempt: mayHaveRun = false,
       onEnd = () => {},
     }: ExchangeOptions,
   ) {
@@ -112,7 +112,7 @@
     this.#services = services;
     this.#hooks = hooks;
     this.#onEnd = onEnd;
-    this.record = record;
+    this.response = record;
     this.#mayHaveRun = mayHaveRun;
     this.#metrics = new RequestMetrics(request, services);
   }
@@ -132,7 +132,7 @@
   }
 
   /** Sends the request to an upstream that was settled before; no place is asked for. */
-  dispatchAt(target: DispatchTarget): void {
+  dispatchTo(target: DispatchTarget): void {
     this.#armDeadline();
     void this.#run(target);
   }
@@ -163,7 +163,7 @@
   }
 
   /** Ends the exchange without an answer of an upstream. */
-  end(end: AnswerEnd): void {
+  end(end: ResponseEnd): void {
     if (this.#phase === "ended") return;
     this.#phase = "ended";
     this.#deadlineTimer?.cancel();
@@ -171,15 +171,15 @@
     if (confirmNotRun === undefined || !isNotRun(end)) this.#tell(end);
     else {
       void confirmNotRun().then((isConfirmed) =>
-        this.#tell(isConfirmed ? end : withoutNotRun(end))
+        this.#tell(isConfirmed ? end : withUnknownEnding(end))
       );
     }
   }
 
-  #tell(end: AnswerEnd): void {
-    const told = this.#mayHaveRun ? withoutNotRun(end) : end;
-    this.record.finish(told);
-    this.#metrics.ended(told);
+  #tell(end: ResponseEnd): void {
+    const told = this.#mayHaveRun ? withUnknownEnding(end) : end;
+    this.response.finish(told);
+    this.#metrics.recordEnd(told);
     this.#onEnd(told);
   }
 
@@ -205,7 +205,7 @@
       void this.#onDecision(decision);
     this.#services.pools.submit(
       this.request.service.service,
-      askOf(this.request, this.#services),
+      placementRequestOf(this.request, this.#services),
       {
         decide,
       },
@@ -221,7 +221,7 @@
       });
       return;
     }
-    this.#metrics.granted();
+    this.#metrics.recordGrant();
     const target = this.#targetAt(decision.upstream);
     if (target === undefined) {
       this.#release(decision.upstream, { outcome: "upstream-refused" });
@@ -256,12 +256,12 @@
       const { status, outputTokens, cachedTokens } = result.value;
       const outcome = status >= 500 ? "upstream-error" : "whole";
       this.#release(target.upstream, { outcome, outputTokens, cachedTokens });
-      this.#metrics.answered(result.value);
+      this.#metrics.recordResponse(result.value);
       this.end({ kind: "whole" });
       return;
     }
     this.#release(target.upstream, {
-      outcome: outcomeOf(result.error, {
+      outcome: attemptOutcomeOf(result.error, {
         isPastDeadline: this.#isPastDeadline,
       }),
     });
@@ -272,10 +272,10 @@
   /** No byte left, so another upstream may be asked: this is still the first dispatch. */
   #onRefusedConnection(target: DispatchTarget): void {
     this.#services.metrics.count("safeguard.connection_refused");
-    this.#hooks.afterRefusedConnection?.();
+    this.#hooks.onConnectionRefused?.();
     this.#refusedConnections++;
     if (this.#phase === "ended") return;
-    if (this.#hooks.isSingleAttempt) {
+    if (this.#hooks.isUpstreamPinned) {
       this.#reconnectLater(target);
       return;
     }
@@ -342,16 +342,16 @@
       timer,
       request: this.request,
       target,
-      record: this.record,
+      response: this.response,
       signal: this.#abort.signal,
       onFirstToken: () => {
-        this.#metrics.firstToken();
+        this.#metrics.recordFirstToken();
         pools.recordFirstToken(
           this.request.service.service,
           this.request.request,
         );
       },
-      onToken: () => this.#metrics.token(),
+      onToken: () => this.#metrics.recordToken(),
       onSafeguard: (name) => metrics.count(`safeguard.${name}`),
     });
   }
--- a/apps/entry/src/exchangeEnding.ts
+++ b/apps/entry/src/exchangeEnding.ts
@@ -1,10 +1,10 @@
 import type { AttemptOutcome } from "@wasabivane/decisions";
-import type { AnswerEnd } from "./answerRecord.ts";
+import type { ResponseEnd } from "./bufferedResponse.ts";
 import { type Problem, problemOf } from "./problem.ts";
 import type { UpstreamError } from "./upstreamError.ts";
 
 /** Whether an ending says that the request has not run. */
-export function isNotRun(end: AnswerEnd): boolean {
+export function isNotRun(end: ResponseEnd): boolean {
   return end.kind === "failed" && end.problem.ending === "not-run";
 }
 
@@ -22,7 +22,7 @@
 };
 
 /** What the keeper is told of an attempt that failed. */
-export function outcomeOf(
+export function attemptOutcomeOf(
   { kind }: UpstreamError,
   { isPastDeadline }: { isPastDeadline: boolean },
 ): AttemptOutcome {
@@ -30,7 +30,7 @@
 }
 
 /** The same ending for a request of which an earlier sending may have run. */
-export function withoutNotRun(end: AnswerEnd): AnswerEnd {
+export function withUnknownEnding(end: ResponseEnd): ResponseEnd {
   if (end.kind === "whole") return end;
   return { kind: "failed", problem: { ...end.problem, ending: "unknown" } };
 }
--- a/apps/entry/src/hostParts.ts
+++ b/apps/entry/src/hostComponents.ts
@@ -38,28 +38,28 @@
   PoolScheduler,
   type Scheduler,
 } from "@wasabivane/decisions";
-import { AnswerRelay } from "./answerRelay.ts";
+import { ResponseRelay } from "./responseRelay.ts";
 import type { EntryHostOptions } from "./entryHostOptions.ts";
-import { EntryService } from "./entryService.ts";
+import { UnkeyedRequestService } from "./unkeyedRequestService.ts";
 import type { ExchangeServices } from "./exchange.ts";
 import { JobRunner } from "./jobRunner.ts";
-import { KeptAnswers } from "./keptAnswers.ts";
-import { KeyedService } from "./keyedService.ts";
+import { RetainedResponses } from "./retainedResponses.ts";
+import { KeyedRequestService } from "./keyedRequestService.ts";
 import { poolPolicyOf } from "./poolPolicy.ts";
-import { StallWatch } from "./stallWatch.ts";
-import { UpstreamWatch } from "./upstreamWatch.ts";
+import { StallDetector } from "./stallDetector.ts";
+import { UpstreamPoller } from "./upstreamPoller.ts";
 
 /** Everything that runs on an entry host, joined through the blackboard. */
-export interface HostParts {
+export interface HostComponents {
   readonly pools: PoolClient;
-  readonly keeper: PoolCoordinator;
-  readonly service: EntryService;
-  readonly keys: KeyService;
-  readonly keyed: KeyedService;
+  readonly coordinator: PoolCoordinator;
+  readonly unkeyedService: UnkeyedRequestService;
+  readonly keyService: KeyService;
+  readonly keyedService: KeyedRequestService;
   readonly jobs: JobController;
   readonly jobRunner: JobRunner;
-  readonly stopping: StopController;
-  readonly stalls: StallWatch;
+  readonly stopController: StopController;
+  readonly stallDetector: StallDetector;
   /** In the order in which they start. */
   readonly controllers: readonly Pick<Controller, "start" | "stop">[];
 }
@@ -78,10 +78,10 @@
 }
 
 /** Builds the parts of one entry host. */
-export function createHostParts(
+export function createHostComponents(
   options: EntryHostOptions,
   { blackboard, metrics }: { blackboard: Blackboard; metrics: Metrics },
-): HostParts {
+): HostComponents {
   const shared = sharedOf(options, { blackboard, metrics });
   const pools: PoolClient = new PoolClient({
     ...shared,
@@ -93,8 +93,8 @@
     pools,
     client: options.client,
   };
-  const service = new EntryService(services);
-  const stalls = new StallWatch(shared);
+  const service = new UnkeyedRequestService(services);
+  const stalls = new StallDetector(shared);
   const membership = createMembership(options, shared);
   const views = new ViewController(shared);
   const keys = new KeyService({
@@ -102,12 +102,19 @@
     views,
     secrets: () => options.settings.peers.secrets,
   });
-  const kept = new KeptAnswers(options.settings.limits.retainedAnswerBytes);
-  const relay = new AnswerRelay({
+  const kept = new RetainedResponses(
+    options.settings.limits.retainedAnswerBytes,
+  );
+  const relay = new ResponseRelay({
     ...shared,
-    recordOf: (request) => kept.find(request),
+    findResponse: (request) => kept.find(request),
+  });
+  const keyed = new KeyedRequestService({
+    services,
+    keys,
+    relay,
+    retainedResponses: kept,
   });
-  const keyed = new KeyedService({ services, keys, relay, kept });
   const jobs = new JobController(shared);
   const jobRunner = new JobRunner({
     ...shared,
@@ -118,23 +125,23 @@
   const stopping = new StopController({
     ...shared,
     openStreams: () =>
-      service.openExchanges + keyed.openAnswers + jobRunner.dispatched,
+      service.openExchanges + keyed.openResponses + jobRunner.dispatchedCount,
     handOver: (withinMs) => {
-      jobRunner.release();
+      jobRunner.withdrawWaiting();
       return jobs.handOver(withinMs);
     },
     setLeaving: (isLeaving) => membership.setLeaving(isLeaving),
   });
   return {
     pools,
-    keeper,
-    service,
-    keys,
-    keyed,
+    coordinator: keeper,
+    unkeyedService: service,
+    keyService: keys,
+    keyedService: keyed,
     jobs,
     jobRunner,
-    stopping,
-    stalls,
+    stopController: stopping,
+    stallDetector: stalls,
     controllers: [
       membership,
       createConfiguration(options, shared),
@@ -253,15 +260,15 @@
 function createUpstreamWatch(
   { client }: EntryHostOptions,
   { shared, keeper }: { shared: Shared; keeper: PoolCoordinator },
-): UpstreamWatch {
+): UpstreamPoller {
   const { blackboard } = shared;
-  return new UpstreamWatch({
+  return new UpstreamPoller({
     ...shared,
     client,
     bundle: () => blackboard.read(BUNDLE_IN_FORCE)?.bundle,
-    keptServices: () => keeper.schedulers().keys(),
-    onLoad: (service, report) => keeper.reportLoad(service, report),
-    onCache: (service, event) => keeper.reportCache(service, event),
+    coordinatedServices: () => keeper.schedulers().keys(),
+    onLoadReport: (service, report) => keeper.reportLoad(service, report),
+    onCacheEvent: (service, event) => keeper.reportCache(service, event),
   });
 }
 
--- a/apps/entry/src/httpListener.ts
+++ b/apps/entry/src/httpListener.ts
@@ -7,9 +7,9 @@
 import type { Metrics } from "@wasabivane/common";
 import { readCertificate, watchCertificate } from "./certificateFiles.ts";
 import {
-  ConnectionProblems,
+  ConnectionErrorHandler,
   type RequestHandler,
-} from "./connectionProblems.ts";
+} from "./connectionErrorHandler.ts";
 import type { Listener, Settings } from "./settings.ts";
 
 const MAX_HEADER_BYTES = 16 * 1024;
@@ -36,7 +36,7 @@
     metrics: Metrics;
   },
 ): Promise<HttpListener> {
-  const problems = new ConnectionProblems(limits.maximumConnections);
+  const problems = new ConnectionErrorHandler(limits.maximumConnections);
   const options = {
     maxHeaderSize: MAX_HEADER_BYTES,
     headersTimeout: limits.headersTimeoutMs,
@@ -50,12 +50,12 @@
     keepAliveTimeout: KEEP_ALIVE_MS,
   };
   const server = listener.tls === undefined
-    ? createServer(options, problems.guard(handle))
+    ? createServer(options, problems.wrapHandler(handle))
     : createSecureServer(
       { ...options, tls: listener.tls },
-      problems.guard(handle),
+      problems.wrapHandler(handle),
     );
-  problems.watch(server);
+  problems.attachTo(server);
   watchRenewal(server, { tls: listener.tls, metrics });
   return new Promise((resolve, reject) => {
     server.once("error", reject);
--- a/apps/entry/src/httpUpstreamClient.ts
+++ b/apps/entry/src/httpUpstreamClient.ts
@@ -4,9 +4,9 @@
 import type { Nonce } from "@wasabivane/common";
 import { NONCE_HEADER } from "./constants.ts";
 import {
-  type UpstreamAnswer,
-  type UpstreamCall,
   UpstreamClient,
+  type UpstreamRequest,
+  type UpstreamResponse,
 } from "./upstreamClient.ts";
 import { type UpstreamError, upstreamErrorOf } from "./upstreamError.ts";
 
@@ -41,10 +41,10 @@
   }
 
   override async send(
-    call: UpstreamCall,
-  ): Promise<Result<UpstreamAnswer, UpstreamError>> {
+    call: UpstreamRequest,
+  ): Promise<Result<UpstreamResponse, UpstreamError>> {
     try {
-      const agent = call.needsOwnConnection
+      const agent = call.shouldUseNewConnection
         ? this.#singleCallAgent
         : this.#agent;
       const answer = await agent.request({
@@ -139,7 +139,7 @@
 function checkNonce(
   nonce: Nonce,
   { statusCode, headers, body }: Dispatcher.ResponseData,
-): Result<UpstreamAnswer, UpstreamError> {
+): Result<UpstreamResponse, UpstreamError> {
   // A body that is destroyed before its end emits an error, which would end
   // the process where nobody reads the body any more. Readers get it anyway.
   body.on("error", ignore);
--- a/apps/entry/src/jobDesk.ts
+++ b/apps/entry/src/jobApi.ts
@@ -21,8 +21,8 @@
 } from "@wasabivane/coordination";
 import { problemOfClaim } from "./claimProblem.ts";
 import type { AcceptedRequest } from "./acceptedRequest.ts";
-import { writeProblem } from "./answerWriter.ts";
-import { ANSWER_KEPT_MS, JOBS_PATH } from "./constants.ts";
+import { writeProblem } from "./responseWriter.ts";
+import { JOBS_PATH, RESPONSE_RETENTION_MS } from "./constants.ts";
 import { type Problem, type ProblemName, problemOf } from "./problem.ts";
 
 const MAX_WAIT_MS = 30_000;
@@ -33,7 +33,7 @@
 const WAIT_QUERY = /[?&]waitMs=([0-9]{1,6})(?:&|$)/;
 
 /** What the desk needs from its process. */
-export interface JobDeskOptions {
+export interface JobApiOptions {
   readonly timer: Timer;
   readonly jobs: JobService;
   readonly keys: KeyService;
@@ -46,26 +46,26 @@
 const JOB_UPSTREAM = "~job" as UpstreamId;
 
 /** The job form of a request: taken now, run later, fetched once. */
-export class JobDesk {
-  readonly #options: JobDeskOptions;
+export class JobApi {
+  readonly #options: JobApiOptions;
 
-  constructor(options: JobDeskOptions) {
+  constructor(options: JobApiOptions) {
     this.#options = options;
   }
 
   /** Whether a path belongs to jobs. */
-  serves(path: string): boolean {
+  handlesPath(path: string): boolean {
     return path.startsWith(`${JOBS_PATH}/`);
   }
 
   /** Takes a job; 202 only once copies in other failure domains hold it. */
-  async take(
+  async submit(
     request: AcceptedRequest,
     outgoing: ServerResponse,
   ): Promise<void> {
-    const taken = request.key === undefined
+    const taken = request.idempotencyKey === undefined
       ? await this.#accept(request)
-      : await this.#acceptOnce(request, request.key);
+      : await this.#acceptOnce(request, request.idempotencyKey);
     if (taken.isErr()) writeProblem(outgoing, taken.error);
     else writeTaken(outgoing, taken.value);
   }
@@ -127,13 +127,13 @@
       headers: request.headers,
       body: request.body,
       expiresAt: timer.wallNow() + request.deadline - timer.now() +
-        ANSWER_KEPT_MS,
+        RESPONSE_RETENTION_MS,
     });
     return accepted.map(({ id }) => id).mapErr(problemOfJobRefusal);
   }
 
   /** Answers a question about a job; waits a bounded time where the caller wants to. */
-  async tell(
+  async fetch(
     { path, account, outgoing }: {
       path: string;
       account: ClientAccountId;
--- a/apps/entry/src/jobRequest.ts
+++ b/apps/entry/src/jobRequest.ts
@@ -3,7 +3,7 @@
 import type { Digest, Milliseconds, RequestId } from "@wasabivane/common";
 import type { Job } from "@wasabivane/coordination";
 import type { AcceptedRequest } from "./acceptedRequest.ts";
-import { acceptRequest } from "./intake.ts";
+import { acceptRequest } from "./acceptRequest.ts";
 
 /** What a job becomes a request with. */
 export interface JobContext {
@@ -35,7 +35,7 @@
   });
   if (accepted.isErr()) return undefined;
   // A stream that nobody listens to would only be collected again.
-  return { ...accepted.value, wantsStream: false, deadline: now + timeLeft };
+  return { ...accepted.value, shouldStream: false, deadline: now + timeLeft };
 }
 
 /**
@@ -43,7 +43,7 @@
  * have dropped its body by then, so nothing is read from it: checked again it
  * would seem malformed, and an answer that waits at its engine would be lost.
  */
-export function resumedRequestOf(
+export function resumedRequestOfJob(
   job: Job,
   { bundle, request, now, timeLeft }: JobContext,
 ): AcceptedRequest | undefined {
@@ -60,7 +60,7 @@
     account,
     service,
     tier: job.tier,
-    key: undefined,
+    idempotencyKey: undefined,
     isIdempotent: false,
     acceptedAt: now,
     arrivedAt: now,
@@ -69,7 +69,7 @@
     path: job.path,
     headers: job.headers,
     body: Buffer.alloc(0),
-    wantsStream: false,
+    shouldStream: false,
     promptTokens: 0,
     maximumOutputTokens: 0,
     prefixDigests: [],
--- a/apps/entry/src/jobRunner.ts
+++ b/apps/entry/src/jobRunner.ts
@@ -21,14 +21,18 @@
   ReadyJob,
 } from "@wasabivane/coordination";
 import type { AcceptedRequest } from "./acceptedRequest.ts";
-import type { AnswerEnd, AnswerHead, AnswerReader } from "./answerRecord.ts";
-import { ANSWER_KEPT_MS } from "./constants.ts";
+import type {
+  ResponseEnd,
+  ResponseHead,
+  ResponseReader,
+} from "./bufferedResponse.ts";
+import { RESPONSE_RETENTION_MS } from "./constants.ts";
 import type { DispatchTarget } from "./dispatch.ts";
 import { Exchange, type ExchangeServices } from "./exchange.ts";
 import {
   type JobContext,
   requestOfJob,
-  resumedRequestOf,
+  resumedRequestOfJob,
 } from "./jobRequest.ts";
 import {
   problemDocument,
@@ -84,18 +88,18 @@
   }
 
   /** Jobs that wait at the scheduler or run at an upstream. */
-  get active(): number {
+  get activeCount(): number {
     return this.#running.size;
   }
 
   /** Jobs that run at an upstream. */
-  get dispatched(): number {
+  get dispatchedCount(): number {
     return [...this.#running.values()]
       .filter(({ phase }) => phase === "dispatched").length;
   }
 
   /** Withdraws the asks of all jobs that wait, before they are handed over. */
-  release(): void {
+  withdrawWaiting(): void {
     this.#polling?.cancel();
     for (const exchange of this.#running.values()) {
       if (exchange.phase === "waiting") exchange.cancel(problemOf("stopping"));
@@ -125,7 +129,7 @@
       return;
     }
     const target = targetOf(request, pinned);
-    if (target !== undefined) exchange.dispatchAt(target);
+    if (target !== undefined) exchange.dispatchTo(target);
     else {this.#finish(job.id, {
         kind: "failed",
         problem: problemOf("answer-broken"),
@@ -136,7 +140,7 @@
   #takeOver({ job, resumeAt }: JobTakeover): void {
     if (resumeAt === undefined || this.#running.has(job.id)) return;
     const context = this.#contextOf(job);
-    const request = context && resumedRequestOf(job, context);
+    const request = context && resumedRequestOfJob(job, context);
     const target = request && targetOf(request, resumeAt);
     if (request === undefined || target === undefined) {
       this.#finish(job.id, {
@@ -162,7 +166,7 @@
           return recorded.isOk() ? undefined : problemOf("job-refused");
         },
         // The record at the copies cannot be taken back, so no other upstream is tried.
-        isSingleAttempt: true,
+        isUpstreamPinned: true,
       },
     });
     this.#running.set(job.id, exchange);
@@ -171,7 +175,9 @@
   }
 
   async #collect(id: JobId, exchange: Exchange): Promise<void> {
-    const { head, parts, end } = await collectAnswer(exchange.record.open()!);
+    const { head, parts, end } = await collectAnswer(
+      exchange.response.openReader()!,
+    );
     this.#running.delete(id);
     if (end.kind === "whole") {
       this.#finish(id, end, { head, body: Buffer.concat(parts) });
@@ -185,7 +191,7 @@
   async #onNotRun(
     id: JobId,
     { end, request }: {
-      end: AnswerEnd & { kind: "failed" };
+      end: ResponseEnd & { kind: "failed" };
       request: AcceptedRequest;
     },
   ): Promise<void> {
@@ -204,8 +210,8 @@
 
   #finish(
     id: JobId,
-    end: AnswerEnd,
-    whole?: { head: AnswerHead | undefined; body: Buffer },
+    end: ResponseEnd,
+    whole?: { head: ResponseHead | undefined; body: Buffer },
   ): void {
     this.#notBefore.delete(id);
     this.#options.jobs.recordFinished(id, jobAnswerOf(end, whole));
@@ -231,7 +237,7 @@
       bundle,
       request: random.hex(REQUEST_ID_BYTES) as RequestId,
       now: timer.now(),
-      timeLeft: job.expiresAt - ANSWER_KEPT_MS - timer.wallNow(),
+      timeLeft: job.expiresAt - RESPONSE_RETENTION_MS - timer.wallNow(),
     };
   }
 }
@@ -247,11 +253,11 @@
 }
 
 async function collectAnswer(
-  reader: AnswerReader,
+  reader: ResponseReader,
 ): Promise<
-  { head: AnswerHead | undefined; parts: Uint8Array[]; end: AnswerEnd }
+  { head: ResponseHead | undefined; parts: Uint8Array[]; end: ResponseEnd }
 > {
-  let head: AnswerHead | undefined;
+  let head: ResponseHead | undefined;
   const parts: Uint8Array[] = [];
   while (true) {
     const step = await reader.next();
@@ -262,8 +268,8 @@
 }
 
 function jobAnswerOf(
-  end: AnswerEnd,
-  whole?: { head: AnswerHead | undefined; body: Buffer },
+  end: ResponseEnd,
+  whole?: { head: ResponseHead | undefined; body: Buffer },
 ): JobResponse {
   if (end.kind === "whole") {
     const { status = 200, headers = {} } = whole?.head ?? {};
--- a/apps/entry/src/keyedService.ts
+++ b/apps/entry/src/keyedRequestService.ts
@@ -11,13 +11,13 @@
   OwnedKey,
 } from "@wasabivane/coordination";
 import type { AcceptedRequest } from "./acceptedRequest.ts";
-import { type AnswerRelay, RESEND_GRACE_MS } from "./answerRelay.ts";
-import { type AnswerEnd, AnswerRecord } from "./answerRecord.ts";
-import type { RequestService, ServedAnswer } from "./callerApi.ts";
+import { RESEND_GRACE_MS, type ResponseRelay } from "./responseRelay.ts";
+import { BufferedResponse, type ResponseEnd } from "./bufferedResponse.ts";
+import type { RequestService, ServedResponse } from "./callerApi.ts";
 import { problemOfClaim } from "./claimProblem.ts";
 import type { DispatchTarget } from "./dispatch.ts";
 import { Exchange, type ExchangeServices } from "./exchange.ts";
-import type { KeptAnswers } from "./keptAnswers.ts";
+import type { RetainedResponses } from "./retainedResponses.ts";
 import { type Problem, problemOf } from "./problem.ts";
 
 /** Claims of one request: the owner may die while its answer is relayed, more often is an outage. */
@@ -25,12 +25,12 @@
 /** Time for a grant that was lost on its way to be asked for again. */
 const GRANT_WAIT_MS = 400;
 
-/** What a {@link KeyedService} needs from its process. */
-export interface KeyedServiceOptions {
+/** What a {@link KeyedRequestService} needs from its process. */
+export interface KeyedRequestServiceOptions {
   readonly services: ExchangeServices;
   readonly keys: KeyService;
-  readonly relay: AnswerRelay;
-  readonly kept: KeptAnswers;
+  readonly relay: ResponseRelay;
+  readonly retainedResponses: RetainedResponses;
 }
 
 /**
@@ -38,43 +38,43 @@
  * before the request queues; whoever owns it runs it, everybody else joins the
  * owner's answer or, when the owner is gone, resumes at its upstream.
  */
-export class KeyedService implements RequestService {
-  readonly #options: KeyedServiceOptions;
-  readonly #open = new Set<AnswerRecord>();
+export class KeyedRequestService implements RequestService {
+  readonly #options: KeyedRequestServiceOptions;
+  readonly #open = new Set<BufferedResponse>();
 
-  constructor(options: KeyedServiceOptions) {
+  constructor(options: KeyedRequestServiceOptions) {
     this.#options = options;
   }
 
   /** Answers that have not ended. */
-  get openAnswers(): number {
+  get openResponses(): number {
     return this.#open.size;
   }
 
-  serve(request: AcceptedRequest): ServedAnswer {
+  serve(request: AcceptedRequest): ServedResponse {
     const served = new KeyedAnswer(request, this.#options);
-    this.#open.add(served.record);
-    void served.run().then(() => this.#open.delete(served.record));
+    this.#open.add(served.response);
+    void served.run().then(() => this.#open.delete(served.response));
     return served;
   }
 }
 
 /** One resend, or first sending, of a keyed request. */
-class KeyedAnswer implements ServedAnswer {
-  readonly record = new AnswerRecord({ isReplayable: true });
+class KeyedAnswer implements ServedResponse {
+  readonly response = new BufferedResponse({ isReplayable: true });
   readonly #request: AcceptedRequest;
-  readonly #options: KeyedServiceOptions;
+  readonly #options: KeyedRequestServiceOptions;
   #isHungUp = false;
   /** The owner's request whose answer this one has begun to copy. */
   #joined: RequestId | undefined;
   #onHangUp: (() => void) | undefined;
 
-  constructor(request: AcceptedRequest, options: KeyedServiceOptions) {
+  constructor(request: AcceptedRequest, options: KeyedRequestServiceOptions) {
     this.#request = request;
     this.#options = options;
   }
 
-  hangUp(): void {
+  handleDisconnect(): void {
     this.#isHungUp = true;
     this.#onHangUp?.();
   }
@@ -83,7 +83,7 @@
   async run(): Promise<void> {
     for (
       let claim = 0;
-      claim < MAX_CLAIMS && this.record.end === undefined;
+      claim < MAX_CLAIMS && this.response.end === undefined;
       claim++
     ) {
       await this.#follow(await this.#claim());
@@ -92,8 +92,14 @@
   }
 
   #claim(): Promise<ClaimOutcome> {
-    const { account, key, request, fingerprint, isIdempotent, arrivedAt } =
-      this.#request;
+    const {
+      account,
+      idempotencyKey: key,
+      request,
+      fingerprint,
+      isIdempotent,
+      arrivedAt,
+    } = this.#request;
     return this.#options.keys.claim({
       account: account.account,
       key: key!,
@@ -105,7 +111,7 @@
   }
 
   async #follow(outcome: ClaimOutcome): Promise<void> {
-    if (this.record.head !== undefined && !this.#isJoined(outcome)) {
+    if (this.response.head !== undefined && !this.#isJoined(outcome)) {
       // Another run's answer must not go on where the first one broke off.
       if (outcome.kind === "granted") {
         void this.#options.keys.release(outcome.owned);
@@ -124,12 +130,12 @@
 
   /** This host owns the key: only this exchange may dispatch it. */
   #own(owned: OwnedKey): Promise<void> {
-    const { services, keys, kept } = this.#options;
+    const { services, keys, retainedResponses: kept } = this.#options;
     return new Promise((resolve) => {
       const exchange: Exchange = new Exchange(this.#request, {
         services,
-        record: this.record,
-        mayHaveRun: owned.attempt > 1,
+        response: this.response,
+        hasEarlierAttempt: owned.attempt > 1,
         hooks: {
           beforeDispatch: ({ upstream, nonce }) => {
             const isAllowed = keys.markDispatched(owned, { upstream, nonce });
@@ -137,16 +143,16 @@
               isAllowed ? undefined : problemOf("key-expired"),
             );
           },
-          afterRefusedConnection: () => keys.markRefused(owned),
+          onConnectionRefused: () => keys.markRefused(owned),
           confirmNotRun: () => keys.release(owned),
         },
         onEnd: (end) => {
           this.#tellHome(owned, { end, target: exchange.target });
-          kept.noteEnd(this.#request.request);
+          kept.recordEnd(this.#request.request);
           resolve();
         },
       });
-      kept.keep(this.#request.request, this.record);
+      kept.add(this.#request.request, this.response);
       this.#onHangUp = () => this.#cancelAfterGrace(exchange);
       exchange.start();
       if (this.#isHungUp) this.#cancelAfterGrace(exchange);
@@ -155,7 +161,7 @@
 
   #tellHome(
     owned: OwnedKey,
-    { end, target }: { end: AnswerEnd; target: DispatchTarget | undefined },
+    { end, target }: { end: ResponseEnd; target: DispatchTarget | undefined },
   ): void {
     if (end.kind !== "whole" || target === undefined) return;
     this.#options.keys.markFinished(owned, dispatchOf(target));
@@ -170,7 +176,7 @@
     const { timer } = this.#options.services;
     const check: TimerSubscription = timer.after(RESEND_GRACE_MS, () => {
       check.cancel();
-      const isWanted = this.record.readerCount > 0 ||
+      const isWanted = this.response.readerCount > 0 ||
         exchange.phase === "ended";
       // What may not be repeated runs to its end, so that its outcome is known.
       const isSacred = exchange.phase === "dispatched" &&
@@ -180,7 +186,7 @@
   }
 
   async #join(outcome: ClaimOutcome & { kind: "owned-by" }): Promise<void> {
-    const { services, relay, kept } = this.#options;
+    const { services, relay, retainedResponses: kept } = this.#options;
     const { host, request } = outcome.owner;
     this.#joined = request;
     services.metrics.count("key.joined");
@@ -190,10 +196,10 @@
       else await this.#copy(source);
       return;
     }
-    const end = await relay.follow({
+    const end = await relay.copyResponse({
       owner: host,
       request,
-      record: this.record,
+      record: this.response,
     });
     if (end === "not-kept") await this.#onNotKept(outcome);
   }
@@ -205,27 +211,27 @@
   async #onNotKept(
     { dispatch, state }: ClaimOutcome & { kind: "owned-by" },
   ): Promise<void> {
-    if (state === "waiting" && this.record.head === undefined) {
+    if (state === "waiting" && this.response.head === undefined) {
       await sleep(this.#options.services.timer, GRANT_WAIT_MS);
-    } else if (this.record.head !== undefined || dispatch === undefined) {
+    } else if (this.response.head !== undefined || dispatch === undefined) {
       this.#fail(problemOf("answer-gone"));
     } else {
       await this.#resume(dispatch);
     }
   }
 
-  async #copy(source: AnswerRecord): Promise<void> {
-    const reader = source.openAt(this.record.length);
+  async #copy(source: BufferedResponse): Promise<void> {
+    const reader = source.openReaderAt(this.response.itemCount);
     if (reader === undefined) {
       this.#fail(problemOf("answer-gone"));
       return;
     }
-    while (this.record.end === undefined) {
+    while (this.response.end === undefined) {
       const step = await reader.next();
-      if (step.kind === "head") this.record.begin(step.head);
-      else if (step.kind === "part") this.record.append(step.part);
-      else this.record.finish(step.end);
-      if (this.record.isFull) await this.record.whenRoom();
+      if (step.kind === "head") this.response.writeHead(step.head);
+      else if (step.kind === "part") this.response.append(step.part);
+      else this.response.finish(step.end);
+      if (this.response.isFull) await this.response.whenWritable();
     }
     reader.close();
   }
@@ -233,18 +239,18 @@
   /** The owner is gone after its dispatch. A resume is no second dispatch. */
   #resume({ upstream, nonce }: Dispatch): Promise<void> {
     const target = this.#targetOf(upstream, nonce);
-    if (target === undefined || this.record.head !== undefined) {
+    if (target === undefined || this.response.head !== undefined) {
       this.#fail(problemOf("key-unknown"));
       return Promise.resolve();
     }
-    const { services, kept } = this.#options;
+    const { services, retainedResponses: kept } = this.#options;
     services.metrics.count("key.resumed");
     const exchange = new Exchange(this.#request, {
       services,
-      record: this.record,
-      onEnd: () => kept.noteEnd(this.#request.request),
+      response: this.response,
+      onEnd: () => kept.recordEnd(this.#request.request),
     });
-    kept.keep(this.#request.request, this.record);
+    kept.add(this.#request.request, this.response);
     this.#onHangUp = () => this.#cancelAfterGrace(exchange);
     return exchange.resumeAt(target);
   }
@@ -260,7 +266,7 @@
   }
 
   #fail(problem: Problem): void {
-    this.record.finish({ kind: "failed", problem });
+    this.response.finish({ kind: "failed", problem });
   }
 }
 
--- a/apps/entry/src/modelDispatch.ts
+++ b/apps/entry/src/modelDispatch.ts
@@ -1,9 +1,9 @@
 import { Buffer } from "node:buffer";
 import { err, ok, type Result } from "neverthrow";
 import { CHAT_PATH } from "./constants.ts";
-import { CompletionStream, usageOf } from "./completionStream.ts";
+import { CompletionStream, completionUsageOf } from "./completionStream.ts";
 import { Dispatch, type DispatchSummary } from "./dispatch.ts";
-import type { UpstreamAnswer, UpstreamBody } from "./upstreamClient.ts";
+import type { UpstreamBody, UpstreamResponse } from "./upstreamClient.ts";
 import type { UpstreamError } from "./upstreamError.ts";
 
 /** Resumes of one dispatch; engines hold a broken request for seconds, not for long. */
@@ -63,7 +63,7 @@
     if (sent.value.status !== HTTP_OK) {
       return await this.#relayClientError(sent.value);
     }
-    if (request.wantsStream) return await this.#relayStream(sent.value);
+    if (request.shouldStream) return await this.#relayStream(sent.value);
     return await this.#relayWhole(sent.value);
   }
 
@@ -81,7 +81,7 @@
       const { client, target } = this.options;
       void client.cancel(target.url, target.nonce);
     }
-    return this.noted(error);
+    return this.countSafeguard(error);
   }
 
   /** Only a connection that broke after bytes had left can be resumed. */
@@ -116,22 +116,22 @@
     return err(error);
   }
 
-  #sendResume(): Promise<Result<UpstreamAnswer, UpstreamError>> {
+  #sendResume(): Promise<Result<UpstreamResponse, UpstreamError>> {
     const { client, target, signal } = this.options;
-    this.#stream.restart();
+    this.#stream.resetParser();
     return client.send({
       url: target.url,
       method: "POST",
       path: `/v1/requests/${target.nonce}/resume`,
       headers: JSON_HEADERS,
-      body: JSON.stringify({ offset: this.#stream.tokens }),
+      body: JSON.stringify({ offset: this.#stream.tokenCount }),
       nonce: target.nonce,
       signal,
     });
   }
 
   async #relayStream(
-    answer: UpstreamAnswer,
+    answer: UpstreamResponse,
   ): Promise<Result<DispatchSummary, UpstreamError>> {
     const relayed = await this.#readStream(answer);
     if (relayed.isErr()) return await this.#recover(relayed.error);
@@ -139,20 +139,24 @@
   }
 
   async #readStream(
-    { body }: UpstreamAnswer,
+    { body }: UpstreamResponse,
   ): Promise<Result<void, UpstreamError>> {
-    const { record, onSafeguard } = this.options;
+    const { response: record, onSafeguard } = this.options;
     const stream = this.#stream;
-    const reading = this.collect(body, (part) => {
+    const reading = this.readParts(body, (part) => {
       stream.feed(part);
-      if (stream.error !== undefined || stream.hasExcess) body.destroy();
-      if (record.isFull) return record.whenRoom();
+      if (stream.error !== undefined || stream.hasTrailingEvents) {
+        body.destroy();
+      }
+      if (record.isFull) return record.whenWritable();
     });
-    const read = await Promise.race([reading, stream.whole]);
-    if (stream.isWhole) {
+    const read = await Promise.race([reading, stream.whenComplete]);
+    if (stream.isComplete) {
       this.#drain(
         body,
-        reading.then(() => stream.hasExcess && onSafeguard("excess_answer")),
+        reading.then(() =>
+          stream.hasTrailingEvents && onSafeguard("excess_answer")
+        ),
       );
       return ok();
     }
@@ -174,17 +178,17 @@
   }
 
   #finishStream(): Result<DispatchSummary, UpstreamError> {
-    const { request, record, target } = this.options;
+    const { request, response: record, target } = this.options;
     const usage = this.#stream.usage;
-    if (!request.wantsStream) {
+    if (!request.shouldStream) {
       const whole = Buffer.from(JSON.stringify(this.#assembled(target.nonce)));
-      record.begin({ status: HTTP_OK, headers: jsonHeaders(whole) });
+      record.writeHead({ status: HTTP_OK, headers: jsonHeaders(whole) });
       record.append(whole);
     }
     record.finish({ kind: "whole" });
     return ok({
       status: HTTP_OK,
-      outputTokens: this.#stream.tokens,
+      outputTokens: this.#stream.tokenCount,
       cachedTokens: usage?.cachedTokens,
     });
   }
@@ -201,23 +205,23 @@
       }],
       usage: {
         prompt_tokens: usage?.promptTokens ?? 0,
-        completion_tokens: usage?.completionTokens ?? this.#stream.tokens,
+        completion_tokens: usage?.completionTokens ?? this.#stream.tokenCount,
         prompt_tokens_details: { cached_tokens: usage?.cachedTokens ?? 0 },
       },
     };
   }
 
   async #relayWhole(
-    { status, body }: UpstreamAnswer,
+    { status, body }: UpstreamResponse,
   ): Promise<Result<DispatchSummary, UpstreamError>> {
-    const { record, target } = this.options;
-    const read = await this.collectWhole(body);
+    const { response: record, target } = this.options;
+    const read = await this.collectBody(body);
     if (read.isErr()) return await this.#recover(read.error);
     this.#noteToken();
     const whole = read.value;
     const checked = checkWhole(whole, `chatcmpl-${target.nonce}`);
     if (checked.isErr()) return await this.#recover(checked.error);
-    record.begin({ status, headers: jsonHeaders(whole) });
+    record.writeHead({ status, headers: jsonHeaders(whole) });
     record.append(whole);
     record.finish({ kind: "whole" });
     return ok({ status, ...checked.value });
@@ -225,14 +229,17 @@
 
   /** What the engine says of a wrong request is for its caller. */
   async #relayClientError(
-    { status, headers, body }: UpstreamAnswer,
+    { status, headers, body }: UpstreamResponse,
   ): Promise<Result<DispatchSummary, UpstreamError>> {
-    const read = await this.collectWhole(body);
+    const read = await this.collectBody(body);
     if (read.isErr()) return err(read.error);
     const type = headers["content-type"] ?? "application/json";
-    this.options.record.begin({ status, headers: { "content-type": type } });
-    this.options.record.append(read.value);
-    this.options.record.finish({ kind: "whole" });
+    this.options.response.writeHead({
+      status,
+      headers: { "content-type": type },
+    });
+    this.options.response.append(read.value);
+    this.options.response.finish({ kind: "whole" });
     return ok({ status, outputTokens: 0, cachedTokens: undefined });
   }
 
@@ -241,12 +248,15 @@
       this.options.target.nonce,
       ({ data, isToken }) => {
         if (isToken) this.#noteToken();
-        if (!this.options.request.wantsStream) {
+        if (!this.options.request.shouldStream) {
           this.#text += isToken ? contentOf(data) : "";
           return;
         }
-        this.options.record.begin({ status: HTTP_OK, headers: STREAM_HEADERS });
-        this.options.record.append(Buffer.from(`data: ${data}\n\n`));
+        this.options.response.writeHead({
+          status: HTTP_OK,
+          headers: STREAM_HEADERS,
+        });
+        this.options.response.append(Buffer.from(`data: ${data}\n\n`));
       },
     );
   }
@@ -289,7 +299,7 @@
 
 interface WholeCompletion {
   id?: unknown;
-  usage?: Parameters<typeof usageOf>[0];
+  usage?: Parameters<typeof completionUsageOf>[0];
 }
 
 function checkWhole(
@@ -314,7 +324,7 @@
   }
   const usage = completion.usage === undefined
     ? undefined
-    : usageOf(completion.usage);
+    : completionUsageOf(completion.usage);
   return ok({
     outputTokens: usage?.completionTokens ?? 0,
     cachedTokens: usage?.cachedTokens,
--- a/apps/entry/src/operatorApi.ts
+++ b/apps/entry/src/operatorApi.ts
@@ -9,7 +9,7 @@
 }
 
 /** The HTTP interface for operators and the balancer's checks. */
-export function operatorRoutes(view: OperatorView): Hono {
+export function createOperatorRoutes(view: OperatorView): Hono {
   const app = new Hono();
   app.get("/health", (context) => context.json({ status: "ok" }));
   app.get("/ready", (context) => {
--- a/apps/entry/src/exchangeAsk.ts
+++ b/apps/entry/src/placementRequest.ts
@@ -3,7 +3,7 @@
 import type { AcceptedRequest } from "./acceptedRequest.ts";
 
 /** What the keeper needs to know of a request of this host. */
-export function askOf(
+export function placementRequestOf(
   request: AcceptedRequest,
   { host, failureDomain }: { host: HostId; failureDomain: FailureDomain },
 ): PlacementRequest {
--- a/apps/entry/src/plainDispatch.ts
+++ b/apps/entry/src/plainDispatch.ts
@@ -2,7 +2,7 @@
 import { err, ok, type Result } from "neverthrow";
 import { IDEMPOTENCY_KEY_HEADER } from "./constants.ts";
 import { Dispatch, type DispatchSummary } from "./dispatch.ts";
-import type { UpstreamAnswer } from "./upstreamClient.ts";
+import type { UpstreamResponse } from "./upstreamClient.ts";
 import type { UpstreamError } from "./upstreamError.ts";
 
 /**
@@ -28,8 +28,8 @@
   override async run(): Promise<Result<DispatchSummary, UpstreamError>> {
     const { client, request, target, signal } = this.options;
     const headers: Record<string, string> = { ...request.headers };
-    if (request.key !== undefined) {
-      headers[IDEMPOTENCY_KEY_HEADER] = request.key;
+    if (request.idempotencyKey !== undefined) {
+      headers[IDEMPOTENCY_KEY_HEADER] = request.idempotencyKey;
     }
     const sent = await client.send({
       url: target.url,
@@ -38,10 +38,10 @@
       headers,
       body: request.body,
       nonce: target.nonce,
-      needsOwnConnection: !request.isIdempotent,
+      shouldUseNewConnection: !request.isIdempotent,
       signal,
     });
-    if (sent.isErr()) return err(this.noted(sent.error));
+    if (sent.isErr()) return err(this.countSafeguard(sent.error));
     this.options.onFirstToken();
     return await this.#relay(sent.value);
   }
@@ -51,22 +51,22 @@
   }
 
   async #relay(
-    { status, headers, body }: UpstreamAnswer,
+    { status, headers, body }: UpstreamResponse,
   ): Promise<Result<DispatchSummary, UpstreamError>> {
-    const { record } = this.options;
+    const { response: record } = this.options;
     const head = { status, headers: keptHeaders(headers) };
     const held: Buffer[] = [];
     let heldBytes = 0;
     const release = (): void => {
-      record.begin(head);
+      record.writeHead(head);
       for (const part of held.splice(0)) record.append(part);
     };
-    const read = await this.collect(body, (part) => {
+    const read = await this.readParts(body, (part) => {
       held.push(part);
       heldBytes += part.byteLength;
       if (heldBytes <= MAX_HELD_BYTES) return;
       release();
-      if (record.isFull) return record.whenRoom();
+      if (record.isFull) return record.whenWritable();
     });
     if (read.isErr()) return err(read.error);
     release();
@@ -76,7 +76,7 @@
 }
 
 function keptHeaders(
-  headers: UpstreamAnswer["headers"],
+  headers: UpstreamResponse["headers"],
 ): Record<string, string> {
   const kept: Record<string, string> = {};
   for (const name of HELD_HEADERS) {
--- a/apps/entry/src/problem.ts
+++ b/apps/entry/src/problem.ts
@@ -1,10 +1,10 @@
-import type { Ending, Milliseconds } from "@wasabivane/common";
+import type { Milliseconds, RequestOutcome } from "@wasabivane/common";
 import type { RefusalReason } from "@wasabivane/decisions";
 
 interface ProblemKind {
   readonly status: number;
   readonly title: string;
-  readonly ending: Ending;
+  readonly ending: RequestOutcome;
 }
 
 /**
@@ -207,7 +207,7 @@
 export interface Problem extends ProblemDetails {
   readonly name: ProblemName;
   /** Differs from the kind's ending only towards `unknown`. */
-  readonly ending: Ending;
+  readonly ending: RequestOutcome;
 }
 
 /** Creates a problem of the given name. */
--- a/apps/entry/src/program.ts
+++ b/apps/entry/src/program.ts
@@ -5,15 +5,15 @@
   type CommandReport,
   EXIT_FINDINGS,
   EXIT_OK,
+  getRequiredTextOption,
   type ParsedOptions,
-  requiredTextOption,
   runCommandLine,
 } from "@wasabivane/common";
 import { settingsSchema } from "./settings.ts";
 import { startEntry } from "./startEntry.ts";
 
 /** How to run the daemon's program. */
-export interface EntryProgramRun {
+export interface EntryProgramOptions {
   readonly argv: readonly string[];
   readonly output: CommandOutput;
   readonly version: string;
@@ -22,7 +22,7 @@
 }
 
 /** Runs `wasabivane-entry`; gives its exit code: 0 in order, 1 not started, 2 usage. */
-export function runEntryProgram(run: EntryProgramRun): Promise<number> {
+export function runEntryProgram(run: EntryProgramOptions): Promise<number> {
   const { argv, output, version } = run;
   const cli = cac("wasabivane-entry");
   cli.option("--settings <file>", "Settings file, JSON with comments");
@@ -37,7 +37,7 @@
 }
 
 function settingsFileOf(options: ParsedOptions): string {
-  return requiredTextOption(options, "settings");
+  return getRequiredTextOption(options, "settings");
 }
 
 function check(file: string): CommandReport {
@@ -58,7 +58,7 @@
 
 async function serve(
   file: string,
-  { output, whenStopped }: EntryProgramRun,
+  { output, whenStopped }: EntryProgramOptions,
 ): Promise<CommandReport> {
   const settings = readDocument(file, settingsSchema);
   if (settings.isErr()) {
--- a/apps/entry/src/requestHead.ts
+++ b/apps/entry/src/requestHead.ts
@@ -12,7 +12,7 @@
 const MAX_DECODINGS = 4;
 
 /** Checks what stands before the body; gives the path and query in origin form. */
-export function checkHead(
+export function checkRequestHead(
   { url = "/", headers, rawHeaders, httpVersion }: IncomingMessage,
 ): Result<string, Problem> {
   if (headers.host === undefined && httpVersion === "1.1") {
--- a/apps/entry/src/requestMetrics.ts
+++ b/apps/entry/src/requestMetrics.ts
@@ -5,7 +5,7 @@
   Timer,
 } from "@wasabivane/common";
 import type { AcceptedRequest } from "./acceptedRequest.ts";
-import type { AnswerEnd } from "./answerRecord.ts";
+import type { ResponseEnd } from "./bufferedResponse.ts";
 import type { DispatchSummary } from "./dispatch.ts";
 
 /** Histograms and counters of one request, by tier and client account. */
@@ -30,18 +30,18 @@
   }
 
   /** The keeper gave the request a place. */
-  granted(): void {
+  recordGrant(): void {
     this.#metrics.observe("request.waiting_ms", this.#age(), this.#tags);
   }
 
   /** The first token, or the head of a whole answer, arrived. */
-  firstToken(): void {
+  recordFirstToken(): void {
     this.#lastTokenAt = this.#timer.now();
     this.#metrics.observe("request.first_token_ms", this.#age(), this.#tags);
   }
 
   /** A further token arrived; one value for each would be too many, so an answer tells its mean and longest gap. */
-  token(): void {
+  recordToken(): void {
     const now = this.#timer.now();
     const gap = now - (this.#lastTokenAt ?? now);
     this.#slowestGap = Math.max(this.#slowestGap, gap);
@@ -51,7 +51,7 @@
   }
 
   /** The upstream's answer is whole. */
-  answered({ outputTokens }: DispatchSummary): void {
+  recordResponse({ outputTokens }: DispatchSummary): void {
     this.#metrics.observe("request.output_tokens", outputTokens, this.#tags);
     this.#metrics.observe(
       "request.prompt_tokens",
@@ -74,7 +74,7 @@
   }
 
   /** The request has its ending. */
-  ended(end: AnswerEnd): void {
+  recordEnd(end: ResponseEnd): void {
     const ending = end.kind === "whole" ? "whole" : end.problem.ending;
     const problem = end.kind === "whole" ? "none" : end.problem.name;
     this.#metrics.observe("request.whole_ms", this.#age(), this.#tags);
--- a/apps/entry/src/answerRelay.ts
+++ b/apps/entry/src/responseRelay.ts
@@ -16,7 +16,11 @@
   sendMessage,
   subscribeMessage,
 } from "@wasabivane/coordination";
-import type { AnswerEnd, AnswerRecord, AnswerStep } from "./answerRecord.ts";
+import type {
+  BufferedResponse,
+  ResponseEnd,
+  ResponseItem,
+} from "./bufferedResponse.ts";
 import { problemOf } from "./problem.ts";
 
 /** Bytes of parts in one message; far below the largest frame. */
@@ -29,22 +33,22 @@
 const MAX_RETRIES = 3;
 
 /** What the relay needs from its process. */
-export interface AnswerRelayOptions {
+export interface ResponseRelayOptions {
   readonly link: PeerLink;
   readonly timer: Timer;
   readonly metrics: Metrics;
   /** The record of a keyed request that this host owns. */
-  readonly recordOf: (request: RequestId) => AnswerRecord | undefined;
+  readonly findResponse: (request: RequestId) => BufferedResponse | undefined;
 }
 
 /** How a relayed answer came to its end. */
-export type RelayEnd = "ended" | "owner-lost" | "not-kept";
+export type RelayResult = "ended" | "owner-lost" | "not-kept";
 
 interface Relay {
   readonly owner: HostId;
   readonly request: RequestId;
-  readonly record: AnswerRecord;
-  readonly finish: (end: RelayEnd) => void;
+  readonly record: BufferedResponse;
+  readonly finish: (end: RelayResult) => void;
   position: number;
   /** The read that waits for its piece; none while the reader has no room. */
   read: number | undefined;
@@ -57,8 +61,8 @@
  * caller's resend reached. The reader pulls piece by piece, so a slow caller
  * holds nothing up but itself and a lost message is asked for again.
  */
-export class AnswerRelay extends Controller {
-  readonly #options: AnswerRelayOptions;
+export class ResponseRelay extends Controller {
+  readonly #options: ResponseRelayOptions;
   /**
    * Relays by the read that each waits for. A piece answers one read and no
    * other: when pieces were matched by request alone, two resends through one
@@ -69,7 +73,7 @@
   #reads = 0;
   readonly #subscriptions: (() => void)[] = [];
 
-  constructor(options: AnswerRelayOptions) {
+  constructor(options: ResponseRelayOptions) {
     super();
     this.#options = options;
   }
@@ -100,19 +104,19 @@
    * from where the record stands: a relay that was lost for a while goes on, and
    * the caller gets no part twice.
    */
-  follow(
+  copyResponse(
     { owner, request, record }: {
       owner: HostId;
       request: RequestId;
-      record: AnswerRecord;
+      record: BufferedResponse;
     },
-  ): Promise<RelayEnd> {
+  ): Promise<RelayResult> {
     return new Promise((resolve) => {
       const relay: Relay = {
         owner,
         request,
         record,
-        position: record.length,
+        position: record.itemCount,
         read: undefined,
         retries: 0,
         retry: undefined,
@@ -164,7 +168,7 @@
     }
     const { record } = relay;
     if (piece.status !== undefined) {
-      record.begin({ status: piece.status, headers: headersOf(piece) });
+      record.writeHead({ status: piece.status, headers: headersOf(piece) });
       relay.position++;
     }
     for (const part of piece.parts) record.append(part);
@@ -174,17 +178,17 @@
       relay.finish("ended");
       return;
     }
-    void record.whenRoom().then(() => this.#read(relay));
+    void record.whenWritable().then(() => this.#read(relay));
   }
 
   #onRead(from: HostId, asked: ResponseReadRequest): void {
     const { request, position } = asked;
-    const record = this.#options.recordOf(request);
+    const record = this.#options.findResponse(request);
     if (record === undefined || !record.canReplay) {
       this.#reply(from, { ...asked, isKept: false, parts: [] });
       return;
     }
-    if (record.stepAt(position) !== undefined) {
+    if (record.itemAt(position) !== undefined) {
       this.#reply(from, pieceOf(record, asked));
       return;
     }
@@ -192,7 +196,7 @@
   }
 
   #holdUntilNews(
-    record: AnswerRecord,
+    record: BufferedResponse,
     { asked, from }: { asked: ResponseReadRequest; from: HostId },
   ): void {
     let isSent = false;
@@ -204,7 +208,7 @@
       this.#reply(from, pieceOf(record, asked));
     };
     const held = this.#options.timer.after(HOLD_MS, send);
-    const reader = record.openAt(asked.position);
+    const reader = record.openReaderAt(asked.position);
     void reader?.next().then(send);
   }
 
@@ -215,7 +219,7 @@
 }
 
 function pieceOf(
-  record: AnswerRecord,
+  record: BufferedResponse,
   asked: ResponseReadRequest,
 ): ResponseChunk {
   const parts: Uint8Array[] = [];
@@ -224,7 +228,7 @@
   let bytes = 0;
   let at = asked.position;
   while (bytes < MAX_PIECE_BYTES && parts.length < MAX_PIECE_PARTS) {
-    const step: AnswerStep | undefined = record.stepAt(at);
+    const step: ResponseItem | undefined = record.itemAt(at);
     if (step === undefined) break;
     if (step.kind === "end") {
       end = { end: JSON.stringify(step.end) };
@@ -248,9 +252,9 @@
   return Object.fromEntries(headers.map(({ name, value }) => [name, value]));
 }
 
-function parseEnd(text: string): AnswerEnd {
+function parseEnd(text: string): ResponseEnd {
   try {
-    return JSON.parse(text) as AnswerEnd;
+    return JSON.parse(text) as ResponseEnd;
   } catch {
     return { kind: "failed", problem: problemOf("answer-broken") };
   }
--- a/apps/entry/src/answerWriter.ts
+++ b/apps/entry/src/responseWriter.ts
@@ -1,11 +1,11 @@
 import { Buffer } from "node:buffer";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type {
-  AnswerHead,
-  AnswerReader,
-  AnswerRecord,
-  AnswerStep,
-} from "./answerRecord.ts";
+  BufferedResponse,
+  ResponseHead,
+  ResponseItem,
+  ResponseReader,
+} from "./bufferedResponse.ts";
 import {
   type Problem,
   problemDocument,
@@ -31,7 +31,7 @@
  * with bytes unread is reset, and the reset can overtake the document; so what
  * still comes is read and dropped, up to a bound. The listener bounds the time.
  */
-export function refuseUnread(
+export function refuseUnreadRequest(
   incoming: IncomingMessage,
   { outgoing, problem, maximumBytes }: {
     outgoing: ServerResponse;
@@ -63,11 +63,11 @@
  * whole: an event stream gets an error event and no end mark, anything else a
  * broken connection.
  */
-export async function relayAnswer(
-  record: AnswerRecord,
+export async function writeResponse(
+  record: BufferedResponse,
   outgoing: ServerResponse,
 ): Promise<void> {
-  const reader = record.open();
+  const reader = record.openReader();
   if (reader === undefined) {
     writeProblem(outgoing, { name: "answer-gone", ending: "unknown" });
     return;
@@ -78,10 +78,10 @@
 }
 
 async function pump(
-  reader: AnswerReader,
+  reader: ResponseReader,
   outgoing: ServerResponse,
 ): Promise<void> {
-  let head: AnswerHead | undefined;
+  let head: ResponseHead | undefined;
   while (!outgoing.destroyed) {
     const steps = await nextSteps(reader);
     // What is there already leaves in one write instead of one for each part.
@@ -103,7 +103,7 @@
   }
 }
 
-async function nextSteps(reader: AnswerReader): Promise<AnswerStep[]> {
+async function nextSteps(reader: ResponseReader): Promise<ResponseItem[]> {
   const steps = [await reader.next()];
   while (steps.length < MAX_STEPS && steps.at(-1)?.kind !== "end") {
     const step = reader.poll();
@@ -116,8 +116,8 @@
 function finish(
   outgoing: ServerResponse,
   { head, step }: {
-    head: AnswerHead | undefined;
-    step: AnswerStep & { kind: "end" };
+    head: ResponseHead | undefined;
+    step: ResponseItem & { kind: "end" };
   },
 ): void {
   if (step.end.kind === "whole") {
--- a/apps/entry/src/keptAnswers.ts
+++ b/apps/entry/src/retainedResponses.ts
@@ -1,5 +1,5 @@
 import type { RequestId } from "@wasabivane/common";
-import type { AnswerRecord } from "./answerRecord.ts";
+import type { BufferedResponse } from "./bufferedResponse.ts";
 
 /** An answer of few bytes is not free either. */
 const BYTES_PER_ANSWER = 2_048;
@@ -9,12 +9,12 @@
  * stay; ended ones leave in the order of their ends when together they take
  * more memory than the settings allow.
  */
-export class KeptAnswers {
+export class RetainedResponses {
   readonly #maximumBytes: number;
-  readonly #running = new Map<RequestId, AnswerRecord>();
+  readonly #running = new Map<RequestId, BufferedResponse>();
   readonly #ended = new Map<
     RequestId,
-    { record: AnswerRecord; bytes: number }
+    { record: BufferedResponse; bytes: number }
   >();
   #endedBytes = 0;
 
@@ -23,17 +23,17 @@
   }
 
   /** Answers that have not ended. */
-  get running(): number {
+  get runningCount(): number {
     return this.#running.size;
   }
 
   /** Keeps an answer from its start on. */
-  keep(request: RequestId, record: AnswerRecord): void {
+  add(request: RequestId, record: BufferedResponse): void {
     this.#running.set(request, record);
   }
 
   /** Call when the answer ended. */
-  noteEnd(request: RequestId): void {
+  recordEnd(request: RequestId): void {
     const record = this.#running.get(request);
     if (record === undefined) return;
     this.#running.delete(request);
@@ -44,7 +44,7 @@
   }
 
   /** The answer of a request, running or ended. */
-  find(request: RequestId): AnswerRecord | undefined {
+  find(request: RequestId): BufferedResponse | undefined {
     return this.#running.get(request) ?? this.#ended.get(request)?.record;
   }
 
--- a/apps/entry/src/stallWatch.ts
+++ b/apps/entry/src/stallDetector.ts
@@ -19,7 +19,7 @@
  * meanwhile; taken for fresh, its old request would run after all. The bound is
  * enough because whatever arrived before the stall was read before it.
  */
-export class StallWatch extends Controller {
+export class StallDetector extends Controller {
   readonly #timer: Timer;
   #lastTick: Milliseconds;
   #stall: { since: Milliseconds; until: Milliseconds } | undefined;
--- a/apps/entry/src/startEntry.ts
+++ b/apps/entry/src/startEntry.ts
@@ -6,7 +6,7 @@
 import {
   HttpBundleSource,
   HttpHostListSource,
-  type PlatformRequest,
+  type PlatformFetch,
 } from "@wasabivane/bundle";
 import {
   asId,
@@ -87,7 +87,7 @@
   });
   closers.push(() => platform.destroy());
   const { configurationUrl, hostListUrl } = settings.platform;
-  const request: PlatformRequest = (url, options) =>
+  const request: PlatformFetch = (url, options) =>
     platform.request({
       origin: url.origin,
       path: url.pathname + url.search,
--- a/apps/entry/src/statsdMetrics.ts
+++ b/apps/entry/src/statsdMetrics.ts
@@ -45,7 +45,7 @@
   #bounded(tags: MetricTags): Record<string, string | number> {
     const { account } = tags;
     if (account === undefined) return { ...tags };
-    return { ...tags, account: this.#accounts.shown(String(account)) };
+    return { ...tags, account: this.#accounts.boundedValue(String(account)) };
   }
 
   /** Sends what is buffered and closes the socket. */
--- a/apps/entry/src/entryService.ts
+++ b/apps/entry/src/unkeyedRequestService.ts
@@ -1,10 +1,10 @@
 import type { AcceptedRequest } from "./acceptedRequest.ts";
-import type { RequestService, ServedAnswer } from "./callerApi.ts";
+import type { RequestService, ServedResponse } from "./callerApi.ts";
 import { Exchange, type ExchangeServices } from "./exchange.ts";
 import { problemOf } from "./problem.ts";
 
 /** Serves requests that carry no idempotency key: only this process ever knows them. */
-export class EntryService implements RequestService {
+export class UnkeyedRequestService implements RequestService {
   readonly #services: ExchangeServices;
   readonly #exchanges = new Set<Exchange>();
 
@@ -17,7 +17,7 @@
     return this.#exchanges.size;
   }
 
-  serve(request: AcceptedRequest): ServedAnswer {
+  serve(request: AcceptedRequest): ServedResponse {
     const exchange = new Exchange(request, {
       services: this.#services,
       onEnd: () => this.#exchanges.delete(exchange),
@@ -25,8 +25,8 @@
     this.#exchanges.add(exchange);
     exchange.start();
     return {
-      record: exchange.record,
-      hangUp: () => exchange.cancel(problemOf("answer-late")),
+      response: exchange.response,
+      handleDisconnect: () => exchange.cancel(problemOf("answer-late")),
     };
   }
 }
--- a/apps/entry/src/upstreamClient.ts
+++ b/apps/entry/src/upstreamClient.ts
@@ -4,7 +4,7 @@
 import type { UpstreamError } from "./upstreamError.ts";
 
 /** An HTTP call to one upstream. */
-export interface UpstreamCall {
+export interface UpstreamRequest {
   readonly url: string;
   readonly method: string;
   readonly path: string;
@@ -16,7 +16,7 @@
    * upstream may close a used one just as the call is sent, and then nobody
    * knows whether it ran.
    */
-  readonly needsOwnConnection?: boolean;
+  readonly shouldUseNewConnection?: boolean;
   readonly signal: AbortSignal;
 }
 
@@ -29,7 +29,7 @@
 }
 
 /** An upstream's answer whose head has been checked. */
-export interface UpstreamAnswer {
+export interface UpstreamResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: UpstreamBody;
@@ -39,8 +39,8 @@
 export abstract class UpstreamClient {
   /** Sends a call and checks that the answer's head is this dispatch's own. */
   abstract send(
-    call: UpstreamCall,
-  ): Promise<Result<UpstreamAnswer, UpstreamError>>;
+    call: UpstreamRequest,
+  ): Promise<Result<UpstreamResponse, UpstreamError>>;
   /** Reads a small JSON document, such as a load report. */
   abstract readJson(
     url: string,
--- a/apps/entry/src/upstreamWatch.ts
+++ b/apps/entry/src/upstreamPoller.ts
@@ -32,15 +32,15 @@
 });
 
 /** What the watch needs from its process. */
-export interface UpstreamWatchOptions {
+export interface UpstreamPollerOptions {
   readonly timer: Timer;
   readonly metrics: Metrics;
   readonly client: UpstreamClient;
   readonly bundle: () => Bundle | undefined;
   /** Services whose pools this host keeps; only their upstreams are asked. */
-  readonly keptServices: () => Iterable<ServiceId>;
-  readonly onLoad: (service: ServiceId, report: LoadReport) => void;
-  readonly onCache: (service: ServiceId, event: CacheEvent) => void;
+  readonly coordinatedServices: () => Iterable<ServiceId>;
+  readonly onLoadReport: (service: ServiceId, report: LoadReport) => void;
+  readonly onCacheEvent: (service: ServiceId, event: CacheEvent) => void;
 }
 
 /**
@@ -48,13 +48,13 @@
  * keeps. Only the keeper reads them, so that each engine is asked once a
  * second however many entry hosts there are.
  */
-export class UpstreamWatch extends Controller {
-  readonly #options: UpstreamWatchOptions;
+export class UpstreamPoller extends Controller {
+  readonly #options: UpstreamPollerOptions;
   readonly #sequences = new Map<UpstreamId, number>();
   readonly #pending = new Set<UpstreamId>();
   #polling: TimerSubscription | undefined;
 
-  constructor(options: UpstreamWatchOptions) {
+  constructor(options: UpstreamPollerOptions) {
     super();
     this.#options = options;
   }
@@ -71,7 +71,7 @@
   #pollAll(): void {
     const bundle = this.#options.bundle();
     if (bundle === undefined) return;
-    const kept = new Set(this.#options.keptServices());
+    const kept = new Set(this.#options.coordinatedServices());
     const models = new Set(
       bundle.services.filter(({ kind }) => kind === "model").map((
         { service },
@@ -109,7 +109,7 @@
       schema: loadDocument,
     });
     if (document === undefined) return;
-    const { timer, onLoad } = this.#options;
+    const { timer, onLoadReport: onLoad } = this.#options;
     const age = Math.max(0, timer.wallNow() - document.takenAt);
     onLoad(service, {
       upstream,
@@ -133,7 +133,7 @@
     for (const event of document?.events ?? []) {
       this.#sequences.set(upstream, event.sequence);
       const digests = event.digests as Digest[];
-      this.#options.onCache(service, { ...event, upstream, digests });
+      this.#options.onCacheEvent(service, { ...event, upstream, digests });
     }
   }
 
--- a/apps/entry/tests/badInput.test.ts
+++ b/apps/entry/tests/badInput.test.ts
@@ -3,16 +3,16 @@
 import test, { type ExecutionContext } from "ava";
 import {
   bearer,
-  type EntryBench,
-  startBench,
+  type EntryFixture,
+  startEntryFixture,
   until,
-} from "./helpers/entryBench.ts";
+} from "./helpers/entryFixture.ts";
 import {
-  callRaw,
   openSocket,
-  type RawAnswer,
-  readAnswer,
-} from "./helpers/rawCall.ts";
+  type RawResponse,
+  readRawResponse,
+  sendRawRequest,
+} from "./helpers/rawHttp.ts";
 
 const MAXIMUM_BODY_BYTES = 2_048;
 const CHAT = JSON.stringify({
@@ -20,10 +20,10 @@
   messages: [{ role: "user", content: "When does school start?" }],
 });
 
-let bench: EntryBench;
+let bench: EntryFixture;
 
 test.before(async () => {
-  bench = await startBench({
+  bench = await startEntryFixture({
     settings: {
       limits: {
         maximumBodyBytes: MAXIMUM_BODY_BYTES,
@@ -211,7 +211,7 @@
 
 for (const [name, { problem, status, ...parts }] of Object.entries(REFUSALS)) {
   test.serial(`${name} is refused with a document and reaches no upstream`, async (t) => {
-    const answer = await callRaw(requestBytes(parts), {
+    const answer = await sendRawRequest(requestBytes(parts), {
       port: bench.callerPort,
     });
     assertProblem(t, answer, { problem, status });
@@ -221,7 +221,7 @@
 
 function assertProblem(
   t: ExecutionContext,
-  answer: RawAnswer | undefined,
+  answer: RawResponse | undefined,
   { problem, status }: { problem: string; status: number },
 ): void {
   t.is(answer?.status, status);
@@ -236,12 +236,12 @@
 function assertNothingRan(t: ExecutionContext): void {
   t.is(bench.status().openExchanges, 0);
   t.deepEqual(bench.engines[0]!.state.runs, {});
-  t.is(bench.plains[0]!.runs.total, 0);
+  t.is(bench.plainServices[0]!.runs.total, 0);
 }
 
 // Whatever bytes come, the host answers with a document or closes, and lives.
 test.serial("bytes by chance end with a document or a closed connection", async (t) => {
-  const other = await startBench();
+  const other = await startEntryFixture();
   t.teardown(() => other.stop());
   const head = requestBytes({ body: CHAT });
   const damage = fc.record({
@@ -253,9 +253,9 @@
       const damaged = Buffer.from(head);
       damaged.set(bytes.subarray(0, head.length - at), at);
       if (damaged.equals(head)) return;
-      const answer = await callRaw(damaged, {
+      const answer = await sendRawRequest(damaged, {
         port: other.callerPort,
-        endsAfter: true,
+        shouldHalfClose: true,
       });
       if (answer === undefined || answer.status === 200) return;
       const document = JSON.parse(answer.body);
@@ -269,7 +269,7 @@
 
 test.serial("headers that come too slowly end with a document", async (t) => {
   const socket = await openSocket(bench.callerPort);
-  const answer = readAnswer(socket);
+  const answer = readRawResponse(socket);
   socket.write("POST /v1/chat/completions HTTP/1.1\r\nHost: entry\r\n");
   assertProblem(t, await answer, { problem: "request-timeout", status: 408 });
   assertNothingRan(t);
@@ -277,7 +277,7 @@
 
 test.serial("a body that comes too slowly ends with a document", async (t) => {
   const socket = await openSocket(bench.callerPort);
-  const answer = readAnswer(socket);
+  const answer = readRawResponse(socket);
   const headers = [`Content-Length: ${CHAT.length}`];
   socket.write(requestBytes({ body: CHAT.slice(0, 10), headers }));
   assertProblem(t, await answer, { problem: "request-timeout", status: 408 });
@@ -287,16 +287,16 @@
 test.serial("a connection half closed within the body gets a document", async (t) => {
   const headers = [`Content-Length: ${CHAT.length}`];
   const bytes = requestBytes({ body: CHAT.slice(0, 10), headers });
-  const answer = await callRaw(bytes, {
+  const answer = await sendRawRequest(bytes, {
     port: bench.callerPort,
-    endsAfter: true,
+    shouldHalfClose: true,
   });
   assertProblem(t, answer, MALFORMED);
   assertNothingRan(t);
 });
 
 test.serial("a request without a host is refused", async (t) => {
-  const answer = await callRaw(
+  const answer = await sendRawRequest(
     "GET /casefile HTTP/1.1\r\nConnection: close\r\n\r\n",
     { port: bench.callerPort },
   );
@@ -304,7 +304,7 @@
 });
 
 test.serial("a caller over the bound of connections is told to come again", async (t) => {
-  const small = await startBench({
+  const small = await startEntryFixture({
     settings: { limits: { maximumConnections: 2 } },
   });
   const held = [
@@ -312,7 +312,7 @@
     await openSocket(small.callerPort),
   ];
   const bytes = requestBytes({ body: CHAT });
-  const answer = await callRaw(bytes, { port: small.callerPort });
+  const answer = await sendRawRequest(bytes, { port: small.callerPort });
   t.is(answer?.status, 503);
   t.is(answer?.headers["retry-after"], "1");
   const document = JSON.parse(answer!.body);
--- a/apps/entry/tests/answerRecord.test.ts
+++ b/apps/entry/tests/bufferedResponse.test.ts
@@ -1,6 +1,6 @@
 import { Buffer } from "node:buffer";
 import test from "ava";
-import { AnswerRecord, problemOf } from "@wasabivane/entry";
+import { BufferedResponse, problemOf } from "@wasabivane/entry";
 
 const HEAD = { status: 200, headers: {} };
 
@@ -9,15 +9,15 @@
 }
 
 test("a second reader of a replayable answer gets it from the first byte", (t) => {
-  const record = new AnswerRecord({ isReplayable: true });
-  record.begin(HEAD);
+  const record = new BufferedResponse({ isReplayable: true });
+  record.writeHead(HEAD);
   record.append(partOf("one"));
-  const first = record.open()!;
+  const first = record.openReader()!;
   first.poll();
   first.poll();
   record.append(partOf("two"));
   record.finish({ kind: "whole" });
-  const second = record.open()!;
+  const second = record.openReader()!;
   const kinds = [second.poll(), second.poll(), second.poll(), second.poll()];
   t.deepEqual(kinds.map((step) => step?.kind), ["head", "part", "part", "end"]);
 });
@@ -26,12 +26,12 @@
 // would hold the rest of every answer in memory; the writer is told to wait
 // until the slowest reader has caught up.
 test("a slow reader makes the writer wait", async (t) => {
-  const record = new AnswerRecord({ highWaterBytes: 4 });
-  const reader = record.open()!;
-  record.begin(HEAD);
+  const record = new BufferedResponse({ highWaterBytes: 4 });
+  const reader = record.openReader()!;
+  record.writeHead(HEAD);
   record.append(partOf("12345"));
   t.true(record.isFull);
-  const room = record.whenRoom();
+  const room = record.whenWritable();
   reader.poll();
   reader.poll();
   await room;
@@ -39,22 +39,22 @@
 });
 
 test("a reader that leaves no longer holds the writer up", async (t) => {
-  const record = new AnswerRecord({ highWaterBytes: 4 });
-  const reader = record.open()!;
+  const record = new BufferedResponse({ highWaterBytes: 4 });
+  const reader = record.openReader()!;
   record.append(partOf("12345"));
-  const room = record.whenRoom();
+  const room = record.whenWritable();
   reader.close();
   await room;
   t.pass();
 });
 
 test("an answer too large to keep cannot be replayed, and its reader still gets all of it", (t) => {
-  const record = new AnswerRecord({
+  const record = new BufferedResponse({
     isReplayable: true,
     maximumReplayBytes: 4,
   });
-  const reader = record.open()!;
-  record.begin(HEAD);
+  const reader = record.openReader()!;
+  record.writeHead(HEAD);
   const seen: string[] = [];
   for (const text of ["abc", "def", "ghi"]) {
     record.append(partOf(text));
@@ -63,12 +63,12 @@
     }
   }
   t.deepEqual(seen, ["abc", "def", "ghi"]);
-  t.is(record.open(), undefined);
+  t.is(record.openReader(), undefined);
 });
 
 test("nothing follows the first end", (t) => {
-  const record = new AnswerRecord();
-  const reader = record.open()!;
+  const record = new BufferedResponse();
+  const reader = record.openReader()!;
   record.finish({ kind: "failed", problem: problemOf("answer-late") });
   record.append(partOf("late"));
   record.finish({ kind: "whole" });
--- a/apps/entry/tests/callerConnection.test.ts
+++ b/apps/entry/tests/callerConnection.test.ts
@@ -1,15 +1,15 @@
 import test, { type ExecutionContext } from "ava";
 import { expectedAnswer, markTokens } from "@wasabivane/engine-model";
-import { chat, openChat } from "./helpers/chatCall.ts";
+import { openChat, sendChat } from "./helpers/chatClient.ts";
 import {
   bearer,
-  type EntryBench,
-  type EntryBenchOptions,
-  startBench,
+  type EntryFixture,
+  type EntryFixtureOptions,
+  startEntryFixture,
   until,
-} from "./helpers/entryBench.ts";
-import { openSocket, readAnswer } from "./helpers/rawCall.ts";
-import { startScripted } from "./helpers/scriptedUpstream.ts";
+} from "./helpers/entryFixture.ts";
+import { openSocket, readRawResponse } from "./helpers/rawHttp.ts";
+import { startScriptedUpstream } from "./helpers/scriptedUpstream.ts";
 
 const TOKENS = 20;
 const ENDLESS = `Draft ${markTokens(500_000)}`;
@@ -17,14 +17,14 @@
 
 async function withBench(
   t: ExecutionContext,
-  options: EntryBenchOptions = {},
-): Promise<EntryBench> {
-  const bench = await startBench(options);
+  options: EntryFixtureOptions = {},
+): Promise<EntryFixture> {
+  const bench = await startEntryFixture(options);
   t.teardown(() => bench.stop());
   return bench;
 }
 
-function states({ engines }: EntryBench): string[] {
+function states({ engines }: EntryFixture): string[] {
   return engines.flatMap(({ state }) =>
     Object.values(state.runs).map(({ state }) => state)
   );
@@ -32,7 +32,7 @@
 
 async function assertCancelled(
   t: ExecutionContext,
-  bench: EntryBench,
+  bench: EntryFixture,
 ): Promise<void> {
   await until(() => states(bench)[0] === "cancelled");
   await until(() => bench.status().openExchanges === 0);
@@ -70,7 +70,7 @@
 test("a caller that closes its half after a request has hung up", async (t) => {
   const bench = await withBench(t);
   const socket = await openSocket(bench.callerPort);
-  const answer = readAnswer(socket);
+  const answer = readRawResponse(socket);
   socket.write(chatBytes(ENDLESS));
   await until(() => states(bench).length === 1);
   socket.end();
@@ -83,7 +83,7 @@
 test("garbage behind a running request breaks the connection without a document", async (t) => {
   const bench = await withBench(t);
   const socket = await openSocket(bench.callerPort);
-  const answer = readAnswer(socket);
+  const answer = readRawResponse(socket);
   socket.write(chatBytes(ENDLESS, { stream: false }));
   await until(() => states(bench).length === 1);
   socket.write("garbage\r\n\r\n");
@@ -96,7 +96,7 @@
 test("a broken request behind a running one breaks the connection without a document", async (t) => {
   const bench = await withBench(t);
   const socket = await openSocket(bench.callerPort);
-  const answer = readAnswer(socket);
+  const answer = readRawResponse(socket);
   socket.write(chatBytes(ENDLESS, { stream: false }));
   await until(() => states(bench).length === 1);
   socket.write(
@@ -129,7 +129,7 @@
   let sent = 0;
   let polls = 0;
   let isClosed = false;
-  const engine = await startScripted(async ({ outgoing, nonce }) => {
+  const engine = await startScriptedUpstream(async ({ outgoing, nonce }) => {
     outgoing.on("close", () => (isClosed = true));
     outgoing.writeHead(200, { "x-request-nonce": nonce });
     const content = "x".repeat(eventBytes);
@@ -180,7 +180,7 @@
   t.is(head.status, 200);
   t.is(await head.text(), "");
   const socket = await openSocket(bench.callerPort);
-  const answer = readAnswer(socket);
+  const answer = readRawResponse(socket);
   socket.write(
     `GET http://elsewhere/casefile/a?b HTTP/1.1\r\nHost: entry\r\nAuthorization: ${bearer()}\r\nConnection: close\r\n\r\n`,
   );
@@ -199,19 +199,23 @@
   const bench = await withBench(t);
   const prompt = `Draft ${markTokens(TOKENS)}`;
   let key = bareKey();
-  let first = await chat(bench, { prompt, headers: keyed(key) });
+  let first = await sendChat(bench, { prompt, headers: keyed(key) });
   // A key's home answers for no key older than its own tenure, which has just begun.
   while (first.problem?.detail === "older-than-tenure") {
     key = bareKey();
-    first = await chat(bench, { prompt, headers: keyed(key) });
+    first = await sendChat(bench, { prompt, headers: keyed(key) });
   }
   t.is(first.content, expectedAnswer(prompt, TOKENS));
   const account = "tenjin-family-law";
-  const second = await chat(bench, { prompt, account, headers: keyed(key) });
+  const second = await sendChat(bench, {
+    prompt,
+    account,
+    headers: keyed(key),
+  });
   t.is(second.content, expectedAnswer(prompt, TOKENS));
   t.deepEqual(states(bench), ["finished", "finished"]);
   t.is(bench.counter("key.joined"), 0);
-  const again = await chat(bench, { prompt, headers: keyed(key) });
+  const again = await sendChat(bench, { prompt, headers: keyed(key) });
   t.is(again.content, first.content);
   t.is(states(bench).length, 2);
 });
@@ -229,11 +233,11 @@
   const { key } = await minted.json() as { key: string };
   const headers = { "idempotency-key": key };
   const prompt = `Draft ${markTokens(TOKENS)}`;
-  const own = await chat(bench, { prompt, headers });
-  t.true(own.isWhole);
+  const own = await sendChat(bench, { prompt, headers });
+  t.true(own.isComplete);
   const account = "tenjin-family-law";
-  const other = await chat(bench, { prompt, account, headers });
-  t.false(other.isWhole);
+  const other = await sendChat(bench, { prompt, account, headers });
+  t.false(other.isComplete);
   t.false(other.text.includes("hakata"));
   t.deepEqual(states(bench), ["finished"]);
 });
--- a/apps/entry/tests/completionStream.test.ts
+++ b/apps/entry/tests/completionStream.test.ts
@@ -32,8 +32,8 @@
 
 test("a stream is whole after its finish reason and its end mark", (t) => {
   const { stream } = read(WHOLE);
-  t.true(stream.isWhole);
-  t.is(stream.tokens, 2);
+  t.true(stream.isComplete);
+  t.is(stream.tokenCount, 2);
 });
 
 test("any cut of the bytes gives the same events", (t) => {
@@ -48,7 +48,7 @@
         WHOLE.slice(places[index], end)
       );
       const { stream, events } = read(...parts);
-      return stream.isWhole && events.length === 4;
+      return stream.isComplete && events.length === 4;
     }),
   );
   t.pass();
@@ -70,13 +70,13 @@
 // answer already; the rest is counted and dropped.
 test("nothing after the end mark is passed on", (t) => {
   const { stream, events } = read(WHOLE, WHOLE);
-  t.true(stream.hasExcess);
+  t.true(stream.hasTrailingEvents);
   t.is(events.length, 4);
 });
 
 test("an end mark without a finish reason is no end", (t) => {
   const { stream } = read(chunk("a"), "data: [DONE]\n\n");
-  t.false(stream.isWhole);
+  t.false(stream.isComplete);
   t.is(stream.error?.kind, "malformed");
 });
 
@@ -84,7 +84,7 @@
   fc.assert(fc.property(fc.array(fc.uint8Array({ maxLength: 64 })), (parts) => {
     const stream = new CompletionStream(NONCE, () => {});
     for (const part of parts) stream.feed(part);
-    return !stream.isWhole;
+    return !stream.isComplete;
   }));
   t.pass();
 });
--- a/apps/entry/tests/helpers/certificates.ts
+++ b/apps/entry/tests/helpers/certificates.ts
@@ -63,7 +63,7 @@
 }
 
 /** The certificate that a port shows in its handshake, as PEM. */
-export function shownCertificate(
+export function presentedCertificate(
   port: number,
   options: ConnectionOptions,
 ): Promise<string | undefined> {
@@ -78,7 +78,7 @@
 }
 
 /** Whether a peer port takes a connection from a client with this certificate. */
-export function opensWebSocket(
+export function canOpenWebSocket(
   port: number,
   options: ConnectionOptions,
 ): Promise<boolean> {
--- a/apps/entry/tests/helpers/chatCall.ts
+++ b/apps/entry/tests/helpers/chatClient.ts
@@ -1,7 +1,7 @@
-import type { EntryBench } from "./entryBench.ts";
-import { bearer } from "./entryBench.ts";
+import type { EntryFixture } from "./entryFixture.ts";
+import { bearer } from "./entryFixture.ts";
 
-/** Options of {@link chat}. */
+/** Options of {@link sendChat}. */
 export interface ChatOptions {
   readonly prompt: string;
   readonly stream?: boolean;
@@ -11,19 +11,19 @@
 }
 
 /** A completion as its caller has it. */
-export interface ChatAnswer {
+export interface ChatResponse {
   readonly status: number;
   readonly text: string;
   readonly content: string;
   /** Whether the end mark came. */
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
   /** The problem document, of the whole answer or of the stream's error event. */
   readonly problem: Readonly<Record<string, unknown>> | undefined;
 }
 
 /** Asks for a completion; resolves at the head of the answer. */
 export function openChat(
-  { callerUrl }: Pick<EntryBench, "callerUrl">,
+  { callerUrl }: Pick<EntryFixture, "callerUrl">,
   { prompt, stream = true, account, headers, signal }: ChatOptions,
 ): Promise<Response> {
   const messages = [{ role: "user", content: prompt }];
@@ -36,16 +36,16 @@
 }
 
 /** Asks for a completion and reads the answer to its end. */
-export async function chat(
-  bench: Pick<EntryBench, "callerUrl">,
+export async function sendChat(
+  bench: Pick<EntryFixture, "callerUrl">,
   options: ChatOptions,
-): Promise<ChatAnswer> {
+): Promise<ChatResponse> {
   const answer = await openChat(bench, options);
-  return readChat(answer.status, await answer.text());
+  return parseChatResponse(answer.status, await answer.text());
 }
 
 /** Reads what a caller got. */
-export function readChat(status: number, text: string): ChatAnswer {
+export function parseChatResponse(status: number, text: string): ChatResponse {
   if (!text.startsWith("data: ")) {
     const body = JSON.parse(text);
     const content = body.choices?.[0].message.content ?? "";
@@ -54,7 +54,7 @@
       status,
       text,
       content,
-      isWhole,
+      isComplete: isWhole,
       problem: isWhole ? undefined : body,
     };
   }
@@ -67,7 +67,7 @@
     status,
     text,
     content: content.join(""),
-    isWhole: blocks.at(-1) === "data: [DONE]",
+    isComplete: blocks.at(-1) === "data: [DONE]",
     problem: failed && JSON.parse(failed.split("data: ")[1]!),
   };
 }
--- a/apps/entry/tests/helpers/incomingChat.ts
+++ b/apps/entry/tests/helpers/createChatRequest.ts
@@ -4,7 +4,7 @@
 import type { IncomingRequest } from "@wasabivane/entry";
 
 /** A chat request of the bundle's first account, as it comes in. */
-export function incomingChat(
+export function createChatRequest(
   bundle: Bundle,
   overrides: Partial<IncomingRequest> = {},
 ): IncomingRequest {
--- a/apps/entry/tests/helpers/entryBench.ts
+++ b/apps/entry/tests/helpers/entryFixture.ts
@@ -19,10 +19,10 @@
 const POLL_MS = 2;
 const ADDRESS = "127.0.0.1";
 
-/** Options of {@link startBench}. */
-export interface EntryBenchOptions {
+/** Options of {@link startEntryFixture}. */
+export interface EntryFixtureOptions {
   readonly engines?: number;
-  readonly plains?: number;
+  readonly plainServices?: number;
   readonly engineOptions?: EngineStandInOptions;
   /** Settings beside or in place of the bench's own. */
   readonly settings?: Readonly<Record<string, unknown>>;
@@ -31,18 +31,18 @@
   /** Urls in place of those of stand-ins, by upstream. */
   readonly upstreamUrls?: Readonly<Record<string, string>>;
   /** Puts something before a stand-in; gives the url to use in its place. */
-  readonly proxied?: (url: string) => Promise<string>;
+  readonly createProxy?: (url: string) => Promise<string>;
 }
 
 /** One entry host over stand-ins, all in this process. */
-export interface EntryBench {
+export interface EntryFixture {
   readonly callerPort: number;
   readonly operatorPort: number;
   readonly peerPort: number;
   readonly callerUrl: string;
   readonly bundle: Bundle;
   readonly engines: readonly EngineStandIn[];
-  readonly plains: readonly PlainStandIn[];
+  readonly plainServices: readonly PlainStandIn[];
   readonly platform: PlatformStandIn;
   /** What the operator port would tell. */
   status(): { openExchanges: number; counters: Record<string, number> };
@@ -57,7 +57,7 @@
 }
 
 /** Settings of a single entry host on free ports. */
-export function benchSettings(
+export function fixtureSettings(
   platformUrl: string,
   overrides: Readonly<Record<string, unknown>> = {},
 ): Record<string, unknown> {
@@ -75,19 +75,19 @@
 }
 
 /** Starts an entry host in front of stand-ins and waits until it is ready. */
-export async function startBench(
-  options: EntryBenchOptions = {},
-): Promise<EntryBench> {
+export async function startEntryFixture(
+  options: EntryFixtureOptions = {},
+): Promise<EntryFixture> {
   const engines = Array.from(
     { length: options.engines ?? 1 },
     () => new EngineStandIn({ timeScale: 50, ...options.engineOptions }),
   );
   const plains = Array.from(
-    { length: options.plains ?? 1 },
+    { length: options.plainServices ?? 1 },
     () => new PlainStandIn(),
   );
   const platform = new PlatformStandIn();
-  const bundle = await bundleOver({ engines, plains }, options);
+  const bundle = await bundleOver({ engines, plainServices: plains }, options);
   platform.setBundle(signBundle(bundle, exampleSigningKey())._unsafeUnwrap());
   platform.setHosts({
     version: 1,
@@ -103,8 +103,8 @@
     })),
   });
   const { url } = await platform.start();
-  const platformUrl = await options.proxied?.(url) ?? url;
-  const settings = settingsSchema.parse(benchSettings(platformUrl, {
+  const platformUrl = await options.createProxy?.(url) ?? url;
+  const settings = settingsSchema.parse(fixtureSettings(platformUrl, {
     ...options.settings,
     platform: {
       configurationUrl: platformUrl,
@@ -114,14 +114,14 @@
   }));
   const started = (await startEntry(settings))._unsafeUnwrap();
   const { host } = started.daemon;
-  await until(() => host.operatorView().isReady());
-  const status = host.status.bind(host) as EntryBench["status"];
+  await until(() => host.createOperatorView().isReady());
+  const status = host.status.bind(host) as EntryFixture["status"];
   return {
     ...started.ports,
     callerUrl: `http://${ADDRESS}:${started.ports.callerPort}`,
     bundle,
     engines,
-    plains,
+    plainServices: plains,
     platform,
     status,
     counter: (name) => sumOf(status().counters, name),
@@ -134,9 +134,12 @@
 }
 
 async function bundleOver(
-  { engines, plains }: Pick<EntryBench, "engines" | "plains">,
-  { upstreamUrls = {}, proxied = Promise.resolve.bind(Promise) }:
-    EntryBenchOptions,
+  { engines, plainServices: plains }: Pick<
+    EntryFixture,
+    "engines" | "plainServices"
+  >,
+  { upstreamUrls = {}, createProxy: proxied = Promise.resolve.bind(Promise) }:
+    EntryFixtureOptions,
 ): Promise<Bundle> {
   const example = exampleBundle("fukuoka");
   const urls: Record<string, string> = {};
--- a/apps/entry/tests/helpers/rawCall.ts
+++ b/apps/entry/tests/helpers/rawHttp.ts
@@ -3,17 +3,17 @@
 import { connect, type Socket } from "node:net";
 
 /** An answer as it stood on the connection. */
-export interface RawAnswer {
+export interface RawResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
 }
 
-/** Options of {@link callRaw}. */
-export interface RawCallOptions {
+/** Options of {@link sendRawRequest}. */
+export interface RawRequestOptions {
   readonly port: number;
   /** Whether this side closes its half after what it sent. */
-  readonly endsAfter?: boolean;
+  readonly shouldHalfClose?: boolean;
 }
 
 /** Opens a connection to a port of this machine. */
@@ -25,21 +25,21 @@
 }
 
 /** Sends bytes as they are and reads until the other side closes. */
-export async function callRaw(
+export async function sendRawRequest(
   bytes: string | Buffer,
-  { port, endsAfter = false }: RawCallOptions,
-): Promise<RawAnswer | undefined> {
+  { port, shouldHalfClose: endsAfter = false }: RawRequestOptions,
+): Promise<RawResponse | undefined> {
   const socket = await openSocket(port);
-  const answer = readAnswer(socket);
+  const answer = readRawResponse(socket);
   if (endsAfter) socket.end(bytes);
   else socket.write(bytes);
   return await answer;
 }
 
 /** What a connection gives until it closes; `undefined` when that is nothing. */
-export async function readAnswer(
+export async function readRawResponse(
   socket: Socket,
-): Promise<RawAnswer | undefined> {
+): Promise<RawResponse | undefined> {
   const parts: Buffer[] = [];
   socket.on("data", (part: Buffer) => parts.push(part));
   await once(socket, "close");
@@ -47,7 +47,7 @@
   return text === "" ? undefined : parseAnswer(text);
 }
 
-function parseAnswer(text: string): RawAnswer {
+function parseAnswer(text: string): RawResponse {
   const split = text.indexOf("\r\n\r\n");
   const [statusLine, ...lines] = text.slice(0, split).split("\r\n");
   const headers = Object.fromEntries(lines.map((line) => {
--- a/apps/entry/tests/helpers/scriptedUpstream.ts
+++ b/apps/entry/tests/helpers/scriptedUpstream.ts
@@ -23,7 +23,7 @@
 }
 
 /** Starts an upstream that answers each call as the script does. */
-export async function startScripted(
+export async function startScriptedUpstream(
   script: (call: ScriptedCall) => void,
 ): Promise<ScriptedUpstream> {
   const calls: string[] = [];
--- a/apps/entry/tests/metrics.test.ts
+++ b/apps/entry/tests/metrics.test.ts
@@ -12,11 +12,11 @@
 import {
   acceptRequest,
   BoundedTag,
-  OTHER,
+  OTHER_TAG_VALUE,
   RequestMetrics,
   StatsdMetrics,
 } from "@wasabivane/entry";
-import { incomingChat } from "./helpers/incomingChat.ts";
+import { createChatRequest } from "./helpers/createChatRequest.ts";
 
 const ACCOUNTS = 1_100;
 const NAMED = 200;
@@ -56,19 +56,22 @@
   while (lines.length < ACCOUNTS) await lines.more();
   const names = new Set(lines.map((line) => line.split("account:")[1]));
   t.is(names.size, NAMED + 1);
-  t.true(names.has(OTHER));
+  t.true(names.has(OTHER_TAG_VALUE));
 });
 
 test("names of a tag are given anew in each interval", (t) => {
   const timer = new VirtualTimer();
   const tag = new BoundedTag({ timer, maximumValues: 1, intervalMs: 1_000 });
-  t.deepEqual(["a", "b", "a"].map((value) => tag.shown(value)), [
+  t.deepEqual(["a", "b", "a"].map((value) => tag.boundedValue(value)), [
     "a",
-    OTHER,
+    OTHER_TAG_VALUE,
     "a",
   ]);
   timer.advance(1_000);
-  t.deepEqual(["b", "a"].map((value) => tag.shown(value)), ["b", OTHER]);
+  t.deepEqual(["b", "a"].map((value) => tag.boundedValue(value)), [
+    "b",
+    OTHER_TAG_VALUE,
+  ]);
 });
 
 class ObservedMetrics extends Metrics {
@@ -85,14 +88,14 @@
   const timer = new VirtualTimer();
   const metrics = new ObservedMetrics();
   const bundle = exampleBundle("fukuoka");
-  const request = acceptRequest(incomingChat(bundle))._unsafeUnwrap();
+  const request = acceptRequest(createChatRequest(bundle))._unsafeUnwrap();
   const observed = new RequestMetrics(request, { metrics, timer });
-  observed.firstToken();
+  observed.recordFirstToken();
   for (const gap of [10, 30, 20]) {
     timer.advance(gap);
-    observed.token();
+    observed.recordToken();
   }
-  observed.answered({ status: 200, outputTokens: 4, cachedTokens: 0 });
+  observed.recordResponse({ status: 200, outputTokens: 4, cachedTokens: 0 });
   const tags = { tier: asTier(2), account: request.account.account };
   t.deepEqual(metrics.values.slice(-2), [
     ["request.between_tokens_ms", 20, tags],
--- a/apps/entry/tests/program.test.ts
+++ b/apps/entry/tests/program.test.ts
@@ -6,7 +6,7 @@
 import { fileURLToPath } from "node:url";
 import test, { type ExecutionContext } from "ava";
 import { runEntryProgram } from "@wasabivane/entry";
-import { benchSettings } from "./helpers/entryBench.ts";
+import { fixtureSettings } from "./helpers/entryFixture.ts";
 
 const EXAMPLES = fileURLToPath(new URL("../../../examples/", import.meta.url));
 const NO_PLATFORM = "http://127.0.0.1:9";
@@ -86,7 +86,7 @@
 
 for (const [name, { edit, says }] of Object.entries(BROKEN)) {
   test(`settings with ${name} are named by file, line, path and what is allowed`, async (t) => {
-    const text = JSON.stringify(benchSettings(NO_PLATFORM), undefined, 2);
+    const text = JSON.stringify(fixtureSettings(NO_PLATFORM), undefined, 2);
     const file = settingsFile(t, edit(text));
     const checked = await run(["check", "--settings", file]);
     t.is(checked.exitCode, 1);
@@ -120,7 +120,7 @@
 });
 
 test("a host that starts says its ports, and ends in order when it is stopped", async (t) => {
-  const text = JSON.stringify(benchSettings(NO_PLATFORM));
+  const text = JSON.stringify(fixtureSettings(NO_PLATFORM));
   const { exitCode, stdout, stderr } = await run([
     "--settings",
     settingsFile(t, text),
@@ -139,7 +139,7 @@
   t.teardown(() => void holder.close());
   const { port } = holder.address() as AddressInfo;
   for (const name of ["callers", "operators", "peers"]) {
-    const settings = benchSettings(NO_PLATFORM, {
+    const settings = fixtureSettings(NO_PLATFORM, {
       [name]: name === "peers"
         ? { port, secrets: ["secret-of-the-bench"] }
         : { port },
@@ -155,7 +155,7 @@
 test("a certificate that cannot be read is named", async (t) => {
   const tls = { certificateFile: "none.pem", keyFile: "none.pem" };
   for (const name of ["callers", "peers"]) {
-    const settings = benchSettings(NO_PLATFORM, {
+    const settings = fixtureSettings(NO_PLATFORM, {
       [name]: {
         port: 0,
         tls,
--- a/apps/entry/tests/ownAnswers.test.ts
+++ b/apps/entry/tests/responseIntegrity.test.ts
@@ -2,21 +2,21 @@
 import test, { type ExecutionContext } from "ava";
 import { expectedAnswer, markTokens } from "@wasabivane/engine-model";
 import {
-  chat,
-  type ChatAnswer,
+  type ChatResponse,
   openChat,
-  readChat,
-} from "./helpers/chatCall.ts";
+  parseChatResponse,
+  sendChat,
+} from "./helpers/chatClient.ts";
 import {
   bearer,
-  type EntryBench,
-  type EntryBenchOptions,
-  startBench,
+  type EntryFixture,
+  type EntryFixtureOptions,
+  startEntryFixture,
   until,
-} from "./helpers/entryBench.ts";
+} from "./helpers/entryFixture.ts";
 import {
   type ScriptedCall,
-  startScripted,
+  startScriptedUpstream,
 } from "./helpers/scriptedUpstream.ts";
 
 const TOKENS = 40;
@@ -24,23 +24,23 @@
 
 async function withBench(
   t: ExecutionContext,
-  options: EntryBenchOptions = {},
-): Promise<EntryBench> {
-  const bench = await startBench(options);
+  options: EntryFixtureOptions = {},
+): Promise<EntryFixture> {
+  const bench = await startEntryFixture(options);
   t.teardown(() => bench.stop());
   return bench;
 }
 
-function assertWhole(t: ExecutionContext, answer: ChatAnswer): void {
+function assertWhole(t: ExecutionContext, answer: ChatResponse): void {
   t.is(answer.status, 200);
   t.is(answer.content, expectedAnswer(PROMPT, TOKENS));
-  t.true(answer.isWhole);
+  t.true(answer.isComplete);
   t.is(answer.problem, undefined);
 }
 
 function assertFailed(
   t: ExecutionContext,
-  { isWhole, problem }: ChatAnswer,
+  { isComplete: isWhole, problem }: ChatResponse,
   { name, ending = "unknown" }: { name: string; ending?: string },
 ): void {
   t.false(isWhole);
@@ -48,7 +48,7 @@
   t.is(problem?.ending, ending);
 }
 
-function starts({ engines }: EntryBench): number[] {
+function starts({ engines }: EntryFixture): number[] {
   return engines.flatMap(({ state }) =>
     Object.values(state.runs).map(({ starts }) => starts)
   );
@@ -61,7 +61,7 @@
     const bench = await withBench(t);
     bench.engines[0]!.control("wrong-nonce");
     const prompt = `Draft ${markTokens(50_000)}`;
-    const answer = await chat(bench, {
+    const answer = await sendChat(bench, {
       prompt: stream ? prompt : PROMPT,
       stream,
     });
@@ -80,7 +80,7 @@
   test(`a truncated ${form} answer is resumed without a gap or a double`, async (t) => {
     const bench = await withBench(t);
     bench.engines[0]!.control("truncate", { count: 2, afterTokens: 7 });
-    assertWhole(t, await chat(bench, { prompt: PROMPT, stream }));
+    assertWhole(t, await sendChat(bench, { prompt: PROMPT, stream }));
     t.is(bench.counter("safeguard.resume"), 2);
     t.deepEqual(starts(bench), [1]);
   });
@@ -88,7 +88,7 @@
   test(`a broken ${form} answer is resumed without a gap or a double`, async (t) => {
     const bench = await withBench(t);
     bench.engines[0]!.control("break-streams", { count: 2, afterTokens: 7 });
-    assertWhole(t, await chat(bench, { prompt: PROMPT, stream }));
+    assertWhole(t, await sendChat(bench, { prompt: PROMPT, stream }));
     t.is(bench.counter("safeguard.resume"), 2);
     t.deepEqual(starts(bench), [1]);
   });
@@ -99,10 +99,10 @@
   test(`a second answer behind a ${form} one reaches nobody`, async (t) => {
     const bench = await withBench(t);
     bench.engines[0]!.control("second-answer");
-    assertWhole(t, await chat(bench, { prompt: PROMPT, stream }));
+    assertWhole(t, await sendChat(bench, { prompt: PROMPT, stream }));
     const next = `Another ${markTokens(TOKENS)}`;
-    const answer = await chat(bench, { prompt: next, stream });
-    const isTruthful = answer.isWhole
+    const answer = await sendChat(bench, { prompt: next, stream });
+    const isTruthful = answer.isComplete
       ? answer.content === expectedAnswer(next, TOKENS)
       : answer.problem?.ending === "unknown" && answer.content === "";
     t.true(isTruthful, answer.text);
@@ -119,7 +119,9 @@
     if (text === "") bench.engines[0]!.control("crash");
     text += decoder.decode(part as Uint8Array, { stream: true });
   }
-  assertFailed(t, readChat(answer.status, text), { name: "answer-broken" });
+  assertFailed(t, parseChatResponse(answer.status, text), {
+    name: "answer-broken",
+  });
   t.false(text.includes("[DONE]"));
   t.deepEqual(starts(bench), [1]);
   t.is(bench.status().openExchanges, 0);
@@ -128,14 +130,14 @@
 test("an engine that answers 5xx may have run the request, so it ends as unknown", async (t) => {
   const bench = await withBench(t, { engines: 2 });
   for (const engine of bench.engines) engine.control("refuse");
-  const answer = await chat(bench, { prompt: PROMPT });
+  const answer = await sendChat(bench, { prompt: PROMPT });
   assertFailed(t, answer, { name: "upstream-refused" });
   t.is(answer.status, 502);
 });
 
 // Every header is right, but the engine mixes another answer's chunk in.
 test("a chunk with another's id ends the stream with an error event", async (t) => {
-  const engine = await startScripted(({ outgoing, nonce }) => {
+  const engine = await startScriptedUpstream(({ outgoing, nonce }) => {
     outgoing.writeHead(200, { "x-request-nonce": nonce });
     for (const id of [nonce, "another"]) {
       const choices = [{ index: 0, delta: { content: ` ${id}` } }];
@@ -148,7 +150,7 @@
   const bench = await withBench(t, {
     upstreamUrls: { "drafter-01": engine.url },
   });
-  const answer = await chat(bench, { prompt: PROMPT });
+  const answer = await sendChat(bench, { prompt: PROMPT });
   assertFailed(t, answer, { name: "answer-not-own" });
   t.false(answer.text.includes("another"));
   t.is(bench.counter("safeguard.answer_not_own"), 1);
@@ -163,7 +165,7 @@
 }
 
 async function callPlain(
-  { callerUrl }: EntryBench,
+  { callerUrl }: EntryFixture,
   { method = "POST", path = "/casefile/a" } = {},
 ): Promise<PlainProblem> {
   const headers = { authorization: bearer() };
@@ -173,21 +175,21 @@
 }
 
 test("a plain service that breaks off after it ran is called once, with an unknown ending", async (t) => {
-  const bench = await withBench(t, { plains: 3 });
-  for (const plain of bench.plains) plain.control("reset-after-run");
+  const bench = await withBench(t, { plainServices: 3 });
+  for (const plain of bench.plainServices) plain.control("reset-after-run");
   const answer = await callPlain(bench);
   t.like(answer, {
     status: 502,
     type: "urn:wasabivane:problem:answer-broken",
     ending: "unknown",
   });
-  t.is(bench.plains.reduce((sum, { runs }) => sum + runs.total, 0), 1);
+  t.is(bench.plainServices.reduce((sum, { runs }) => sum + runs.total, 0), 1);
   t.is(bench.status().openExchanges, 0);
 });
 
 test("a plain service's answer with another's nonce reaches no caller", async (t) => {
   const bench = await withBench(t);
-  bench.plains[0]!.control("wrong-nonce");
+  bench.plainServices[0]!.control("wrong-nonce");
   t.like(await callPlain(bench), {
     status: 502,
     type: "urn:wasabivane:problem:answer-not-own",
@@ -197,14 +199,17 @@
 });
 
 test("a plain service that refuses the connection gives way to another, with one run", async (t) => {
-  const bench = await withBench(t, { plains: 3 });
-  await bench.plains[0]!.stop();
+  const bench = await withBench(t, { plainServices: 3 });
+  await bench.plainServices[0]!.stop();
   let calls = 0;
   while (bench.counter("safeguard.connection_refused") === 0) {
     t.is((await callPlain(bench)).status, 200);
     calls++;
   }
-  t.is(bench.plains.reduce((sum, { runs }) => sum + runs.total, 0), calls);
+  t.is(
+    bench.plainServices.reduce((sum, { runs }) => sum + runs.total, 0),
+    calls,
+  );
 });
 
 const MEBIBYTE = 1024 * 1024;
@@ -214,7 +219,7 @@
 for (const isWhole of [true, false]) {
   const ending = isWhole ? "arrives whole" : "that breaks is cut visibly";
   test(`a large answer of a plain service ${ending}`, async (t) => {
-    const plain = await startScripted(({ outgoing, nonce }) => {
+    const plain = await startScriptedUpstream(({ outgoing, nonce }) => {
       outgoing.writeHead(200, { "x-request-nonce": nonce });
       const sent = outgoing.write(Buffer.alloc(8 * MEBIBYTE, "x"), () => {
         if (isWhole) outgoing.end();
@@ -237,27 +242,29 @@
 
 test("an engine's whole answer without end is given up", async (t) => {
   let isClosed = false;
-  const engine = await startScripted(({ incoming, outgoing, nonce }) => {
-    outgoing.writeHead(200, { "x-request-nonce": nonce });
-    if (incoming.method === "DELETE") return void outgoing.end();
-    outgoing.on("close", () => (isClosed = true));
-    const write = (): void => {
-      if (!isClosed) outgoing.write(Buffer.alloc(MEBIBYTE, "x"), write);
-    };
-    write();
-  });
+  const engine = await startScriptedUpstream(
+    ({ incoming, outgoing, nonce }) => {
+      outgoing.writeHead(200, { "x-request-nonce": nonce });
+      if (incoming.method === "DELETE") return void outgoing.end();
+      outgoing.on("close", () => (isClosed = true));
+      const write = (): void => {
+        if (!isClosed) outgoing.write(Buffer.alloc(MEBIBYTE, "x"), write);
+      };
+      write();
+    },
+  );
   t.teardown(() => engine.stop());
   const bench = await withBench(t, {
     upstreamUrls: { "drafter-01": engine.url },
   });
-  const answer = await chat(bench, { prompt: PROMPT, stream: false });
+  const answer = await sendChat(bench, { prompt: PROMPT, stream: false });
   assertFailed(t, answer, { name: "answer-broken" });
   await until(() => isClosed);
 });
 
 test("when every plain service refuses the connection, nothing has run", async (t) => {
   const bench = await withBench(t);
-  await bench.plains[0]!.stop();
+  await bench.plainServices[0]!.stop();
   t.like(await callPlain(bench), { status: 503, ending: "not-run" });
   t.is(bench.status().openExchanges, 0);
 });
@@ -272,7 +279,7 @@
     seen.add(incoming.socket);
     outgoing.writeHead(200, { "x-request-nonce": nonce }).end("{}");
   };
-  const plain = await startScripted(closeUsed);
+  const plain = await startScriptedUpstream(closeUsed);
   t.teardown(() => plain.stop());
   const bench = await withBench(t, {
     upstreamUrls: { "casefile-1": plain.url },
--- a/apps/entry/tests/answerRelay.test.ts
+++ b/apps/entry/tests/responseRelay.test.ts
@@ -9,7 +9,7 @@
   VirtualTimer,
 } from "@wasabivane/common";
 import { MemoryNetwork } from "@wasabivane/coordination";
-import { AnswerRecord, AnswerRelay } from "@wasabivane/entry";
+import { BufferedResponse, ResponseRelay } from "@wasabivane/entry";
 
 const REQUEST = asId<RequestId>("r1");
 const OWNER = asId<HostId>("owner");
@@ -18,8 +18,8 @@
 interface RelayPair {
   readonly timer: VirtualTimer;
   readonly network: MemoryNetwork;
-  readonly answer: AnswerRecord;
-  join(): AnswerRecord;
+  readonly answer: BufferedResponse;
+  join(): BufferedResponse;
 }
 
 function startPair(duplicateShare = 0): RelayPair {
@@ -29,19 +29,19 @@
     random: new SeededRandom(1),
     duplicateShare,
   });
-  const answer = new AnswerRecord({ isReplayable: true });
+  const answer = new BufferedResponse({ isReplayable: true });
   const relays = [OWNER, READER].map((host) =>
-    new AnswerRelay({
+    new ResponseRelay({
       link: network.join(host),
       timer,
       metrics: new MemoryMetrics(),
-      recordOf: () => host === OWNER ? answer : undefined,
+      findResponse: () => host === OWNER ? answer : undefined,
     })
   );
   for (const relay of relays) relay.start();
-  const join = (): AnswerRecord => {
-    const record = new AnswerRecord({ isReplayable: true });
-    void relays[1]!.follow({ owner: OWNER, request: REQUEST, record });
+  const join = (): BufferedResponse => {
+    const record = new BufferedResponse({ isReplayable: true });
+    void relays[1]!.copyResponse({ owner: OWNER, request: REQUEST, record });
     return record;
   };
   return { timer, network, answer, join };
@@ -64,7 +64,7 @@
   const records = [join(), join(), join()];
   await pass(timer, 10_000);
   t.true(network.sentMessages < 200, `${network.sentMessages} messages`);
-  answer.begin({ status: 200, headers: {} });
+  answer.writeHead({ status: 200, headers: {} });
   answer.append(Buffer.from("whole"));
   answer.finish({ kind: "whole" });
   await pass(timer, 1_000);
--- a/apps/entry/tests/stallWatch.test.ts
+++ b/apps/entry/tests/stallDetector.test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import { VirtualTimer } from "@wasabivane/common";
-import { StallWatch } from "@wasabivane/entry";
+import { StallDetector } from "@wasabivane/entry";
 
 /** A timer whose process can be paused: calls that come due wait until it runs on. */
 class PausableTimer extends VirtualTimer {
@@ -15,7 +15,7 @@
 
 test("a request that is read while the process runs has just arrived", (t) => {
   const timer = new VirtualTimer();
-  const watch = new StallWatch({ timer });
+  const watch = new StallDetector({ timer });
   watch.start();
   timer.advance(5_050);
   t.is(watch.earliestArrival(), 5_000);
@@ -26,7 +26,7 @@
 // what came in meanwhile; afterwards requests are fresh again.
 test("a request that is read after a stall may be as old as the stall", (t) => {
   const timer = new PausableTimer();
-  const watch = new StallWatch({ timer });
+  const watch = new StallDetector({ timer });
   watch.start();
   timer.advance(1_000);
   timer.isPaused = true;
--- a/apps/entry/tests/tls.test.ts
+++ b/apps/entry/tests/tls.test.ts
@@ -14,22 +14,22 @@
   WebSocketLink,
 } from "@wasabivane/coordination";
 import {
+  canOpenWebSocket,
   type Certificate,
   CertificateFolder,
   createAuthority,
   createCertificate,
-  opensWebSocket,
-  shownCertificate,
+  presentedCertificate,
   startTlsProxy,
 } from "./helpers/certificates.ts";
-import { chat } from "./helpers/chatCall.ts";
+import { sendChat } from "./helpers/chatClient.ts";
 import {
   bearer,
-  type EntryBench,
-  type EntryBenchOptions,
-  startBench,
+  type EntryFixture,
+  type EntryFixtureOptions,
+  startEntryFixture,
   until,
-} from "./helpers/entryBench.ts";
+} from "./helpers/entryFixture.ts";
 
 const SECRET = "secret-of-the-bench";
 const ENTRY = asId<HostId>("entry-1");
@@ -50,9 +50,9 @@
 
 async function withBench(
   t: ExecutionContext,
-  options: EntryBenchOptions,
-): Promise<EntryBench> {
-  const bench = await startBench(options);
+  options: EntryFixtureOptions,
+): Promise<EntryFixture> {
+  const bench = await startEntryFixture(options);
   t.teardown(() => bench.stop());
   return bench;
 }
@@ -65,7 +65,9 @@
     client?: Partial<Certificate>;
   },
 ): Promise<void> {
-  while (await shownCertificate(port, { ca, ...client }) !== expected.trim());
+  while (
+    await presentedCertificate(port, { ca, ...client }) !== expected.trim()
+  );
 }
 
 test("callers and operators speak TLS", async (t) => {
@@ -140,9 +142,9 @@
   await until(() => bench.counter("peer_rejected") > 0);
   const foreign = await createCertificate(await createAuthority("other"));
   const port = bench.peerPort;
-  t.true(await opensWebSocket(port, { ca, ...first }));
-  t.false(await opensWebSocket(port, { ca, ...foreign }));
-  t.false(await opensWebSocket(port, { ca }));
+  t.true(await canOpenWebSocket(port, { ca, ...first }));
+  t.false(await canOpenWebSocket(port, { ca, ...foreign }));
+  t.false(await canOpenWebSocket(port, { ca }));
   const renewed = await createCertificate(authority);
   folder.write(renewed);
   await untilShown(port, { ca, expected: renewed.cert, client: first });
@@ -152,7 +154,7 @@
 /** A peer that asks for an answer; the entry host counts its reply. */
 function openLink(
   t: ExecutionContext,
-  { peerPort }: EntryBench,
+  { peerPort }: EntryFixture,
   { certificate, secret = SECRET }: {
     certificate: Certificate & { ca: string };
     secret?: string;
@@ -181,11 +183,11 @@
   const proxied = (url: string): Promise<string> =>
     startTlsProxy(t, { url, certificate: first });
   const bench = await withBench(t, {
-    proxied,
+    createProxy: proxied,
     settings: { upstreams: { authorityFile } },
     platform: { authorityFile },
   });
-  t.true((await chat(bench, { prompt: "Draft" })).isWhole);
+  t.true((await sendChat(bench, { prompt: "Draft" })).isComplete);
 });
 
 test("an upstream with a foreign certificate gets no byte, so nothing has run", async (t) => {
--- a/apps/load/src/problemDocument.ts
+++ b/apps/load/src/problemDocument.ts
@@ -1,10 +1,10 @@
-import type { Ending } from "@wasabivane/common";
+import type { RequestOutcome } from "@wasabivane/common";
 
 /** What a caller reads from an RFC 9457 problem document. */
 export interface ProblemDocument {
   /** Last part of the document's `type`. */
   readonly type: string;
-  readonly ending: Exclude<Ending, "whole">;
+  readonly ending: Exclude<RequestOutcome, "whole">;
   readonly status: number;
 }
 
--- a/packages/admission/src/cellCoordinator.ts
+++ b/packages/admission/src/cellCoordinator.ts
@@ -130,7 +130,7 @@
       random,
       starts: new CoordinatorStartLimit({
         coldStartsOf,
-        warmth: knowledge.warmth,
+        warmth: knowledge.warmup,
         isCutOff: (now) => this.#isCutOff(now),
       }),
     });
--- a/packages/admission/src/placement.ts
+++ b/packages/admission/src/placement.ts
@@ -150,7 +150,7 @@
         heldShare: Math.min(1, held / Math.max(1, promptTokens)),
         latencyShare: latency / wish.target,
         failureDomain: wish.failureDomain,
-        isCold: knowledge.warmth.isCold(upstream.upstream, now),
+        isCold: knowledge.warmup.isCold(upstream.upstream, now),
       });
       if (cost >= leastCost && isGood === best?.isGood) continue;
       leastCost = cost;
--- a/packages/admission/src/placementClient.ts
+++ b/packages/admission/src/placementClient.ts
@@ -119,7 +119,7 @@
       random,
       starts: new LocalStartLimit({
         coldStartsOf: options.coldStartsOf,
-        warmth: knowledge.warmth,
+        warmth: knowledge.warmup,
         hosts: () => options.candidates().length,
         random,
       }),
--- a/packages/admission/src/upstreamStats.ts
+++ b/packages/admission/src/upstreamStats.ts
@@ -44,7 +44,7 @@
   readonly latencyMargins = new LatencyMargin();
   readonly responseDurations = new ResponseDurationModel(this.speed);
   readonly pauseRisks = new PauseRiskModel(this.speed);
-  readonly warmth = new UpstreamWarmup();
+  readonly warmup = new UpstreamWarmup();
 
   /** Takes in what an attempt showed; true when its upstream is ejected by it. */
   record(observation: AttemptObservation, now: Milliseconds): boolean {
@@ -54,7 +54,7 @@
     const { upstream, outcome } = observation;
     const isEjected = this.health.observe(upstream, outcome, now);
     if (isEjected) {
-      this.warmth.recordLoss(upstream, this.health.ejectedUntil(upstream));
+      this.warmup.recordLoss(upstream, this.health.ejectedUntil(upstream));
     }
     return isEjected;
   }
@@ -64,7 +64,7 @@
     this.health.forget(upstream);
     this.speed.forget(upstream);
     this.pauseRisks.forget(upstream);
-    this.warmth.forget(upstream);
+    this.warmup.forget(upstream);
   }
 
   /** A stream shows its speed by its pauses, a plain answer by its whole time. */
--- a/packages/admission/tests/coldUpstreams.test.ts
+++ b/packages/admission/tests/coldUpstreams.test.ts
@@ -60,7 +60,7 @@
         for (const { knowledge, directory } of fleet.hosts) {
           for (const { upstream } of directory.all()) {
             const now = timer.now();
-            knowledge.warmth.update(upstream, { coldFor: COLD_FOR, now });
+            knowledge.warmup.update(upstream, { coldFor: COLD_FOR, now });
           }
         }
       });
--- a/packages/admission/tests/helpers/build.ts
+++ b/packages/admission/tests/helpers/build.ts
@@ -125,7 +125,7 @@
     random: new SeededRandom(seed),
     starts: new CoordinatorStartLimit({
       coldStartsOf: () => undefined,
-      warmth: knowledge.warmth,
+      warmth: knowledge.warmup,
       isCutOff: () => false,
     }),
   });
--- a/packages/bundle/src/bundleDifference.ts
+++ b/packages/bundle/src/bundleDifference.ts
@@ -10,9 +10,9 @@
   partKey,
 } from "./bundleParts.ts";
 import {
+  cacheDigests,
   digestBundle,
   type DigestedBundle,
-  rememberDigests,
 } from "./digestedBundle.ts";
 import { type Bundle, bundleSchema } from "./schema.ts";
 import {
@@ -50,7 +50,7 @@
 }
 
 /** Why a difference cannot be made or applied. */
-export type DifferenceError =
+export type BundleDifferenceError =
   | DuplicatePart
   | { readonly kind: "other-deployment"; readonly deployment: string }
   | {
@@ -71,7 +71,7 @@
   };
 
 /** Compares any two bundles part by part. */
-export function compareBundles(
+export function compareBundleParts(
   from: Bundle,
   to: Bundle,
 ): Result<PartComparison, DuplicatePart> {
@@ -80,11 +80,11 @@
   );
 }
 
-/** The difference that {@link applyDifference} turns `from` into `to` with. */
-export function differenceBetween(
+/** The difference that {@link applyBundleDifference} turns `from` into `to` with. */
+export function createBundleDifference(
   from: SignedBundle,
   to: SignedBundle,
-): Result<BundleDifference, DifferenceError> {
+): Result<BundleDifference, BundleDifferenceError> {
   const { deployment, version: toVersion } = to.bundle;
   const { version: fromVersion } = from.bundle;
   if (deployment !== from.bundle.deployment) {
@@ -93,7 +93,7 @@
   if (toVersion <= fromVersion) {
     return err({ kind: "not-newer", fromVersion, toVersion });
   }
-  return compareBundles(from.bundle, to.bundle).map((comparison) => ({
+  return compareBundleParts(from.bundle, to.bundle).map((comparison) => ({
     deployment,
     fromVersion,
     fromRoot: from.root,
@@ -110,16 +110,16 @@
  * that was forged or made from another base is refused; the signatures are the
  * caller's to check, with `verifySignatures`.
  */
-export function applyDifference(
+export function applyBundleDifference(
   from: SignedBundle,
   difference: BundleDifference,
-): Result<SignedBundle, DifferenceError> {
+): Result<SignedBundle, BundleDifferenceError> {
   return checkBase(from, difference)
     .andThen(() => digestBundle(from.bundle))
     .andThen((base) => applyToDigested(base, difference))
     .map((later): SignedBundle => {
       const bundle = assembleBundle(later.parts.values());
-      rememberDigests(bundle, later);
+      cacheDigests(bundle, later);
       return {
         bundle,
         root: difference.toRoot,
@@ -131,7 +131,7 @@
 function checkBase(
   from: SignedBundle,
   difference: BundleDifference,
-): Result<void, DifferenceError> {
+): Result<void, BundleDifferenceError> {
   const { deployment, fromRoot, toVersion } = difference;
   if (deployment !== from.bundle.deployment) {
     return err({ kind: "other-deployment", deployment });
@@ -149,13 +149,13 @@
 function applyToDigested(
   base: DigestedBundle,
   difference: BundleDifference,
-): Result<DigestedBundle, DifferenceError> {
+): Result<DigestedBundle, BundleDifferenceError> {
   const parts = new Map(base.parts);
   for (const key of difference.removed) {
     if (!parts.delete(key)) return err({ kind: "unknown-part", key });
   }
   for (const part of difference.changed) parts.set(partKey(part), part);
-  const tree = base.tree.with(difference);
+  const tree = base.tree.withChanges(difference);
   const claimed = difference.toRoot;
   if (tree.root !== claimed || !hasHeader(parts, difference)) {
     return err({ kind: "root-mismatch", claimed, computed: tree.root });
@@ -180,7 +180,7 @@
 ): PartComparison {
   const changed: BundlePart[] = [];
   const removed: PartKey[] = [];
-  for (const key of former.tree.keysUnlike(later.tree)) {
+  for (const key of former.tree.differingKeys(later.tree)) {
     const part = later.parts.get(key);
     if (part === undefined) removed.push(key);
     else changed.push(part);
--- a/packages/bundle/src/bundleSignature.ts
+++ b/packages/bundle/src/bundleSignature.ts
@@ -95,7 +95,7 @@
   signingKey: SigningKey,
 ): Result<SignedBundle, DuplicatePart> {
   return bundleParts(bundle).map((parts) => {
-    const { root } = DigestTree.of(parts.values());
+    const { root } = DigestTree.fromParts(parts.values());
     const signature = signHeader({ ...bundle, root }, signingKey);
     return {
       bundle: assembleBundle(parts.values()),
--- a/packages/bundle/src/digestTree.ts
+++ b/packages/bundle/src/digestTree.ts
@@ -12,8 +12,8 @@
 
 type Bucket = ReadonlyMap<PartKey, Digest>;
 
-/** Parts put in and taken out by {@link DigestTree.with}. */
-export interface PartChange {
+/** Parts put in and taken out by {@link DigestTree.withChanges}. */
+export interface DigestTreeChanges {
   readonly changed: Iterable<BundlePart>;
   readonly removed: Iterable<PartKey>;
 }
@@ -38,8 +38,8 @@
   }
 
   /** Digests every part. */
-  static of(parts: Iterable<BundlePart>): DigestTree {
-    return EMPTY.with({ changed: parts, removed: [] });
+  static fromParts(parts: Iterable<BundlePart>): DigestTree {
+    return EMPTY.withChanges({ changed: parts, removed: [] });
   }
 
   /** An empty tree, before any part. */
@@ -49,7 +49,7 @@
   }
 
   /** The tree after a change; only touched buckets are hashed again. */
-  with({ changed, removed }: PartChange): DigestTree {
+  withChanges({ changed, removed }: DigestTreeChanges): DigestTree {
     const buckets = [...this.#buckets];
     const touched = new Map<number, Map<PartKey, Digest>>();
     for (const key of removed) {
@@ -73,7 +73,7 @@
   }
 
   /** Keys whose parts differ or stand in one tree only; equal buckets are skipped. */
-  keysUnlike(other: DigestTree): PartKey[] {
+  differingKeys(other: DigestTree): PartKey[] {
     const keys = new Set<PartKey>();
     for (let index = 0; index < BUCKETS; index++) {
       if (this.#bucketDigests[index] === other.#bucketDigests[index]) continue;
--- a/packages/bundle/src/digestedBundle.ts
+++ b/packages/bundle/src/digestedBundle.ts
@@ -28,14 +28,14 @@
   const known = digestedBundles.get(bundle);
   if (known !== undefined) return ok(known);
   return bundleParts(bundle).map((parts) => {
-    const digested = { parts, tree: DigestTree.of(parts.values()) };
+    const digested = { parts, tree: DigestTree.fromParts(parts.values()) };
     digestedBundles.set(bundle, digested);
     return digested;
   });
 }
 
 /** Keeps digests that were computed while the bundle was put together. */
-export function rememberDigests(
+export function cacheDigests(
   bundle: Bundle,
   digested: DigestedBundle,
 ): void {
--- a/packages/bundle/src/httpBundleSource.ts
+++ b/packages/bundle/src/httpBundleSource.ts
@@ -1,6 +1,10 @@
 import type { Milliseconds } from "@wasabivane/common";
 import type { Result } from "neverthrow";
-import { BundleSource, type PlatformError, type Revised } from "./platform.ts";
+import {
+  BundleSource,
+  type PlatformError,
+  type Revisioned,
+} from "./platform.ts";
 import {
   PlatformReader,
   type PlatformReaderOptions,
@@ -24,7 +28,7 @@
 
   override read(
     options: { afterRevision: number; waitMs: Milliseconds },
-  ): Promise<Result<Revised<SignedBundle> | undefined, PlatformError>> {
+  ): Promise<Result<Revisioned<SignedBundle> | undefined, PlatformError>> {
     return this.#reader.read(options);
   }
 }
--- a/packages/bundle/src/httpHostListSource.ts
+++ b/packages/bundle/src/httpHostListSource.ts
@@ -5,7 +5,7 @@
   type HostList,
   HostListSource,
   type PlatformError,
-  type Revised,
+  type Revisioned,
 } from "./platform.ts";
 import {
   PlatformReader,
@@ -26,7 +26,7 @@
 
   override read(
     options: { afterRevision: number; waitMs: Milliseconds },
-  ): Promise<Result<Revised<HostList> | undefined, PlatformError>> {
+  ): Promise<Result<Revisioned<HostList> | undefined, PlatformError>> {
     return this.#reader.read(options);
   }
 }
--- a/packages/bundle/src/index.ts
+++ b/packages/bundle/src/index.ts
@@ -1,4 +1,4 @@
-export * from "./boundedBody.ts";
+export * from "./readBoundedBody.ts";
 export * from "./bundleChecks.ts";
 export * from "./bundleDifference.ts";
 export * from "./bundleFile.ts";
@@ -19,8 +19,8 @@
 export * from "./platformReader.ts";
 export * from "./schema.ts";
 export * from "./schemaFindings.ts";
-export * from "./schemaRows.ts";
+export * from "./settingDescriptions.ts";
 export * from "./signedBundle.ts";
-export * from "./trustFile.ts";
+export * from "./trustedKeysFile.ts";
 /** For schemas that `readDocument` reads: it must be the copy of zod that it inspects. */
 export { z } from "zod";
--- a/packages/bundle/src/platform.ts
+++ b/packages/bundle/src/platform.ts
@@ -37,7 +37,7 @@
   | { readonly kind: "malformed"; readonly detail: string };
 
 /** A value with the revision under which a watch may wait for the next one. */
-export interface Revised<Value> {
+export interface Revisioned<Value> {
   readonly revision: number;
   readonly value: Value;
 }
@@ -50,7 +50,7 @@
    */
   abstract read(
     options: { afterRevision: number; waitMs: Milliseconds },
-  ): Promise<Result<Revised<SignedBundle> | undefined, PlatformError>>;
+  ): Promise<Result<Revisioned<SignedBundle> | undefined, PlatformError>>;
 }
 
 /** Reads and watches the platform's host list. */
@@ -58,5 +58,5 @@
   /** As {@link BundleSource.read}, for the host list. */
   abstract read(
     options: { afterRevision: number; waitMs: Milliseconds },
-  ): Promise<Result<Revised<HostList> | undefined, PlatformError>>;
+  ): Promise<Result<Revisioned<HostList> | undefined, PlatformError>>;
 }
--- a/packages/bundle/src/platformReader.ts
+++ b/packages/bundle/src/platformReader.ts
@@ -3,9 +3,9 @@
 import { err, ok, type Result } from "neverthrow";
 import { request as undiciRequest } from "undici";
 import { z } from "zod";
-import { readBoundedBody } from "./boundedBody.ts";
+import { readBoundedBody } from "./readBoundedBody.ts";
 import { formatPath } from "./finding.ts";
-import type { PlatformError, Revised } from "./platform.ts";
+import type { PlatformError, Revisioned } from "./platform.ts";
 import { schemaFindings } from "./schemaFindings.ts";
 
 /**
@@ -21,31 +21,31 @@
 const DETAIL_FINDINGS = 3;
 
 /** The part of an HTTP answer that platform adapters read. */
-export interface PlatformAnswer {
+export interface PlatformResponse {
   readonly statusCode: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: AsyncIterable<Uint8Array>;
 }
 
 /** Sends one GET; as undici's `request`, which is the default. */
-export type PlatformRequest = (
+export type PlatformFetch = (
   url: URL,
   options: { readonly signal: AbortSignal },
-) => Promise<PlatformAnswer>;
+) => Promise<PlatformResponse>;
 
 /** Options of the platform adapters. */
 export interface PlatformReaderOptions {
   /** Base url of the platform's service. */
   readonly url: string;
-  readonly request?: PlatformRequest;
+  readonly request?: PlatformFetch;
   readonly timer?: Timer;
   /** How long an answer may take beyond the wait that was asked for. */
-  readonly answerMarginMs?: Milliseconds;
+  readonly responseMarginMs?: Milliseconds;
   readonly maximumBytes?: number;
 }
 
 /** One conditional read that may wait for the next revision. */
-export interface RevisionRead {
+export interface PlatformReadOptions {
   readonly afterRevision: number;
   readonly waitMs: Milliseconds;
 }
@@ -53,8 +53,8 @@
 /** Reads one revised value of the platform: bounded in bytes and time, checked by a schema. */
 export class PlatformReader<Value> {
   readonly #url: URL;
-  readonly #schema: z.ZodType<Revised<Value>>;
-  readonly #request: PlatformRequest;
+  readonly #schema: z.ZodType<Revisioned<Value>>;
+  readonly #request: PlatformFetch;
   readonly #timer: Timer;
   readonly #answerMarginMs: Milliseconds;
   readonly #maximumBytes: number;
@@ -68,14 +68,14 @@
     this.#schema = revisedSchema(schema);
     this.#request = request;
     this.#timer = timer;
-    this.#answerMarginMs = limits.answerMarginMs ?? ANSWER_MARGIN_MS;
+    this.#answerMarginMs = limits.responseMarginMs ?? ANSWER_MARGIN_MS;
     this.#maximumBytes = limits.maximumBytes ?? MAX_ANSWER_BYTES;
   }
 
   /** The value past a revision; `undefined` when none came within the wait. */
   async read(
-    options: RevisionRead,
-  ): Promise<Result<Revised<Value> | undefined, PlatformError>> {
+    options: PlatformReadOptions,
+  ): Promise<Result<Revisioned<Value> | undefined, PlatformError>> {
     const abort = new AbortController();
     const timeout = this.#timer.after(
       options.waitMs + this.#answerMarginMs,
@@ -91,9 +91,9 @@
   }
 
   async #exchange(
-    { afterRevision, waitMs }: RevisionRead,
+    { afterRevision, waitMs }: PlatformReadOptions,
     signal: AbortSignal,
-  ): Promise<Result<Revised<Value> | undefined, PlatformError>> {
+  ): Promise<Result<Revisioned<Value> | undefined, PlatformError>> {
     const url = new URL(this.#url);
     url.searchParams.set("after", String(afterRevision));
     url.searchParams.set("waitMs", String(waitMs));
@@ -117,15 +117,15 @@
     return err({ kind: "malformed", detail });
   }
 
-  #overBudget({ headers }: PlatformAnswer): PlatformError {
+  #overBudget({ headers }: PlatformResponse): PlatformError {
     const header = [headers["retry-after"]].flat()[0];
     const retryAfterMs = retryAfterOf(header, this.#timer.wallNow());
     return { kind: "over-budget", retryAfterMs };
   }
 
-  #parse(bytes: Buffer): Result<Revised<Value>, PlatformError> {
+  #parse(bytes: Buffer): Result<Revisioned<Value>, PlatformError> {
     return parseJson(bytes).andThen(
-      (value): Result<Revised<Value>, PlatformError> => {
+      (value): Result<Revisioned<Value>, PlatformError> => {
         const parsed = this.#schema.safeParse(value);
         if (parsed.success) return ok(parsed.data);
         const { issues } = parsed.error;
@@ -141,9 +141,11 @@
 
 function revisedSchema<Value>(
   value: z.ZodType<Value>,
-): z.ZodType<Revised<Value>> {
+): z.ZodType<Revisioned<Value>> {
   const revision = z.number().int().min(0);
-  return z.object({ revision, value }) as unknown as z.ZodType<Revised<Value>>;
+  return z.object({ revision, value }) as unknown as z.ZodType<
+    Revisioned<Value>
+  >;
 }
 
 function parseJson(bytes: Buffer): Result<unknown, PlatformError> {
--- a/packages/bundle/src/schemaRows.ts
+++ b/packages/bundle/src/settingDescriptions.ts
@@ -1,7 +1,7 @@
 import { z } from "zod";
 
 /** One setting of a schema, as a reference lists it. */
-export interface SchemaRow {
+export interface SettingDescription {
   /** Such as `trustedKeys[].keyId`. */
   readonly path: string;
   readonly allowed: string;
@@ -31,7 +31,7 @@
 }
 
 /** Every setting of an object schema, leaves only, in the schema's order. */
-export function schemaRows(schema: z.ZodType): SchemaRow[] {
+export function describeSettings(schema: z.ZodType): SettingDescription[] {
   const root = z.toJSONSchema(schema, { io: "input", unrepresentable: "any" });
   return memberRows(root as JsonSchema, { prefix: "", isRequired: true });
 }
@@ -39,7 +39,7 @@
 function memberRows(
   { properties = {}, required = [] }: JsonSchema,
   { prefix, isRequired }: { prefix: string; isRequired: boolean },
-): SchemaRow[] {
+): SettingDescription[] {
   return Object.entries(properties).flatMap(([key, member]) =>
     rowsOf(member, {
       path: `${prefix}${key}`,
@@ -51,7 +51,7 @@
 function rowsOf(
   schema: JsonSchema,
   { path, isRequired }: { path: string; isRequired: boolean },
-): SchemaRow[] {
+): SettingDescription[] {
   if (schema.properties !== undefined) {
     return memberRows(schema, { prefix: `${path}.`, isRequired });
   }
--- a/packages/bundle/tests/bundleDifference.test.ts
+++ b/packages/bundle/tests/bundleDifference.test.ts
@@ -1,12 +1,12 @@
 import test from "ava";
 import fc from "fast-check";
 import {
-  applyDifference,
+  applyBundleDifference,
   type Bundle,
   bundleDifferenceSchema,
   bundleParts,
   canonicalJson,
-  differenceBetween,
+  createBundleDifference,
   DigestTree,
   exampleBundle,
   exampleSigningKey,
@@ -17,7 +17,7 @@
   verifySignatures,
   verifySignedBundle,
 } from "@wasabivane/bundle";
-import { damagedText } from "./helpers/damagedText.ts";
+import { corruptedText } from "./helpers/corruptedText.ts";
 
 const KEY = exampleSigningKey();
 const TRUSTED = [trustedKeyOf(KEY)];
@@ -35,7 +35,7 @@
   const [first, ...others] = from.bundle.upstreams;
   const moved = { ...first!, url: "http://127.0.0.1:9999" };
   const to = later(2, { upstreams: [moved, ...others.slice(1)] });
-  const difference = differenceBetween(from, to)._unsafeUnwrap();
+  const difference = createBundleDifference(from, to)._unsafeUnwrap();
   t.deepEqual(
     difference.changed.map(({ kind }) => kind),
     ["scalars", "upstream"],
@@ -44,7 +44,7 @@
   const received = bundleDifferenceSchema.parse(
     JSON.parse(JSON.stringify(difference)),
   );
-  const applied = applyDifference(from, received)._unsafeUnwrap();
+  const applied = applyBundleDifference(from, received)._unsafeUnwrap();
   t.deepEqual(applied, to);
   t.true(verifySignatures(applied, TRUSTED).isOk());
   t.true(verifySignedBundle(applied, TRUSTED).isOk());
@@ -55,8 +55,8 @@
   // they were found under anything but the very object, whoever alters a copy
   // would have a limit or an account in force that nobody signed.
   const [from, to] = [later(1), later(2, { domainDistanceMs: 7 })];
-  const difference = differenceBetween(from, to)._unsafeUnwrap();
-  const applied = applyDifference(from, difference)._unsafeUnwrap();
+  const difference = createBundleDifference(from, to)._unsafeUnwrap();
+  const applied = applyBundleDifference(from, difference)._unsafeUnwrap();
   t.true(verifySignedBundle(applied, TRUSTED).isOk());
   const altered = { ...applied.bundle, domainDistanceMs: 8 };
   const forged = verifySignedBundle({ ...applied, bundle: altered }, TRUSTED);
@@ -68,26 +68,29 @@
 
 test("a difference from another base, to an older version or of another deployment is refused", (t) => {
   const [first, second, third] = [later(1), later(2), later(3)];
-  const difference = differenceBetween(second, third)._unsafeUnwrap();
+  const difference = createBundleDifference(second, third)._unsafeUnwrap();
   t.is(
-    applyDifference(first, difference)._unsafeUnwrapErr().kind,
+    applyBundleDifference(first, difference)._unsafeUnwrapErr().kind,
     "other-base",
   );
   t.is(
-    applyDifference(third, difference)._unsafeUnwrapErr().kind,
+    applyBundleDifference(third, difference)._unsafeUnwrapErr().kind,
     "other-base",
   );
-  t.is(differenceBetween(third, second)._unsafeUnwrapErr().kind, "not-newer");
+  t.is(
+    createBundleDifference(third, second)._unsafeUnwrapErr().kind,
+    "not-newer",
+  );
   const cairo = signed(exampleBundle("cairo", { version: 4 }));
   t.is(
-    differenceBetween(first, cairo)._unsafeUnwrapErr().kind,
+    createBundleDifference(first, cairo)._unsafeUnwrapErr().kind,
     "other-deployment",
   );
 });
 
 test("a forged difference is refused by its root", (t) => {
   const from = later(1);
-  const difference = differenceBetween(from, later(2))._unsafeUnwrap();
+  const difference = createBundleDifference(from, later(2))._unsafeUnwrap();
   const [account] = from.bundle.clientAccounts;
   const forged = {
     ...difference,
@@ -96,11 +99,14 @@
       value: { ...account!, keyDigests: ["0".repeat(64)] },
     }],
   };
-  t.is(applyDifference(from, forged)._unsafeUnwrapErr().kind, "root-mismatch");
+  t.is(
+    applyBundleDifference(from, forged)._unsafeUnwrapErr().kind,
+    "root-mismatch",
+  );
   const { version } = later(9).bundle;
   const relabelled = { ...difference, toVersion: version };
   t.is(
-    applyDifference(from, relabelled)._unsafeUnwrapErr().kind,
+    applyBundleDifference(from, relabelled)._unsafeUnwrapErr().kind,
     "root-mismatch",
   );
 });
@@ -119,26 +125,26 @@
         url: `http://127.0.0.1:${port}`,
       };
       const next = later(step + 2, { upstreams });
-      const difference = differenceBetween(current, next)._unsafeUnwrap();
-      current = applyDifference(current, difference)._unsafeUnwrap();
+      const difference = createBundleDifference(current, next)._unsafeUnwrap();
+      current = applyBundleDifference(current, difference)._unsafeUnwrap();
     }
     const parts = bundleParts(current.bundle)._unsafeUnwrap();
-    return DigestTree.of(parts.values()).root === current.root;
+    return DigestTree.fromParts(parts.values()).root === current.root;
   });
   t.notThrows(() => fc.assert(property, { seed: 3, numRuns: 25 }));
 });
 
 test("any damage to a difference's text is refused or leads to the same bundle", (t) => {
   const [from, to] = [later(1), later(2, { domainDistanceMs: 2 })];
-  const difference = differenceBetween(from, to)._unsafeUnwrap();
+  const difference = createBundleDifference(from, to)._unsafeUnwrap();
   const untouched = canonicalJson(to.bundle);
-  const text = damagedText(JSON.stringify(difference));
+  const text = corruptedText(JSON.stringify(difference));
   const property = fc.property(text, (damaged) => {
     const applied = parseDocument(damaged, bundleDifferenceSchema, {
       file: "any",
     })
       .mapErr((): unknown => "unreadable")
-      .andThen((read) => applyDifference(from, read))
+      .andThen((read) => applyBundleDifference(from, read))
       .andThen((result) => verifySignatures(result, TRUSTED));
     return applied.isErr() || canonicalJson(applied.value.bundle) === untouched;
   });
--- a/packages/bundle/tests/bundleSignature.test.ts
+++ b/packages/bundle/tests/bundleSignature.test.ts
@@ -13,7 +13,7 @@
   trustedKeyOf,
   verifySignedBundle,
 } from "@wasabivane/bundle";
-import { damagedText } from "./helpers/damagedText.ts";
+import { corruptedText } from "./helpers/corruptedText.ts";
 
 const FORMER_KEY = exampleSigningKey("former");
 const NEXT_KEY = exampleSigningKey("next");
@@ -98,11 +98,14 @@
   const signed = signedExample();
   const trusted = [trustedKeyOf(FORMER_KEY)];
   const untouched = canonicalJson(signed.bundle);
-  const property = fc.property(damagedText(JSON.stringify(signed)), (text) => {
-    const taken = parseDocument(text, signedBundleSchema, { file: "any" })
-      .mapErr((): unknown => "unreadable")
-      .andThen((read) => verifySignedBundle(read, trusted));
-    return taken.isErr() || canonicalJson(taken.value.bundle) === untouched;
-  });
+  const property = fc.property(
+    corruptedText(JSON.stringify(signed)),
+    (text) => {
+      const taken = parseDocument(text, signedBundleSchema, { file: "any" })
+        .mapErr((): unknown => "unreadable")
+        .andThen((read) => verifySignedBundle(read, trusted));
+      return taken.isErr() || canonicalJson(taken.value.bundle) === untouched;
+    },
+  );
   t.notThrows(() => fc.assert(property, { seed: 7, numRuns: 500 }));
 });
--- a/packages/bundle/tests/helpers/damagedText.ts
+++ b/packages/bundle/tests/helpers/corruptedText.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 
 /** The text with a few characters replaced by others. */
-export function damagedText(text: string): fc.Arbitrary<string> {
+export function corruptedText(text: string): fc.Arbitrary<string> {
   return fc.tuple(
     fc.nat(text.length - 1),
     fc.nat(3),
--- a/packages/bundle/tests/helpers/platformAnswers.ts
+++ b/packages/bundle/tests/helpers/fakePlatform.ts
@@ -1,23 +1,23 @@
 import { Buffer } from "node:buffer";
-import type { PlatformAnswer, PlatformRequest } from "@wasabivane/bundle";
+import type { PlatformFetch, PlatformResponse } from "@wasabivane/bundle";
 
 /** Answers as the platform would, and what was asked for. */
-export interface AnsweringPlatform {
-  readonly request: PlatformRequest;
+export interface FakePlatform {
+  readonly request: PlatformFetch;
   readonly urls: URL[];
 }
 
 /** A platform that gives one answer to every read. */
-export function answering(
+export function createFakePlatform(
   answer: {
     status?: number;
-    headers?: PlatformAnswer["headers"];
+    headers?: PlatformResponse["headers"];
     body?: string | Uint8Array;
   },
-): AnsweringPlatform {
+): FakePlatform {
   const { status = 200, headers = {}, body = "" } = answer;
   const urls: URL[] = [];
-  const request: PlatformRequest = (url) => {
+  const request: PlatformFetch = (url) => {
     urls.push(url);
     return Promise.resolve({
       statusCode: status,
@@ -29,7 +29,7 @@
 }
 
 /** A platform that takes the request and never answers. */
-export function silent(): PlatformRequest {
+export function createUnresponsiveFetch(): PlatformFetch {
   return (_url, { signal }) =>
     new Promise((_resolve, reject) => {
       signal.addEventListener("abort", () => reject(signal.reason));
--- a/packages/bundle/tests/httpSources.test.ts
+++ b/packages/bundle/tests/httpSources.test.ts
@@ -12,8 +12,11 @@
   HttpHostListSource,
   signBundle,
 } from "@wasabivane/bundle";
-import { damagedText } from "./helpers/damagedText.ts";
-import { answering, silent } from "./helpers/platformAnswers.ts";
+import { corruptedText } from "./helpers/corruptedText.ts";
+import {
+  createFakePlatform,
+  createUnresponsiveFetch,
+} from "./helpers/fakePlatform.ts";
 
 const URL_OF_PLATFORM = "http://127.0.0.1:9/platform";
 const READ = { afterRevision: 4, waitMs: 2_000 };
@@ -31,10 +34,10 @@
 };
 
 function hostList(
-  answer: Parameters<typeof answering>[0],
+  answer: Parameters<typeof createFakePlatform>[0],
   limits: { maximumBytes?: number } = {},
 ): HttpHostListSource {
-  const { request } = answering(answer);
+  const { request } = createFakePlatform(answer);
   return new HttpHostListSource({ url: URL_OF_PLATFORM, request, ...limits });
 }
 
@@ -43,7 +46,7 @@
 }
 
 test("a read asks for the revision after its own and drops keys of the platform's", async (t) => {
-  const { request, urls } = answering(revised(5, HOST_LIST));
+  const { request, urls } = createFakePlatform(revised(5, HOST_LIST));
   const source = new HttpHostListSource({ url: URL_OF_PLATFORM, request });
   const read = (await source.read(READ))._unsafeUnwrap();
   t.is(
@@ -124,9 +127,9 @@
   const timer = new VirtualTimer();
   const source = new HttpHostListSource({
     url: URL_OF_PLATFORM,
-    request: silent(),
+    request: createUnresponsiveFetch(),
     timer,
-    answerMarginMs: 500,
+    responseMarginMs: 500,
   });
   const read = source.read(READ);
   timer.advance(2_500);
@@ -135,7 +138,7 @@
 
 test("any damaged answer gives a checked host list or an error", async (t) => {
   const { body } = revised(5, HOST_LIST);
-  const property = fc.asyncProperty(damagedText(body), async (damaged) => {
+  const property = fc.asyncProperty(corruptedText(body), async (damaged) => {
     const read = await hostList({ body: damaged }).read(READ);
     return read.isErr() || read.value === undefined ||
       hostListSchema.safeParse(read.value.value).success;
--- a/packages/bundle/tests/jsonDocument.test.ts
+++ b/packages/bundle/tests/jsonDocument.test.ts
@@ -17,7 +17,7 @@
   trustedKeysSchema,
 } from "@wasabivane/bundle";
 import { z } from "zod";
-import { damagedText } from "./helpers/damagedText.ts";
+import { corruptedText } from "./helpers/corruptedText.ts";
 
 const settingsSchema = z.strictObject({
   port: z.number().int().min(1).max(65535),
@@ -105,7 +105,7 @@
   const text = fc.oneof(
     fc.string({ unit: "binary" }),
     fc.json(),
-    damagedText(example),
+    corruptedText(example),
   );
   const property = fc.property(
     text,
--- a/packages/common/src/commandLine.ts
+++ b/packages/common/src/commandLine.ts
@@ -23,7 +23,7 @@
 }
 
 /** What running needs of a parser such as cac's `CAC`, whose commands return reports. */
-export interface CommandLine {
+export interface CommandParser {
   readonly name: string;
   readonly args: readonly string[];
   readonly options: Readonly<Record<string, unknown>>;
@@ -38,7 +38,7 @@
 export class UsageError extends Error {}
 
 /** Options of {@link runCommandLine}. */
-export interface CommandLineRun {
+export interface CommandRunOptions {
   /** As `process.argv`: the first two entries are skipped. */
   readonly argv: readonly string[];
   readonly output: CommandOutput;
@@ -46,8 +46,8 @@
 
 /** Parses, runs the command, prints its report and gives the exit code; never throws. */
 export async function runCommandLine(
-  cli: CommandLine,
-  { argv, output }: CommandLineRun,
+  cli: CommandParser,
+  { argv, output }: CommandRunOptions,
 ): Promise<number> {
   try {
     cli.parse([...argv], { run: false });
@@ -72,13 +72,13 @@
 }
 
 /** Whether parsing has printed the help or the version already. */
-function isAnswered({ options, matchedCommandName }: CommandLine): boolean {
+function isAnswered({ options, matchedCommandName }: CommandParser): boolean {
   const isVersion = options.version === true &&
     matchedCommandName === undefined;
   return options.help === true || isVersion;
 }
 
-function unknownCommand({ args, commands }: CommandLine): UsageError {
+function unknownCommand({ args, commands }: CommandParser): UsageError {
   const known = commands.map(({ name }) => name).join(", ");
   const [given] = args;
   const problem = given === undefined
--- a/packages/common/src/commandOptions.ts
+++ b/packages/common/src/commandOptions.ts
@@ -4,7 +4,7 @@
 export type ParsedOptions = Readonly<Record<string, unknown>>;
 
 /** The value of an option that may be left out. */
-export function textOption(
+export function getTextOption(
   options: ParsedOptions,
   name: string,
 ): string | undefined {
@@ -17,21 +17,21 @@
 }
 
 /** The value of an option that must be given. */
-export function requiredTextOption(
+export function getRequiredTextOption(
   options: ParsedOptions,
   name: string,
 ): string {
-  const value = textOption(options, name);
+  const value = getTextOption(options, name);
   if (value !== undefined) return value;
   throw new UsageError(`${flagOf(name)} is missing`);
 }
 
 /** The value of an option that holds a whole number. */
-export function wholeNumberOption(
+export function getIntegerOption(
   options: ParsedOptions,
   name: string,
 ): number | undefined {
-  const value = textOption(options, name);
+  const value = getTextOption(options, name);
   if (value === undefined) return undefined;
   if (/^\d{1,15}$/.test(value)) return Number(value);
   throw new UsageError(`${flagOf(name)} must be a whole number`);
--- a/packages/common/src/ending.ts
+++ b/packages/common/src/requestOutcome.ts
@@ -5,4 +5,4 @@
  * - `not-run`: no byte of this request's key left for an upstream, and none can later.
  * - `unknown`: anything else; a non-idempotent request that ended so is never run again.
  */
-export type Ending = "whole" | "not-run" | "unknown";
+export type RequestOutcome = "whole" | "not-run" | "unknown";
--- a/packages/coordination/src/configurationDocuments.ts
+++ b/packages/coordination/src/configurationDocuments.ts
@@ -1,8 +1,8 @@
 import {
-  applyDifference,
+  applyBundleDifference,
   type BundleDifference,
   bundleDifferenceSchema,
-  differenceBetween,
+  createBundleDifference,
   type HostList,
   type SignedBundle,
   signedBundleSchema,
@@ -77,7 +77,7 @@
 
   #apply(difference: BundleDifference): Result<SignedBundle, DocumentError> {
     if (this.#newest === undefined) return err({ kind: "not-applicable" });
-    return applyDifference(this.#newest, difference)
+    return applyBundleDifference(this.#newest, difference)
       .mapErr((): DocumentError => ({ kind: "not-applicable" }));
   }
 
@@ -104,7 +104,7 @@
     if (request.document === "bundle" || to === undefined) return to;
     const from = this.#bundles.get(request.fromRoot as Digest);
     if (from === undefined) return undefined;
-    return differenceBetween(from, to).unwrapOr(undefined);
+    return createBundleDifference(from, to).unwrapOr(undefined);
   }
 }
 
--- a/packages/coordination/src/job.ts
+++ b/packages/coordination/src/job.ts
@@ -1,11 +1,11 @@
 import type { Result } from "neverthrow";
 import type {
   ClientAccountId,
-  Ending,
   EpochMilliseconds,
   JobId,
   Milliseconds,
   Nonce,
+  RequestOutcome,
   ServiceId,
   Tier,
   UpstreamId,
@@ -34,7 +34,7 @@
 
 /** How a job ended; an answer only where one arrived. */
 export interface JobResponse {
-  readonly ending: Ending;
+  readonly ending: RequestOutcome;
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
--- a/packages/coordination/src/jobMessages.ts
+++ b/packages/coordination/src/jobMessages.ts
@@ -1,8 +1,8 @@
 import type {
   ClientAccountId,
-  Ending,
   JobId,
   Nonce,
+  RequestOutcome,
   ServiceId,
   Tier,
   UpstreamId,
@@ -60,7 +60,7 @@
 });
 
 const isAnswer: Shape<JobResponse> = objectOf({
-  ending: oneOf<Ending>("whole", "not-run", "unknown"),
+  ending: oneOf<RequestOutcome>("whole", "not-run", "unknown"),
   status: numberOf<number>(),
   headers: isHeaders,
   body: isBytes,
--- a/packages/coordination/src/platformWatch.ts
+++ b/packages/coordination/src/platformWatch.ts
@@ -1,4 +1,4 @@
-import type { PlatformError, Revised } from "@wasabivane/bundle";
+import type { PlatformError, Revisioned } from "@wasabivane/bundle";
 import type { Metrics, Milliseconds, Random, Timer } from "@wasabivane/common";
 import type { Result } from "neverthrow";
 import { LONG_POLL_WAIT_MS } from "./configurationGossip.ts";
@@ -13,7 +13,7 @@
 /** A read of one platform value, as the sources offer it. */
 export type PlatformRead<Value> = (
   options: { afterRevision: number; waitMs: Milliseconds },
-) => Promise<Result<Revised<Value> | undefined, PlatformError>>;
+) => Promise<Result<Revisioned<Value> | undefined, PlatformError>>;
 
 /** What a {@link PlatformWatch} needs. */
 export interface PlatformWatchOptions<Value> {
@@ -71,7 +71,7 @@
     else this.#onAnswer(result.value, reading.since);
   }
 
-  #onAnswer(news: Revised<Value> | undefined, since: Milliseconds): void {
+  #onAnswer(news: Revisioned<Value> | undefined, since: Milliseconds): void {
     this.#backoff = FIRST_BACKOFF_MS;
     // A service that ignores the wait would otherwise be read without pause.
     const earliest = since + LONG_POLL_WAIT_MS;
--- a/packages/coordination/tests/helpers/platform.ts
+++ b/packages/coordination/tests/helpers/platform.ts
@@ -3,17 +3,17 @@
   type HostList,
   HostListSource,
   type PlatformError,
-  type Revised,
+  type Revisioned,
   type SignedBundle,
 } from "@wasabivane/bundle";
 import type { HostId, Milliseconds, Timer } from "@wasabivane/common";
 import { err, ok, type Result } from "neverthrow";
 
-type Answer<Value> = Result<Revised<Value> | undefined, PlatformError>;
+type Answer<Value> = Result<Revisioned<Value> | undefined, PlatformError>;
 
 /** One value of the platform with its waiting watches. */
 class PublishedValue<Value> {
-  #current: Revised<Value> | undefined;
+  #current: Revisioned<Value> | undefined;
   readonly #watches = new Set<() => void>();
 
   publish(value: Value): void {
@@ -37,7 +37,7 @@
     });
   }
 
-  #newer(revision: number): Revised<Value> | undefined {
+  #newer(revision: number): Revisioned<Value> | undefined {
     const current = this.#current;
     return current && current.revision > revision ? current : undefined;
   }
--- a/packages/gateway/src/upstreamUpdates.ts
+++ b/packages/gateway/src/upstreamUpdates.ts
@@ -120,7 +120,7 @@
 
   #hearWarmth({ upstream, coldFor }: Upstream): void {
     const { knowledge, timer } = this.#parts;
-    knowledge.warmth.update(upstream, { coldFor, now: timer.now() });
+    knowledge.warmup.update(upstream, { coldFor, now: timer.now() });
   }
 
   #leave(upstream: UpstreamId, why = "announced"): void {
--- a/packages/proof/src/fakePlatform.ts
+++ b/packages/proof/src/fakePlatform.ts
@@ -3,7 +3,7 @@
   type HostList,
   HostListSource,
   type PlatformError,
-  type Revised,
+  type Revisioned,
   type SignedBundle,
 } from "@wasabivane/bundle";
 import type { Milliseconds, Timer } from "@wasabivane/common";
@@ -11,7 +11,7 @@
 import type { PlatformState } from "./scenario.ts";
 import type { ScenarioProcess } from "./scenarioProcess.ts";
 
-type Answer<Value> = Result<Revised<Value> | undefined, PlatformError>;
+type Answer<Value> = Result<Revisioned<Value> | undefined, PlatformError>;
 type Read = { afterRevision: number; waitMs: Milliseconds };
 
 const ONE_WAY_MS = 2;
@@ -19,8 +19,8 @@
 
 /** A published value and the one that a stale service still shows. */
 class PublishedValue<Value> {
-  #current: Revised<Value> | undefined;
-  #shown: Revised<Value> | undefined;
+  #current: Revisioned<Value> | undefined;
+  #shown: Revisioned<Value> | undefined;
 
   publish(value: Value, { isStale }: { isStale: boolean }): void {
     const revision = (this.#current?.revision ?? 0) + 1;
@@ -32,7 +32,7 @@
     this.#shown = this.#current;
   }
 
-  newer(revision: number): Revised<Value> | undefined {
+  newer(revision: number): Revisioned<Value> | undefined {
     const shown = this.#shown;
     return shown !== undefined && shown.revision > revision ? shown : undefined;
   }
--- a/packages/proof/src/fakeUpstreams.ts
+++ b/packages/proof/src/fakeUpstreams.ts
@@ -1,10 +1,10 @@
 import { Buffer } from "node:buffer";
 import {
-  type UpstreamAnswer,
   type UpstreamBody,
-  type UpstreamCall,
   UpstreamClient,
   type UpstreamError,
+  type UpstreamRequest,
+  type UpstreamResponse,
 } from "@wasabivane/entry";
 import type { Milliseconds, Nonce, Timer } from "@wasabivane/common";
 import { err, ok, type Result } from "neverthrow";
@@ -46,10 +46,10 @@
 
 /** One upstream's answer on its way to one process. */
 class Connection {
-  readonly call: UpstreamCall;
+  readonly call: UpstreamRequest;
   readonly process: ScenarioProcess;
   readonly #timer: Timer;
-  readonly #settle: (result: Result<UpstreamAnswer, UpstreamError>) => void;
+  readonly #settle: (result: Result<UpstreamResponse, UpstreamError>) => void;
   readonly #parts: Buffer[] = [];
   #end: Error | "whole" | undefined;
   #isLeft = false;
@@ -57,10 +57,10 @@
 
   constructor(
     { call, process, timer, settle }: {
-      call: UpstreamCall;
+      call: UpstreamRequest;
       process: ScenarioProcess;
       timer: Timer;
-      settle: (result: Result<UpstreamAnswer, UpstreamError>) => void;
+      settle: (result: Result<UpstreamResponse, UpstreamError>) => void;
     },
   ) {
     this.call = call;
@@ -391,8 +391,8 @@
   }
 
   override send(
-    call: UpstreamCall,
-  ): Promise<Result<UpstreamAnswer, UpstreamError>> {
+    call: UpstreamRequest,
+  ): Promise<Result<UpstreamResponse, UpstreamError>> {
     if (call.signal.aborted) return Promise.resolve(err({ kind: "aborted" }));
     return new Promise((settle) => {
       if (this.#process.isKilled) return;
--- a/packages/proof/src/slopeBundle.ts
+++ b/packages/proof/src/slopeBundle.ts
@@ -2,10 +2,10 @@
 import { gzipSync } from "node:zlib";
 import {
   apiKeyDigest,
-  applyDifference,
+  applyBundleDifference,
   type Bundle,
   bundleSchema,
-  differenceBetween,
+  createBundleDifference,
   exampleBundle,
   exampleSigningKey,
   signBundle,
@@ -53,7 +53,7 @@
   const signed = sign(targetBundle(upstreams, 1));
   const text = JSON.stringify(signed);
   const next = sign(targetBundle(upstreams, 2));
-  const difference = differenceBetween(signed, next)._unsafeUnwrap();
+  const difference = createBundleDifference(signed, next)._unsafeUnwrap();
   return {
     bytes: Buffer.byteLength(text),
     compressedBytes: gzipSync(text).length,
@@ -64,7 +64,7 @@
     ),
     differenceBytes: Buffer.byteLength(JSON.stringify(difference)),
     changeMs: leastProcessorMs(() => {
-      const applied = applyDifference(signed, difference)._unsafeUnwrap();
+      const applied = applyBundleDifference(signed, difference)._unsafeUnwrap();
       verified(applied);
     }, { rounds: ROUNDS }),
   };
--- a/packages/proof/src/slopeConfiguration.ts
+++ b/packages/proof/src/slopeConfiguration.ts
@@ -6,7 +6,7 @@
   type HostList,
   HostListSource,
   type PlatformError,
-  type Revised,
+  type Revisioned,
   signBundle,
   type SignedBundle,
   trustedKeyOf,
@@ -169,14 +169,14 @@
   }
 }
 
-type Answer<Value> = Result<Revised<Value> | undefined, PlatformError>;
+type Answer<Value> = Result<Revisioned<Value> | undefined, PlatformError>;
 
 /** The platform's service; a watch ends at a change or after its wait. */
 class VirtualPlatform {
   reads = 0;
   readonly #timer: VirtualTimer;
   readonly #watches = new Set<() => void>();
-  #bundle: Revised<SignedBundle> | undefined;
+  #bundle: Revisioned<SignedBundle> | undefined;
 
   constructor(timer: VirtualTimer) {
     this.#timer = timer;
@@ -190,7 +190,7 @@
   readBundle(
     options: { afterRevision: number; waitMs: Milliseconds },
   ): Promise<Answer<SignedBundle>> {
-    const newer = (): Revised<SignedBundle> | undefined =>
+    const newer = (): Revisioned<SignedBundle> | undefined =>
       this.#bundle !== undefined &&
         this.#bundle.revision > options.afterRevision
         ? this.#bundle
@@ -204,7 +204,7 @@
 
   #watch<Value>(
     waitMs: Milliseconds,
-    newer: () => Revised<Value> | undefined,
+    newer: () => Revisioned<Value> | undefined,
   ): Promise<Answer<Value>> {
     this.reads++;
     return new Promise((resolve) => {
--- a/scripts/settingsReference.ts
+++ b/scripts/settingsReference.ts
@@ -7,9 +7,9 @@
 import { fileURLToPath } from "node:url";
 import {
   bundleSchema,
+  describeSettings,
   operatorSettingsSchema,
-  type SchemaRow,
-  schemaRows,
+  type SettingDescription,
 } from "@wasabivane/bundle";
 import { settingsSchema } from "../apps/entry/src/settings.ts";
 import { MEANINGS } from "./settingsMeanings.ts";
@@ -27,7 +27,7 @@
 /** The reference as Markdown. */
 export function settingsReference(): string {
   return SECTIONS.map(({ title, schema }) =>
-    `### ${title}\n\n${tableOf(schemaRows(schema))}`
+    `### ${title}\n\n${tableOf(describeSettings(schema))}`
   ).join("\n\n");
 }
 
@@ -46,7 +46,7 @@
   writeFileSync(GUIDE, `${head}\n\n${settingsReference()}\n\n${tail}`);
 }
 
-function tableOf(rows: readonly SchemaRow[]): string {
+function tableOf(rows: readonly SettingDescription[]): string {
   const lines = rows.map((row) =>
     `| ${
       [`\`${row.path}\``, row.allowed, defaultOf(row), meaningOf(row)].join(
@@ -59,12 +59,12 @@
   return [head, ...lines].join("\n");
 }
 
-function defaultOf({ isRequired, defaultText }: SchemaRow): string {
+function defaultOf({ isRequired, defaultText }: SettingDescription): string {
   if (defaultText !== undefined) return `\`${defaultText}\``;
   return isRequired ? "required" : "none";
 }
 
-function meaningOf({ path }: SchemaRow): string {
+function meaningOf({ path }: SettingDescription): string {
   return MEANINGS[path] ?? "";
 }
 
