--- a/packages/admission/src/bypassBudget.ts
+++ b/packages/admission/src/bypassBudget.ts
@@ -1,90 +1,113 @@
 import type { Milliseconds, Tier } from "@wasabivane/common";
 
 /**
- * Time in places that short work of lower tiers may take before more urgent work,
- * for each unit that more urgent work took, which waits at most so much longer. On
- * a heavy day the shortest kind needs 5 % of the time in places; with this room it
- * earned 71 of 100 units of its credit there, 38 without, the kind above it 69 and 76.
+ * Slot time that short requests of lower tiers may use ahead of more urgent
+ * ones, as a share of the slot time that those used.
  */
-const ROOM_SHARE = 0.15;
-/** Room that is saved up at most: a few short requests at once. */
-const MOST_ROOM_MS: Milliseconds = 1_000;
-/** Work passes only what holds a place so many times as long. */
-const PASSING_RATIO = 4;
-const USUAL_WEIGHT = 0.05;
+const BUDGET_SHARE = 0.15;
+/** Budget that can accumulate at most. */
+const MAXIMUM_BUDGET_MS: Milliseconds = 1_000;
+/**
+ * A request bypasses only those whose expected slot time is this many times as
+ * long.
+ */
+const BYPASS_RATIO = 4;
+const MEAN_SLOT_TIME_WEIGHT = 0.05;
 
-/** A request that starts, or would pass. */
-export interface ShortRequest {
+/** A request that starts, or may bypass others. */
+export interface BypassCandidate {
   readonly tier: Tier;
-  /** Expected time in a place. */
-  readonly hold: Milliseconds;
+  /** Expected time in a slot. */
+  readonly slotTime: Milliseconds;
 }
 
 /**
- * Bounded room for short work of lower tiers beside long work of higher ones.
+ * Budget for starting short requests of lower tiers ahead of long requests of
+ * higher tiers.
  *
- * Answers the load pattern of long answers that fill every place while requests
- * wait that would hold one for a tenth of the time. In strict order of tiers these
- * wait for seconds, become late and are refused, although all of them together cost
- * the higher tiers next to nothing. Whoever is more urgent still goes first in all
- * else: only what its own starts have earned is given away.
+ * When long responses occupy every slot, short requests of lower tiers would
+ * wait until they are late, although they take very little slot time. Each
+ * start of a more urgent request earns a small share of its slot time for them.
  */
 export class BypassBudget {
-  /** Usual time in a place of the requests of each tier that started. */
-  readonly #usual = new Map<Tier, Milliseconds>();
-  #room: Milliseconds = 0;
+  /** Mean expected slot time of the started requests, by tier. */
+  readonly #meanSlotTimes = new Map<Tier, Milliseconds>();
+  #budget: Milliseconds = 0;
 
-  /** A request started in its turn, or passed more urgent ones. */
-  recordStart({ tier, hold }: ShortRequest, isPassing: boolean): void {
-    const usual = this.#usual.get(tier) ?? hold;
-    this.#usual.set(tier, usual + USUAL_WEIGHT * (hold - usual));
-    const room = this.#room + (isPassing ? -hold : ROOM_SHARE * hold);
-    this.#room = Math.min(MOST_ROOM_MS, room);
+  /**
+   * Records the start of a request, in queue order or by bypassing more urgent
+   * ones.
+   */
+  recordStart({ tier, slotTime }: BypassCandidate, isBypassing: boolean): void {
+    const mean = this.#meanSlotTimes.get(tier) ?? slotTime;
+    this.#meanSlotTimes.set(
+      tier,
+      mean + MEAN_SLOT_TIME_WEIGHT * (slotTime - mean),
+    );
+    const budget = this.#budget +
+      (isBypassing ? -slotTime : BUDGET_SHARE * slotTime);
+    this.#budget = Math.min(MAXIMUM_BUDGET_MS, budget);
   }
 
-  /** Those of the given requests, in their order, that may pass more urgent ones now. */
-  selectBypassing<Item extends ShortRequest>(items: readonly Item[]): Item[] {
-    const turn = this.startSelection();
+  /**
+   * Returns those of the requests, in order, that may bypass more urgent ones
+   * now.
+   */
+  selectBypassing<Item extends BypassCandidate>(
+    items: readonly Item[],
+  ): Item[] {
+    const selection = this.startSelection();
     return items.filter((item) =>
-      turn.isTierAllowed(item.tier) && turn.take(item)
+      selection.isTierAllowed(item.tier) && selection.reserve(item)
     );
   }
 
-  /** One look at what may pass: what is taken in it leaves less room for the rest. */
+  /**
+   * Starts a selection of bypassing requests, which share the current budget.
+   */
   startSelection(): BypassSelection {
-    return new BypassSelection(this.#room, (tier) => this.#leastAbove(tier));
+    return new BypassSelection(
+      this.#budget,
+      (tier) => this.#lowestMeanAbove(tier),
+    );
   }
 
-  /** Least usual time in a place among the more urgent tiers; 0 where there is none. */
-  #leastAbove(tier: Tier): Milliseconds {
-    let least = Infinity;
-    for (const [other, usual] of this.#usual) {
-      if (other < tier) least = Math.min(least, usual);
+  /**
+   * Returns the lowest mean slot time of the more urgent tiers; 0 if there are
+   * none.
+   */
+  #lowestMeanAbove(tier: Tier): Milliseconds {
+    let lowest = Infinity;
+    for (const [other, mean] of this.#meanSlotTimes) {
+      if (other < tier) lowest = Math.min(lowest, mean);
     }
-    return Number.isFinite(least) ? least : 0;
+    return Number.isFinite(lowest) ? lowest : 0;
   }
 }
 
 /** See {@link BypassBudget.startSelection}. */
 export class BypassSelection {
-  #room: Milliseconds;
-  readonly #leastAbove: (tier: Tier) => Milliseconds;
+  #budget: Milliseconds;
+  readonly #lowestMeanAbove: (tier: Tier) => Milliseconds;
 
-  constructor(room: Milliseconds, leastAbove: (tier: Tier) => Milliseconds) {
-    this.#room = room;
-    this.#leastAbove = leastAbove;
+  constructor(
+    budget: Milliseconds,
+    lowestMeanAbove: (tier: Tier) => Milliseconds,
+  ) {
+    this.#budget = budget;
+    this.#lowestMeanAbove = lowestMeanAbove;
   }
 
-  /** Whether work of a tier can pass at all now. */
+  /** Whether requests of a tier may bypass others at present. */
   isTierAllowed(tier: Tier): boolean {
-    return this.#room > 0 && this.#leastAbove(tier) > 0;
+    return this.#budget > 0 && this.#lowestMeanAbove(tier) > 0;
   }
 
-  /** Whether this work passes; it takes its room then. */
-  take({ tier, hold }: ShortRequest): boolean {
-    if (hold > this.#room) return false;
-    if (PASSING_RATIO * hold > this.#leastAbove(tier)) return false;
-    this.#room -= hold;
+  /** Whether the request may bypass others; reserves its slot time if so. */
+  reserve({ tier, slotTime }: BypassCandidate): boolean {
+    if (slotTime > this.#budget) return false;
+    if (BYPASS_RATIO * slotTime > this.#lowestMeanAbove(tier)) return false;
+    this.#budget -= slotTime;
     return true;
   }
 }
--- a/packages/admission/src/callerTimeouts.ts
+++ b/packages/admission/src/callerTimeouts.ts
@@ -2,46 +2,53 @@
 import type { Route } from "./types.ts";
 
 /**
- * Callers of streams leave after a gap of the longest of these: two seconds, four
- * targets, eight pauses. The published interface says so.
+ * Idle timeout of stream callers: the longest of a fixed time and multiples of
+ * the latency and pause targets. Part of the published interface.
  */
-const LEAST_STREAM_GAP_MS: Milliseconds = 2_000;
-const GAP_TARGETS = 4;
-const GAP_PAUSES = 8;
-/** Part of the time that a caller waits in which a start still serves it. */
-const USEFUL_SHARE = 0.75;
+const MINIMUM_IDLE_TIMEOUT_MS: Milliseconds = 2_000;
+const IDLE_TIMEOUT_TARGETS = 4;
+const IDLE_TIMEOUT_PAUSES = 8;
+/** Share of the first-byte timeout by which a start still serves the caller. */
+const USEFUL_START_SHARE = 0.75;
 /**
- * Part of the time that a caller waits in which its request is tried whatever answers
- * took lately. What is refused teaches nothing, so a belief alone must never refuse.
+ * Share of the first-byte timeout in which a request is always tried. Refusing
+ * on a learned latency alone would yield no new samples, so the latency could
+ * never be corrected.
  */
-const TRYING_SHARE = 0.25;
-/** Callers come back at most after this part of the time that they have left. */
-const RETURN_SHARE = 0.3;
-const LEAST_RETURN_MS: Milliseconds = 150;
-/** Callers that were refused together come back spread over this part of the wait. */
-const RETURN_SPREAD = 0.5;
+const GUARANTEED_TRY_SHARE = 0.25;
+/** Longest retry delay as a share of the time that the caller has left. */
+const MAXIMUM_DELAY_SHARE = 0.3;
+const MINIMUM_DELAY_MS: Milliseconds = 150;
+/** Share of the delay over which retries of callers are spread. */
+const DELAY_SPREAD = 0.5;
 
 /** Bounds for the start of a request. */
 export interface StartBounds {
-  /** Started until then, its answer is on time. */
+  /** A response that starts by then is on time. */
   readonly onTimeUntil: Milliseconds;
-  /** Started later, its caller is likely gone before anything arrives. */
+  /** A response that starts later likely finds its caller gone. */
   readonly usefulUntil: Milliseconds;
 }
 
-/** How long a caller bears it that nothing comes; plain answers are waited for to the end. */
+/**
+ * Returns how long a caller waits without receiving anything; unlimited without
+ * streaming.
+ */
 export function callerIdleTimeout(
   { isStreaming, target, pauseTarget }: Route,
 ): Milliseconds {
   if (!isStreaming) return Infinity;
   return Math.max(
-    LEAST_STREAM_GAP_MS,
-    GAP_TARGETS * target,
-    GAP_PAUSES * pauseTarget,
+    MINIMUM_IDLE_TIMEOUT_MS,
+    IDLE_TIMEOUT_TARGETS * target,
+    IDLE_TIMEOUT_PAUSES * pauseTarget,
   );
 }
 
-/** How long after its arrival a request's caller bears it that nothing comes. */
+/**
+ * Returns how long after the arrival of a request its caller waits for the
+ * first byte.
+ */
 export function firstByteTimeout(
   route: Route,
   timeLeft: Milliseconds,
@@ -49,38 +56,48 @@
   return Math.min(callerIdleTimeout(route), timeLeft);
 }
 
-/** Works out until when a start serves the caller; times are on one clock. */
+/**
+ * Returns the latest useful start times of a request; all times are on one
+ * clock.
+ */
 export function computeStartBounds(
   { arrivedAt, target, firstByteTimeout: timeout, latency }: {
     arrivedAt: Milliseconds;
-    /** Time from arrival until the first event or the whole answer is due. */
+    /**
+     * Time from arrival until the first event or the complete response is due.
+     */
     target: Milliseconds;
     /** See {@link firstByteTimeout}. */
     firstByteTimeout: Milliseconds;
-    /** Usual time from the start to the first event or whole answer. */
+    /**
+     * Expected time from the start to the first event or the complete response.
+     */
     latency: Milliseconds;
   },
 ): StartBounds {
   return {
     onTimeUntil: arrivedAt + target - latency,
     usefulUntil: arrivedAt +
-      Math.max(TRYING_SHARE * timeout, USEFUL_SHARE * timeout - latency),
+      Math.max(
+        GUARANTEED_TRY_SHARE * timeout,
+        USEFUL_START_SHARE * timeout - latency,
+      ),
   };
 }
 
 /**
- * When a refused caller should come back: after what is ahead has started, no
- * later than it will wait, and not together with the others.
+ * Returns after which time a refused caller should retry: when the requests
+ * ahead of it have started, within the time it has left, and spread at random.
  */
 export function computeRetryDelay(
   { wait: expected, timeLeft }: {
-    /** Time until what is ahead has started. */
+    /** Time until the requests ahead have started. */
     wait: Milliseconds;
     timeLeft: Milliseconds;
   },
   random: Random,
 ): Milliseconds {
-  const longest = Math.max(LEAST_RETURN_MS, RETURN_SHARE * timeLeft);
-  const wait = Math.min(longest, Math.max(LEAST_RETURN_MS, expected));
-  return wait * (1 - RETURN_SPREAD * random.float());
+  const maximum = Math.max(MINIMUM_DELAY_MS, MAXIMUM_DELAY_SHARE * timeLeft);
+  const delay = Math.min(maximum, Math.max(MINIMUM_DELAY_MS, expected));
+  return delay * (1 - DELAY_SPREAD * random.float());
 }
--- a/packages/admission/src/cellCoordinator.ts
+++ b/packages/admission/src/cellCoordinator.ts
@@ -30,29 +30,31 @@
 import type { UpstreamStats } from "./upstreamStats.ts";
 
 /**
- * Asks that come within this time are decided together. A burst costs one look at the
- * line and one answer for each host, not one for each ask; alone, an ask is decided at
- * once.
+ * Updates within this time are decided in one batch, with one reply for each
+ * host. A single update is decided at once.
  */
-const TURN_MS: Milliseconds = 4;
+const BATCH_MS: Milliseconds = 4;
 /**
- * A decision that its host has not seen is told again after this time, then after twice
- * as long and so on: longer than hosts take to say that they have seen it.
+ * An unacknowledged decision is resent after this time, and then after twice
+ * the last interval. Exceeds the usual time to an acknowledgement.
  */
-const REPEAT_MS: Milliseconds = 120;
+const RESEND_MS: Milliseconds = 120;
 /**
- * A place that was given and that its host does not speak of is free again: it was told
- * of it four times by then, so it is gone or has turned elsewhere.
+ * A granted slot is free again if its host has not acknowledged the grant by
+ * then.
  */
-const VERDICT_MS: Milliseconds = 1_200;
-/** A host that says nothing for so long waits here no more; it confirms twice a second. */
-const SILENT_MS: Milliseconds = 1_500;
-/** A host that says nothing for so long is forgotten. */
-const FORGOTTEN_MS: Milliseconds = 10_000;
-/** A keeper that nobody asks for so long has been replaced. */
+const DECISION_LIFETIME_MS: Milliseconds = 1_200;
+/**
+ * Requests of a host without updates for this time are withdrawn. Exceeds the
+ * interval at which hosts refresh them.
+ */
+const HOST_TIMEOUT_MS: Milliseconds = 1_500;
+/** A host without updates for this time is forgotten. */
+const HOST_RETENTION_MS: Milliseconds = 10_000;
+/** A coordinator without updates for this time has been replaced. */
 const IDLE_MS: Milliseconds = 3_000;
 
-/** What a {@link CellCoordinator} is built from. */
+/** Dependencies and settings of a {@link CellCoordinator}. */
 export interface CellCoordinatorOptions {
   readonly host: HostId;
   readonly incarnation: Incarnation;
@@ -60,12 +62,15 @@
   readonly upstreams: UpstreamSource;
   readonly stats: UpstreamStats;
   readonly random: Random;
-  /** Starts in one second that a cold upstream bears; `undefined` where it bears any. */
+  /**
+   * Starts per second that an upstream can take while warming up; `undefined`
+   * if unlimited.
+   */
   readonly coldStartsOf: (upstream: Upstream) => number | undefined;
-  /** Hosts that live as far as is known, this one included. */
+  /** Number of hosts believed alive, including this one. */
   readonly hostCount: () => number;
-  readonly send: (to: HostId, answer: CellReply) => void;
-  /** Calls back once after a while. */
+  readonly send: (to: HostId, reply: CellReply) => void;
+  /** Calls back once after the given time. */
   readonly after: (span: Milliseconds, callback: () => void) => void;
   readonly now: () => Milliseconds;
   /** Snapshots of the other cells of the service. */
@@ -73,65 +78,66 @@
   readonly isLeaving: () => boolean;
 }
 
-/** What a keeper remembers of a host that asks it. */
-interface Asker {
+/** What the coordinator knows about one host. */
+interface HostState {
   readonly incarnation: Incarnation;
   sequence: number;
-  heardAt: Milliseconds;
+  lastUpdateAt: Milliseconds;
   observationsSeen: number;
-  verdictCount: number;
+  decisionCount: number;
   inFlight: ReadonlyMap<UpstreamId, UpstreamLoad>;
-  /** Decisions that it has not seen yet. */
-  unseen: UnseenVerdict[];
+  /** Decisions that the host has not acknowledged. */
+  unacknowledged: UnacknowledgedDecision[];
   readonly waiting: Set<RequestId>;
-  /** Requests that it says wait and that are not known here. */
-  unknown: RequestId[];
-  hasNews: boolean;
-  /** When it is told again what it has not seen, and the time to the next repetition. */
-  repeatAt: Milliseconds;
-  repeatSpan: Milliseconds;
+  /** Requests that the host lists as waiting and that are unknown here. */
+  unknownRequests: RequestId[];
+  shouldReply: boolean;
+  /**
+   * Time of the next resend of unacknowledged decisions, and the interval after
+   * it.
+   */
+  resendAt: Milliseconds;
+  resendInterval: Milliseconds;
 }
 
-interface UnseenVerdict extends NumberedDecision {
+interface UnacknowledgedDecision extends NumberedDecision {
   readonly until: Milliseconds;
   readonly promptTokens: number;
 }
 
 /**
- * Keeps the line of one cell for all hosts.
+ * Queues and schedules the requests of all hosts for the upstreams of one cell.
  *
- * Answers the load pattern of hundreds of hosts with one request each before some
- * hundred places. Each host alone sees next to nothing of the others' work: engines
- * are filled twice while others idle, and a tier-1 request waits at one host while
- * tier 3 starts at another. One host that all ask knows every place and every waiting
- * request of its cell.
+ * With hundreds of hosts, each host sees only a small part of the load.
+ * Scheduling on its own, it would overfill some upstreams while others are
+ * idle, and start low tiers while a higher tier waits on another host.
  *
- * Nothing here has to survive. A host describes its work with each ask and lists what
- * waits ten times a second, so that a keeper that starts or takes over knows both by
- * the host's first asks.
- * Two keepers of one cell, while hosts disagree on who lives, fill it twice at most:
- * engines reject what they cannot take, and the request is asked for again.
+ * The state is not persisted: hosts send their load with every update and list
+ * their waiting requests regularly, so a new coordinator learns both at once.
+ * Two coordinators of one cell, while hosts disagree on which hosts are alive,
+ * can fill its slots twice; upstreams reject the excess, and those requests are
+ * placed again.
  */
 export class CellCoordinator {
   readonly #options: CellCoordinatorOptions;
   readonly #scheduler: RequestScheduler;
-  readonly #askers = new Map<HostId, Asker>();
-  #askedAt: Milliseconds;
-  #turnAt: Milliseconds = -Infinity;
-  #isTurnPlanned = false;
+  readonly #hosts = new Map<HostId, HostState>();
+  #lastUpdateAt: Milliseconds;
+  #lastBatchAt: Milliseconds = -Infinity;
+  #isBatchScheduled = false;
 
   constructor(options: CellCoordinatorOptions, now: Milliseconds) {
-    const { cell, upstreams, stats: knowledge, random, coldStartsOf } = options;
+    const { cell, upstreams, stats, random, coldStartsOf } = options;
     this.#options = options;
-    this.#askedAt = now;
+    this.#lastUpdateAt = now;
     this.#scheduler = new RequestScheduler({
       upstreams: new CellUpstreams(cell, upstreams),
-      stats: knowledge,
+      stats,
       random,
       starts: new CoordinatorStartLimit({
         coldStartsOf,
-        warmth: knowledge.warmup,
-        isCutOff: (now) => this.#isCutOff(now),
+        warmup: stats.warmup,
+        isPartitioned: (now) => this.#isPartitioned(now),
       }),
     });
   }
@@ -140,235 +146,274 @@
     return this.#options.cell;
   }
 
-  /** Whether requests wait here. */
+  /** Whether requests wait in this cell. */
   get hasWaiting(): boolean {
     return this.#scheduler.waitingTotal > 0;
   }
 
-  /** Nobody asks here any more. */
+  /** Whether no host has sent an update recently. */
   isIdle(now: Milliseconds): boolean {
-    return now - this.#askedAt > IDLE_MS;
+    return now - this.#lastUpdateAt > IDLE_MS;
   }
 
-  /** How full the cell is. */
+  /** Returns the current capacity and queue length of the cell. */
   snapshot(now: Milliseconds): CellSnapshot {
     const { cell } = this.#options;
     return { cell, at: now, ...this.#scheduler.counts(cell.service, now) };
   }
 
-  /** Takes in an ask; answers go to every host about which something was decided. */
-  receive(ask: CellUpdate, now: Milliseconds): void {
-    this.#askedAt = now;
-    const asker = this.#askerOf(ask, now);
-    if (ask.sequence <= asker.sequence) return;
-    asker.sequence = ask.sequence;
-    // Before the host's work is counted anew: the upstream had what has ended since.
-    for (const [upstream, requests] of ask.reports) {
+  /** Applies an update; replies go to every host that a decision concerns. */
+  receive(update: CellUpdate, now: Milliseconds): void {
+    this.#lastUpdateAt = now;
+    const hostState = this.#hostStateOf(update, now);
+    if (update.sequence <= hostState.sequence) return;
+    hostState.sequence = update.sequence;
+    // Reports refer to the load before this update, so they are applied first.
+    for (const [upstream, requests] of update.reports) {
       this.#scheduler.load.recordReport(upstream, requests, now);
     }
-    asker.heardAt = now;
-    asker.inFlight = ask.inFlight;
-    asker.unseen = asker.unseen.filter(({ number }) =>
-      number > ask.decisionsSeen
+    hostState.lastUpdateAt = now;
+    hostState.inFlight = update.inFlight;
+    hostState.unacknowledged = hostState.unacknowledged.filter(({ number }) =>
+      number > update.decisionsSeen
     );
-    this.#scheduler.recordTurnaround(ask.replyTime);
-    this.#learn(asker, ask, now);
-    this.#count(ask.host, asker, now);
-    this.#takeWishes(asker, ask, now);
-    if (ask.wantsReply) asker.hasNews = true;
-    this.#planTurn(now);
+    this.#scheduler.recordTurnaround(update.replyTime);
+    this.#recordObservations(hostState, update, now);
+    this.#updateLoad(update.host, hostState, now);
+    this.#applyRequests(hostState, update, now);
+    if (update.wantsReply) hostState.shouldReply = true;
+    this.#scheduleBatch(now);
   }
 
-  /** Looks at the line again: time went by, or upstreams have changed. */
+  /** Re-evaluates the queue after time has passed or upstreams have changed. */
   review(now: Milliseconds): void {
-    for (const [host, asker] of this.#askers) this.#age(host, asker, now);
+    for (const [host, hostState] of this.#hosts) {
+      this.#expire(host, hostState, now);
+    }
     this.#scheduler.load.expirePeers(now);
     this.#scheduler.review(now);
-    this.#answer(now);
+    this.#sendReplies(now);
   }
 
-  #isCutOff(now: Milliseconds): boolean {
+  #isPartitioned(now: Milliseconds): boolean {
     const { host, hostCount } = this.#options;
     if (hostCount() <= 1) return false;
-    for (const [asker, { heardAt }] of this.#askers) {
-      if (asker !== host && now - heardAt < SILENT_MS) return false;
+    for (const [other, { lastUpdateAt }] of this.#hosts) {
+      if (other !== host && now - lastUpdateAt < HOST_TIMEOUT_MS) return false;
     }
     return true;
   }
 
-  /** Decides at once, or together with what comes in the next milliseconds. */
-  #planTurn(now: Milliseconds): void {
-    if (this.#isTurnPlanned) return;
-    const wait = this.#turnAt + TURN_MS - now;
-    if (wait <= 0) return this.#takeTurn(now);
-    this.#isTurnPlanned = true;
+  /**
+   * Decides at once, or in one batch with the updates of the next milliseconds.
+   */
+  #scheduleBatch(now: Milliseconds): void {
+    if (this.#isBatchScheduled) return;
+    const wait = this.#lastBatchAt + BATCH_MS - now;
+    if (wait <= 0) return this.#runBatch(now);
+    this.#isBatchScheduled = true;
     this.#options.after(wait, () => {
-      this.#isTurnPlanned = false;
-      this.#takeTurn(this.#options.now());
+      this.#isBatchScheduled = false;
+      this.#runBatch(this.#options.now());
     });
   }
 
-  #takeTurn(now: Milliseconds): void {
-    this.#turnAt = now;
+  #runBatch(now: Milliseconds): void {
+    this.#lastBatchAt = now;
     this.#scheduler.fillSlots(this.cell.service, now);
-    this.#answer(now);
+    this.#sendReplies(now);
   }
 
-  #askerOf({ host, incarnation }: CellUpdate, now: Milliseconds): Asker {
-    const known = this.#askers.get(host);
+  #hostStateOf(
+    { host, incarnation }: CellUpdate,
+    now: Milliseconds,
+  ): HostState {
+    const known = this.#hosts.get(host);
     if (known?.incarnation === incarnation) return known;
     if (known !== undefined) this.#withdrawAll(known);
-    const asker: Asker = {
+    const hostState: HostState = {
       incarnation,
       sequence: 0,
-      heardAt: now,
+      lastUpdateAt: now,
       observationsSeen: 0,
-      verdictCount: 0,
+      decisionCount: 0,
       inFlight: new Map(),
-      unseen: [],
+      unacknowledged: [],
       waiting: new Set(),
-      unknown: [],
-      hasNews: false,
-      repeatAt: Infinity,
-      repeatSpan: REPEAT_MS,
+      unknownRequests: [],
+      shouldReply: false,
+      resendAt: Infinity,
+      resendInterval: RESEND_MS,
     };
-    this.#askers.set(host, asker);
-    return asker;
+    this.#hosts.set(host, hostState);
+    return hostState;
   }
 
-  #learn(asker: Asker, ask: CellUpdate, now: Milliseconds): void {
-    const { stats: knowledge, host } = this.#options;
-    const { observations, firstObservation: observationsFrom } = ask;
+  #recordObservations(
+    hostState: HostState,
+    update: CellUpdate,
+    now: Milliseconds,
+  ): void {
+    const { stats, host } = this.#options;
+    const { observations, firstObservation } = update;
     for (const [index, observation] of observations.entries()) {
-      if (observationsFrom + index <= asker.observationsSeen) continue;
+      if (firstObservation + index <= hostState.observationsSeen) continue;
       if (observation.outcome === "whole") {
         this.#scheduler.recordResidence(
           observation.service,
           observation.residence,
         );
       }
-      // What this host did itself it has learned already.
-      if (ask.host !== host) knowledge.record(observation, now);
+      // This host has already recorded its own observations.
+      if (update.host !== host) stats.record(observation, now);
     }
-    const last = observationsFrom + observations.length - 1;
-    asker.observationsSeen = Math.max(asker.observationsSeen, last);
+    const last = firstObservation + observations.length - 1;
+    hostState.observationsSeen = Math.max(hostState.observationsSeen, last);
   }
 
-  /** Counts a host's work: what it tells, and places that it has not seen yet. */
-  #count(host: HostId, asker: Asker, now: Milliseconds): void {
-    const inFlight = new Map(asker.inFlight);
-    for (const { decision, promptTokens } of asker.unseen) {
+  /**
+   * Updates a host's load: what it reports, plus granted slots that it has not
+   * acknowledged.
+   */
+  #updateLoad(host: HostId, hostState: HostState, now: Milliseconds): void {
+    const inFlight = new Map(hostState.inFlight);
+    for (const { decision, promptTokens } of hostState.unacknowledged) {
       if (decision.kind !== "place") continue;
-      const { requests, pendingPrefillTokens: unreadTokens } =
+      const { requests, pendingPrefillTokens } =
         inFlight.get(decision.upstream) ??
           { requests: 0, pendingPrefillTokens: 0 };
       inFlight.set(decision.upstream, {
         requests: requests + 1,
-        pendingPrefillTokens: unreadTokens + promptTokens,
+        pendingPrefillTokens: pendingPrefillTokens + promptTokens,
       });
     }
     this.#scheduler.load.setPeerLoad(host, { inFlight }, now);
   }
 
-  #takeWishes(asker: Asker, ask: CellUpdate, now: Milliseconds): void {
-    for (const request of ask.withdrawn) this.#withdraw(asker, request);
-    const decided = new Set(asker.unseen.map(({ request }) => request));
-    if (ask.waiting !== undefined) {
-      this.#compare(asker, ask.waiting, { wishes: ask.requests, decided });
+  #applyRequests(
+    hostState: HostState,
+    update: CellUpdate,
+    now: Milliseconds,
+  ): void {
+    for (const request of update.withdrawn) this.#withdraw(hostState, request);
+    const decided = new Set(
+      hostState.unacknowledged.map(({ request }) => request),
+    );
+    if (update.waiting !== undefined) {
+      this.#reconcile(hostState, update.waiting, {
+        requests: update.requests,
+        decided,
+      });
     }
-    for (const wish of ask.requests) {
-      if (asker.waiting.has(wish.request) || decided.has(wish.request)) {
+    for (const placementRequest of update.requests) {
+      if (
+        hostState.waiting.has(placementRequest.request) ||
+        decided.has(placementRequest.request)
+      ) {
         continue;
       }
-      asker.waiting.add(wish.request);
-      const candidate = createPendingRequest(
-        wish,
+      hostState.waiting.add(placementRequest.request);
+      const pending = createPendingRequest(
+        placementRequest,
         this.#options.stats,
-        (verdict) => this.#decide(ask.host, { asker, wish, verdict, now }),
+        (decision) =>
+          this.#recordDecision(update.host, {
+            hostState,
+            placementRequest,
+            decision,
+            now,
+          }),
       );
-      this.#scheduler.enqueue(candidate, now);
+      this.#scheduler.enqueue(pending, now);
     }
   }
 
-  /** Compares what waits here for a host with all that it says waits. */
-  #compare(
-    asker: Asker,
-    told: readonly RequestId[],
-    { wishes, decided }: {
-      wishes: readonly PlacementRequest[];
+  /** Reconciles the requests known here with the host's complete list. */
+  #reconcile(
+    hostState: HostState,
+    listed: readonly RequestId[],
+    { requests, decided }: {
+      requests: readonly PlacementRequest[];
       decided: ReadonlySet<RequestId>;
     },
   ): void {
-    const all = new Set(told);
-    for (const request of [...asker.waiting]) {
-      if (!all.has(request)) this.#withdraw(asker, request);
+    const all = new Set(listed);
+    for (const request of [...hostState.waiting]) {
+      if (!all.has(request)) this.#withdraw(hostState, request);
     }
-    const described = new Set(wishes.map(({ request }) => request));
-    asker.unknown = told.filter((request) =>
-      !asker.waiting.has(request) && !decided.has(request) &&
+    const described = new Set(requests.map(({ request }) => request));
+    hostState.unknownRequests = listed.filter((request) =>
+      !hostState.waiting.has(request) && !decided.has(request) &&
       !described.has(request)
     );
   }
 
-  #decide(
+  #recordDecision(
     host: HostId,
-    { asker, wish, verdict, now }: {
-      asker: Asker;
-      wish: PlacementRequest;
-      verdict: PlacementDecision;
+    { hostState, placementRequest, decision, now }: {
+      hostState: HostState;
+      placementRequest: PlacementRequest;
+      decision: PlacementDecision;
       now: Milliseconds;
     },
   ): void {
-    asker.waiting.delete(wish.request);
-    asker.hasNews = true;
-    asker.repeatSpan = REPEAT_MS;
-    asker.unseen.push({
-      number: ++asker.verdictCount,
-      request: wish.request,
-      decision: decisionOf(verdict),
-      promptTokens: wish.promptTokens,
-      until: Math.max(now, asker.heardAt) + VERDICT_MS,
+    hostState.waiting.delete(placementRequest.request);
+    hostState.shouldReply = true;
+    hostState.resendInterval = RESEND_MS;
+    hostState.unacknowledged.push({
+      number: ++hostState.decisionCount,
+      request: placementRequest.request,
+      decision: decisionOf(decision),
+      promptTokens: placementRequest.promptTokens,
+      until: Math.max(now, hostState.lastUpdateAt) + DECISION_LIFETIME_MS,
     });
-    if (verdict.kind === "place") this.#count(host, asker, asker.heardAt);
+    if (decision.kind === "place") {
+      this.#updateLoad(host, hostState, hostState.lastUpdateAt);
+    }
   }
 
-  /** Gives up what a silent host does not speak of. */
-  #age(host: HostId, asker: Asker, now: Milliseconds): void {
-    const silence = now - asker.heardAt;
-    if (asker.unseen.length > 0 && now >= asker.repeatAt) {
-      asker.hasNews = true;
-      asker.repeatSpan *= 2;
+  /**
+   * Resends or drops unacknowledged decisions and drops the requests of an
+   * unresponsive host.
+   */
+  #expire(host: HostId, hostState: HostState, now: Milliseconds): void {
+    const timeSinceUpdate = now - hostState.lastUpdateAt;
+    if (hostState.unacknowledged.length > 0 && now >= hostState.resendAt) {
+      hostState.shouldReply = true;
+      hostState.resendInterval *= 2;
     }
-    if (silence > SILENT_MS) this.#withdrawAll(asker);
-    if (silence > FORGOTTEN_MS) this.#askers.delete(host);
-    const kept = asker.unseen.filter(({ until }) => until > now);
-    if (kept.length === asker.unseen.length) return;
-    asker.unseen = kept;
-    this.#count(host, asker, asker.heardAt);
+    if (timeSinceUpdate > HOST_TIMEOUT_MS) this.#withdrawAll(hostState);
+    if (timeSinceUpdate > HOST_RETENTION_MS) this.#hosts.delete(host);
+    const pending = hostState.unacknowledged.filter(({ until }) => until > now);
+    if (pending.length === hostState.unacknowledged.length) return;
+    hostState.unacknowledged = pending;
+    this.#updateLoad(host, hostState, hostState.lastUpdateAt);
   }
 
-  #withdrawAll(asker: Asker): void {
-    for (const request of [...asker.waiting]) this.#withdraw(asker, request);
+  #withdrawAll(hostState: HostState): void {
+    for (const request of [...hostState.waiting]) {
+      this.#withdraw(hostState, request);
+    }
   }
 
-  #withdraw(asker: Asker, request: RequestId): void {
-    asker.waiting.delete(request);
+  #withdraw(hostState: HostState, request: RequestId): void {
+    hostState.waiting.delete(request);
     this.#scheduler.withdraw(this.#options.cell.service, request);
   }
 
-  #answer(now: Milliseconds): void {
+  #sendReplies(now: Milliseconds): void {
     let snapshots: readonly CellSnapshot[] | undefined;
-    for (const [host, asker] of this.#askers) {
-      if (!asker.hasNews) continue;
-      asker.hasNews = false;
-      asker.repeatAt = now + asker.repeatSpan;
+    for (const [host, hostState] of this.#hosts) {
+      if (!hostState.shouldReply) continue;
+      hostState.shouldReply = false;
+      hostState.resendAt = now + hostState.resendInterval;
       snapshots ??= [this.snapshot(now), ...this.#options.otherSnapshots()];
-      this.#options.send(host, this.#answerTo(asker, snapshots));
+      this.#options.send(host, this.#createReply(hostState, snapshots));
     }
   }
 
-  #answerTo(
-    asker: Asker,
+  #createReply(
+    hostState: HostState,
     snapshots: readonly CellSnapshot[],
   ): CellReply {
     const { host, incarnation, cell, isLeaving } = this.#options;
@@ -376,25 +421,24 @@
       host,
       incarnation,
       cell,
-      toIncarnation: asker.incarnation,
-      sequence: asker.sequence,
-      observationsSeen: asker.observationsSeen,
-      decisions: asker.unseen,
-      unknownRequests: asker.unknown.splice(0),
+      toIncarnation: hostState.incarnation,
+      sequence: hostState.sequence,
+      observationsSeen: hostState.observationsSeen,
+      decisions: hostState.unacknowledged,
+      unknownRequests: hostState.unknownRequests.splice(0),
       snapshots,
       isLeaving: isLeaving(),
     };
   }
 }
 
-function decisionOf(verdict: PlacementDecision): CellDecision {
-  if (verdict.kind === "refuse") return verdict;
-  const { kind, upstream, inFlight, pendingPrefillTokens: unreadTokens } =
-    verdict;
+function decisionOf(decision: PlacementDecision): CellDecision {
+  if (decision.kind === "refuse") return decision;
+  const { kind, upstream, inFlight, pendingPrefillTokens } = decision;
   return {
     kind,
     upstream: upstream.upstream,
     inFlight,
-    pendingPrefillTokens: unreadTokens,
+    pendingPrefillTokens,
   };
 }
--- a/packages/admission/src/cellMap.ts
+++ b/packages/admission/src/cellMap.ts
@@ -7,27 +7,33 @@
   partitionIntoCells,
   totalSlots,
 } from "./cells.ts";
-import { HASH_WEIGHTS, hashWeight } from "./hashWeight.ts";
+import { HASH_WEIGHT_COUNT, hashWeight } from "./hashWeight.ts";
 import type { Upstream } from "./types.ts";
 import type { UpstreamDirectory } from "./upstreamDirectory.ts";
 
-/** The cells of all services, as the directory stands; worked out anew when it changes. */
+/**
+ * Cells of all services for the current state of the directory; computed again
+ * when it changes.
+ */
 export class CellMap {
   readonly #directory: UpstreamDirectory;
   #version = -1;
   readonly #cells = new Map<ServiceId, readonly Cell[]>();
-  readonly #places = new Map<CellKey, number>();
+  readonly #slots = new Map<CellKey, number>();
   readonly #cellOf = new Map<UpstreamId, Cell | undefined>();
-  /** Which upstreams a cell holds, those that have left the directory among them. */
-  #holds = new WeakMap<Cell, Map<UpstreamId, boolean>>();
+  /**
+   * Which upstreams belong to a cell, including those that have left the
+   * directory.
+   */
+  #membership = new WeakMap<Cell, Map<UpstreamId, boolean>>();
 
   constructor(directory: UpstreamDirectory) {
     this.#directory = directory;
   }
 
-  /** The cells of a service. */
+  /** Returns the cells of a service. */
   cellsOf(service: ServiceId): readonly Cell[] {
-    this.#forgetOld();
+    this.#clearIfOutdated();
     let cells = this.#cells.get(service);
     if (cells === undefined) {
       cells = partitionIntoCells(service, this.#directory.of(service));
@@ -36,10 +42,13 @@
     return cells;
   }
 
-  /** The cell of an upstream; `undefined` for one of a failure domain without a cell. */
+  /**
+   * Returns the cell of an upstream; `undefined` if its failure domain has
+   * none.
+   */
   cellOf(upstream: Upstream): Cell | undefined {
     const { upstream: id, service } = upstream;
-    this.#forgetOld();
+    this.#clearIfOutdated();
     if (this.#cellOf.has(id)) return this.#cellOf.get(id);
     const found = this.cellsOf(service).find((cell) =>
       isInCell(cell, upstream)
@@ -48,16 +57,18 @@
     return found;
   }
 
-  /** Whether a cell holds an upstream, also one that has left the directory since. */
+  /**
+   * Whether an upstream belongs to a cell, even if it has left the directory.
+   */
   hasUpstream(cell: Cell, id: UpstreamId): boolean {
-    this.#forgetOld();
-    let known = this.#holds.get(cell);
+    this.#clearIfOutdated();
+    let known = this.#membership.get(cell);
     if (known === undefined) {
       known = new Map();
-      this.#holds.set(cell, known);
+      this.#membership.set(cell, known);
     }
-    const isHeld = known.get(id);
-    if (isHeld !== undefined) return isHeld;
+    const isMember = known.get(id);
+    if (isMember !== undefined) return isMember;
     const upstream = this.#directory.lastKnown(id);
     if (upstream === undefined) return false;
     known.set(id, isInCell(cell, upstream));
@@ -65,15 +76,17 @@
   }
 
   /**
-   * One of some cells for a host or a part of a prompt. Each cell gets its share of them
-   * by its places, and keeps them while others change.
+   * Picks one of the cells for a host or a part of a prompt by weighted
+   * rendezvous hashing: each cell gets a share in proportion to its slots, and
+   * assignments stay stable when other cells change.
    */
   pickFor(name: string, cells: readonly Cell[]): Cell | undefined {
     let best: Cell | undefined;
     let greatest = -Infinity;
     for (const cell of cells) {
-      const draw = (hashWeight(cellKeyOf(cell), name) + 1) / (HASH_WEIGHTS + 1);
-      const weight = Math.log(draw) / Math.max(1, this.#placesIn(cell));
+      const draw = (hashWeight(cellKeyOf(cell), name) + 1) /
+        (HASH_WEIGHT_COUNT + 1);
+      const weight = Math.log(draw) / Math.max(1, this.#slotsIn(cell));
       if (weight <= greatest) continue;
       greatest = weight;
       best = cell;
@@ -81,25 +94,25 @@
     return best;
   }
 
-  #forgetOld(): void {
+  #clearIfOutdated(): void {
     if (this.#version === this.#directory.version) return;
     this.#version = this.#directory.version;
     this.#cells.clear();
-    this.#places.clear();
+    this.#slots.clear();
     this.#cellOf.clear();
-    this.#holds = new WeakMap();
+    this.#membership = new WeakMap();
   }
 
-  #placesIn(cell: Cell): number {
+  #slotsIn(cell: Cell): number {
     const key = cellKeyOf(cell);
-    let places = this.#places.get(key);
-    if (places === undefined) {
+    let slots = this.#slots.get(key);
+    if (slots === undefined) {
       const members = this.#directory.of(cell.service).filter((upstream) =>
         isInCell(cell, upstream)
       );
-      places = totalSlots(members);
-      this.#places.set(key, places);
+      slots = totalSlots(members);
+      this.#slots.set(key, slots);
     }
-    return places;
+    return slots;
   }
 }
--- a/packages/admission/src/cellMessages.ts
+++ b/packages/admission/src/cellMessages.ts
@@ -1,4 +1,7 @@
-/** What hosts and the keepers of cells tell each other; times are on the reader's own clock. */
+/**
+ * Messages between hosts and cell coordinators; times are on the clock of the
+ * host that reads them.
+ */
 import type {
   HostId,
   Incarnation,
@@ -14,37 +17,40 @@
 import type { AttemptObservation } from "./upstreamStats.ts";
 
 /**
- * What a host has to say to the keeper of a cell: its work there, what began and ceased
- * to wait, and what it learned. All of it is repeated until the keeper has answered, so
- * that a lost ask does no harm.
+ * Update of a host for the coordinator of a cell: its load there, its new,
+ * waiting and withdrawn requests, and its observations. Everything is repeated
+ * until the coordinator acknowledges it, so lost updates do no harm.
  */
 export interface CellUpdate {
   readonly host: HostId;
   readonly incarnation: Incarnation;
   readonly cell: Cell;
-  /** Grows with each ask of one incarnation. */
+  /** Increases with each update of one incarnation. */
   readonly sequence: number;
-  /** The host's work at the cell's upstreams. */
+  /** The host's load at the upstreams of the cell. */
   readonly inFlight: ReadonlyMap<UpstreamId, UpstreamLoad>;
-  /** Requests that wait there and of which the keeper may not know. */
+  /** Waiting requests that the coordinator may not know yet. */
   readonly requests: readonly PlacementRequest[];
-  /** Requests that wait there no more, although the keeper may think so. */
+  /** Requests that no longer wait, although the coordinator may assume so. */
   readonly withdrawn: readonly RequestId[];
-  /** Now and then: all requests of the host that wait there. */
+  /** All waiting requests of the host; included from time to time. */
   readonly waiting?: readonly RequestId[];
-  /** What upstreams said a moment ago of all requests that they had. */
+  /** Total request counts that upstreams reported recently. */
   readonly reports: readonly (readonly [UpstreamId, number])[];
-  /** What ended attempts showed, oldest first; the first has number `observationsFrom`. */
+  /**
+   * Results of ended attempts, oldest first; the first has the number
+   * `firstObservation`.
+   */
   readonly observations: readonly AttemptObservation[];
   readonly firstObservation: number;
-  /** Number of the last verdict of this keeper that the host took in; 0 before any. */
+  /** Number of the last decision that the host has received; 0 before any. */
   readonly decisionsSeen: number;
   readonly wantsReply: boolean;
-  /** What answers of the keeper take lately, on the mean; 0 before any. */
+  /** Mean reply time of the coordinator; 0 before any reply. */
   readonly replyTime: Milliseconds;
 }
 
-/** What a keeper decided about one wish. */
+/** Decision of a coordinator about one request. */
 export type CellDecision =
   | {
     readonly kind: "place";
@@ -58,14 +64,14 @@
     readonly estimate: QueueEstimate;
   };
 
-/** A numbered decision; the keeper repeats it until the host has seen it. */
+/** A numbered decision; resent until the host acknowledges it. */
 export interface NumberedDecision {
   readonly number: number;
   readonly request: RequestId;
   readonly decision: CellDecision;
 }
 
-/** How full a cell was when its keeper looked last. */
+/** Capacity and queue length of a cell at one time. */
 export interface CellSnapshot {
   readonly cell: Cell;
   readonly capacity: number;
@@ -74,22 +80,26 @@
   readonly at: Milliseconds;
 }
 
-/** What a keeper tells a host. */
+/** Reply of a coordinator to a host. */
 export interface CellReply {
-  /** The keeper. */
+  /** Host of the coordinator. */
   readonly host: HostId;
   readonly incarnation: Incarnation;
   readonly cell: Cell;
-  /** Incarnation and ask of the host that this answers. */
+  /**
+   * Incarnation of the host that this replies to, and sequence of its update.
+   */
   readonly toIncarnation: Incarnation;
   readonly sequence: number;
-  /** Number of the last observation that the keeper took in. */
+  /** Number of the last observation that the coordinator has received. */
   readonly observationsSeen: number;
   readonly decisions: readonly NumberedDecision[];
-  /** Requests that the host says wait and that the keeper does not know. */
+  /** Requests that the host listed and that the coordinator does not know. */
   readonly unknownRequests: readonly RequestId[];
-  /** The cell itself, and others of its service that the keeper knows of. */
+  /** The cell itself and other cells of its service. */
   readonly snapshots: readonly CellSnapshot[];
-  /** The keeper stops soon; hosts turn to the next one. */
+  /**
+   * Whether the coordinator stops soon, so that hosts must turn to another one.
+   */
   readonly isLeaving: boolean;
 }
--- a/packages/admission/src/cellSelector.ts
+++ b/packages/admission/src/cellSelector.ts
@@ -10,12 +10,12 @@
 import type { PlacementRequest } from "./placementRequest.ts";
 
 /**
- * The first part of a prompt is often common to all requests of a kind: read everywhere
- * soon, it is no reason to go anywhere. The last is the request's own.
+ * The first part of a prompt is often common to all requests of a kind, so it
+ * does not bind a request to a cell; the last part is unique to the request.
  */
-const FIRST_SUBJECT = 1;
+const FIRST_DISTINCTIVE_PART = 1;
 
-/** What a {@link CellSelector} is built from. */
+/** Dependencies and settings of a {@link CellSelector}. */
 export interface CellSelectorOptions {
   readonly host: HostId;
   readonly failureDomain: FailureDomain;
@@ -24,7 +24,7 @@
   readonly random: Random;
 }
 
-/** In which cells one host seeks a place for a request. */
+/** Selects the cells in which this host queues a request. */
 export class CellSelector {
   readonly #options: CellSelectorOptions;
 
@@ -32,25 +32,34 @@
     this.#options = options;
   }
 
-  /** The home cell of a request, or one with free places if that was seen without any. */
-  selectFirst(wish: PlacementRequest, now: Milliseconds): Cell | undefined {
+  /**
+   * Returns the home cell of a request, or a cell with free slots if the home
+   * cell was last reported full.
+   */
+  selectFirst(
+    placementRequest: PlacementRequest,
+    now: Milliseconds,
+  ): Cell | undefined {
     const { snapshots, random } = this.#options;
-    const cells = this.#options.cells.cellsOf(wish.service);
-    const home = this.#homeOf(cells, wish);
+    const cells = this.#options.cells.cellsOf(placementRequest.service);
+    const home = this.#homeOf(cells, placementRequest);
     if (home === undefined || cells.length === 1) return home;
     const snapshot = snapshots.get(home, now);
     if (snapshot === undefined || snapshot.free > 0) return home;
     return snapshots.pickByFreeSlots(cells, { random, now }) ?? home;
   }
 
-  /** One more cell for a request that waits in some; `undefined` if there is none. */
+  /**
+   * Returns a further cell for a request that already waits in some;
+   * `undefined` if there is none.
+   */
   selectAdditional(
     { service }: PlacementRequest,
-    { held, now }: { held: ReadonlySet<CellKey>; now: Milliseconds },
+    { joined, now }: { joined: ReadonlySet<CellKey>; now: Milliseconds },
   ): Cell | undefined {
     const { cells, snapshots, random } = this.#options;
     const others = cells.cellsOf(service).filter((cell) =>
-      !held.has(cellKeyOf(cell))
+      !joined.has(cellKeyOf(cell))
     );
     if (others.length === 0) return undefined;
     return snapshots.pickByFreeSlots(others, { random, now }) ??
@@ -58,15 +67,17 @@
   }
 
   /**
-   * The cell where all hosts send prompts that begin alike; otherwise one of this host's
-   * failure domain, over whose cells its hosts spread.
+   * Returns the cell to which all hosts send prompts with the same prefix; for
+   * other prompts a cell of this host's failure domain, over which its hosts
+   * are spread.
    */
   #homeOf(
     cells: readonly Cell[],
     { parts }: PlacementRequest,
   ): Cell | undefined {
     const { failureDomain, host, cells: map } = this.#options;
-    const [shared] = parts.slice(0, -1).slice(FIRST_SUBJECT).toReversed();
+    const [shared] = parts.slice(0, -1).slice(FIRST_DISTINCTIVE_PART)
+      .toReversed();
     if (shared !== undefined) return map.pickFor(shared.part, cells);
     const near = cells.filter((cell) => cell.failureDomain === failureDomain);
     const choice = near.length > 0 ? near : cells;
--- a/packages/admission/src/cellSession.ts
+++ b/packages/admission/src/cellSession.ts
@@ -13,96 +13,118 @@
 } from "./cellMessages.ts";
 import type { AttemptObservation } from "./upstreamStats.ts";
 
-/** An answer takes a few milliseconds; a datagram that was lost is sent again then, */
-const REPEAT_MS: Milliseconds = 30;
-/** or after so many times what answers took lately: repeats make a slow keeper slower. */
-const REPEAT_FACTOR = 2;
+/** Shortest time after which an update without a reply is resent. */
+const RESEND_MS: Milliseconds = 30;
 /**
- * A keeper that has not answered for so long is dead or cut off. Small machines pause
- * for most of a tenth of a second when their share is used up; the shortest targets are
- * a seventh of a second.
+ * Multiple of the recent reply time after which an update is resent, so that
+ * resends do not overload a slow coordinator.
  */
-const SILENCE_MS: Milliseconds = 100;
+const RESEND_FACTOR = 2;
 /**
- * One that was slow already is waited for so many times what its answers took: in a
- * burst all keepers are slow, and the next one knows nothing of the places besides.
+ * Reply timeout of a coordinator that usually replies fast. Exceeds the time
+ * for which a CPU quota can suspend a process.
  */
-const SILENCE_FACTOR = 4;
-const LONGEST_SILENCE_MS: Milliseconds = 400;
-/** Weight of a faster answer in what answers take; a slower one counts half at once. */
-const FASTER_WEIGHT = 0.1;
-const SLOWER_WEIGHT = 0.5;
-/** Weight of an answer in the mean that is told to the keeper. */
-const MEAN_WEIGHT = 0.2;
+const REPLY_TIMEOUT_MS: Milliseconds = 100;
 /**
- * Work is confirmed and all that waits is listed so often. Keepers repeat what a host
- * has not seen, so that a list finds only what a keeper has lost altogether; they forget
- * a host after one and a half seconds.
+ * Multiple of the recent reply time that a slow coordinator is given. All
+ * coordinators are slow in a burst, and a successor starts without any state.
  */
-const CONFIRM_MS: Milliseconds = 500;
-/** An ask that goes out anyway lists what waits if the last list is older than this. */
-const LIST_WITH_ASK_MS: Milliseconds = 250;
+const REPLY_TIMEOUT_FACTOR = 4;
+const MAXIMUM_REPLY_TIMEOUT_MS: Milliseconds = 400;
+/** Weights of a faster and of a slower sample in the recent reply time. */
+const FASTER_REPLY_WEIGHT = 0.1;
+const SLOWER_REPLY_WEIGHT = 0.5;
 /**
- * What ended is told at once and needs no answer; one is asked for when so much time has
- * gone by without any, as the telling may be lost and the place would look taken.
+ * Weight of a sample in the mean reply time that is reported to the
+ * coordinator.
  */
-const CONFIRM_END_MS: Milliseconds = 200;
-/** A cell that this host has no business with is forgotten. */
+const MEAN_REPLY_TIME_WEIGHT = 0.2;
+/**
+ * Interval at which load is refreshed and all waiting requests are listed. Must
+ * be shorter than the time after which a coordinator drops a host's requests.
+ */
+const REFRESH_INTERVAL_MS: Milliseconds = 500;
+/**
+ * An update that is sent for another reason includes the list if the last one
+ * is older.
+ */
+const EARLY_LISTING_MS: Milliseconds = 250;
+/**
+ * Time after which a reply is requested if observations are still
+ * unacknowledged: until the end of an attempt arrives, its slot counts as
+ * taken.
+ */
+const ACKNOWLEDGEMENT_TIMEOUT_MS: Milliseconds = 200;
+/** A session without load or waiting requests is closed after this time. */
 const IDLE_MS: Milliseconds = 2_000;
-/** Observations that are kept for a keeper that does not answer. */
-const MAXIMUM_LESSONS = 16;
+/** Unacknowledged observations that are kept at most. */
+const MAXIMUM_OBSERVATIONS = 16;
 
-/** Why a keeper is passed over. */
+/** Why a coordinator is skipped. */
 export type FailoverReason = "silent" | "leaving";
 
-/** What a host has to do about a cell now. */
-export type SessionAction = "nothing" | "ask" | "tell" | "passed-over" | "over";
+/** What a host has to do next in a session. */
+export type SessionAction =
+  | "none"
+  | "update"
+  | "notify"
+  | "skip-coordinator"
+  | "close";
 
-/** What a {@link CellSession} adds to an ask. */
+/** Part of an update that a {@link CellSession} provides. */
 export interface UpdatePart extends
   Omit<
     CellUpdate,
     "host" | "incarnation" | "inFlight" | "requests"
   > {
-  /** Requests that have to be described. */
+  /** Requests that the update must describe. */
   readonly described: readonly RequestId[];
 }
 
-interface UnansweredAsk {
+interface PendingUpdate {
   readonly sequence: number;
   readonly sentAt: Milliseconds;
 }
 
-/** One host's conversation with whoever keeps a cell. */
+/**
+ * State of the exchange between this host and the coordinator of one cell: what
+ * the coordinator has acknowledged, and what has to be sent or resent.
+ */
 export class CellSession {
   readonly cell: Cell;
   readonly key: CellKey;
-  #keeper: HostId | undefined;
-  #keeperIncarnation: Incarnation | undefined;
+  #coordinator: HostId | undefined;
+  #coordinatorIncarnation: Incarnation | undefined;
   #sequence = 0;
-  #verdictsSeen = 0;
+  #decisionsSeen = 0;
   #observations: AttemptObservation[] = [];
-  /** When the oldest observation that the keeper has not confirmed was told; `Infinity` without any. */
+  /**
+   * When the oldest unacknowledged observation was made; `Infinity` without
+   * any.
+   */
   #unconfirmedSince: Milliseconds = Infinity;
-  #observationsFrom = 1;
+  #firstObservation = 1;
   readonly #reports = new Map<UpstreamId, number>();
-  /** Requests that wait here: the ask that first described each to this keeper. */
-  readonly #described = new Map<RequestId, number>();
-  /** Requests that wait here no more: the ask that first said so. */
-  readonly #withdrawn = new Map<RequestId, number>();
-  /** The last ask that the keeper has answered. */
-  #answered = 0;
-  #isListing = false;
-  /** Asks that want an answer and have none, the oldest first. */
-  #unanswered: UnansweredAsk[] = [];
+  /**
+   * Waiting requests, with the sequence of the update that first described each
+   * to this coordinator.
+   */
+  readonly #describedIn = new Map<RequestId, number>();
+  /** Withdrawn requests, with the sequence of the update that first said so. */
+  readonly #withdrawnIn = new Map<RequestId, number>();
+  /** Sequence of the last update that the coordinator replied to. */
+  #acknowledged = 0;
+  #isListingDue = false;
+  /** Updates that await a reply, oldest first. */
+  #pendingUpdates: PendingUpdate[] = [];
   #sentAt: Milliseconds = -Infinity;
-  /** Something is to be told by then that is not worth a word of its own. */
-  #tellBy: Milliseconds = Infinity;
+  /** Latest time for sending what does not justify an update of its own. */
+  #sendBy: Milliseconds = Infinity;
   #listedAt: Milliseconds = -Infinity;
-  #silentKeepers = 0;
-  /** What answers took lately, slow ones counting most. */
-  #answerTime: Milliseconds = 0;
-  #meanAnswerTime: Milliseconds = 0;
+  #unresponsiveCoordinators = 0;
+  /** Recent reply time; slower samples weigh more. */
+  #replyTime: Milliseconds = 0;
+  #meanReplyTime: Milliseconds = 0;
 
   constructor(cell: Cell) {
     this.cell = cell;
@@ -110,232 +132,258 @@
   }
 
   get coordinator(): HostId | undefined {
-    return this.#keeper;
+    return this.#coordinator;
   }
 
   get isAwaitingReply(): boolean {
-    return this.#unanswered.length > 0;
+    return this.#pendingUpdates.length > 0;
   }
 
-  /** Keepers that did not answer, one after the other. */
-  get silentCoordinators(): number {
-    return this.#silentKeepers;
+  /** Number of coordinators in a row that did not reply. */
+  get unresponsiveCoordinators(): number {
+    return this.#unresponsiveCoordinators;
   }
 
   /** Requests that wait in this cell. */
   get waiting(): Iterable<RequestId> {
-    return this.#described.keys();
+    return this.#describedIn.keys();
   }
 
   get hasWaiting(): boolean {
-    return this.#described.size > 0;
+    return this.#describedIn.size > 0;
   }
 
-  /** A request begins to wait here. */
+  /** Adds a waiting request. */
   add(request: RequestId): void {
-    this.#withdrawn.delete(request);
-    this.#described.set(request, Infinity);
+    this.#withdrawnIn.delete(request);
+    this.#describedIn.set(request, Infinity);
   }
 
-  /** A request waits here no more; the keeper is told unless it decided so itself. */
+  /**
+   * Removes a waiting request; the coordinator is notified unless it made the
+   * decision itself.
+   */
   remove(
     request: RequestId,
-    { isTold = true }: { isTold?: boolean } = {},
+    { shouldNotify = true }: { shouldNotify?: boolean } = {},
   ): void {
-    if (!this.#described.delete(request)) return;
-    if (isTold) this.#withdrawn.set(request, Infinity);
+    if (!this.#describedIn.delete(request)) return;
+    if (shouldNotify) this.#withdrawnIn.set(request, Infinity);
   }
 
-  /** An upstream of the cell said how many requests it has. */
+  /** Records how many requests an upstream of the cell reported. */
   setUpstreamReport(upstream: UpstreamId, requests: number): void {
     this.#reports.set(upstream, requests);
   }
 
-  /** An attempt in this cell ended. */
+  /** Records the result of an attempt in this cell. */
   addObservation(observation: AttemptObservation, now: Milliseconds): void {
     this.#observations.push(observation);
     this.#unconfirmedSince = Math.min(this.#unconfirmedSince, now);
-    if (this.#observations.length <= MAXIMUM_LESSONS) return;
+    if (this.#observations.length <= MAXIMUM_OBSERVATIONS) return;
     this.#observations.shift();
-    this.#observationsFrom++;
+    this.#firstObservation++;
   }
 
-  /** The next ask lists all that waits: the keeper may have lost it. */
+  /**
+   * Makes the next update list all waiting requests, as the coordinator may
+   * have lost some.
+   */
   scheduleListing(): void {
-    this.#isListing = true;
+    this.#isListingDue = true;
   }
 
-  /** There is something to tell, with the next ask or by then. */
+  /** Requests an update no later than the given time. */
   sendBy(at: Milliseconds): void {
-    this.#tellBy = Math.min(this.#tellBy, at);
+    this.#sendBy = Math.min(this.#sendBy, at);
   }
 
-  /** When something is to be told or listed at the latest; `Infinity` if nothing is. */
+  /** Latest time for the next update; `Infinity` if none is needed. */
   get sendAt(): Milliseconds {
-    const listAt = this.hasWaiting ? this.#listedAt + CONFIRM_MS : Infinity;
-    const confirmAt = this.#unconfirmedSince + CONFIRM_END_MS;
-    return Math.min(this.#tellBy, listAt, confirmAt);
+    const listAt = this.hasWaiting
+      ? this.#listedAt + REFRESH_INTERVAL_MS
+      : Infinity;
+    const confirmAt = this.#unconfirmedSince + ACKNOWLEDGEMENT_TIMEOUT_MS;
+    return Math.min(this.#sendBy, listAt, confirmAt);
   }
 
-  /** The next ask, but for what the host knows itself. */
+  /** Creates the next update, except for what only the host knows. */
   createUpdate(
-    { keeper, wantsAnswer, now }: {
-      keeper: HostId;
-      wantsAnswer: boolean;
+    { coordinator, wantsReply, now }: {
+      coordinator: HostId;
+      wantsReply: boolean;
       now: Milliseconds;
     },
   ): UpdatePart {
-    if (keeper !== this.#keeper) this.#turnTo(keeper);
+    if (coordinator !== this.#coordinator) this.#switchCoordinator(coordinator);
     const sequence = ++this.#sequence;
-    if (wantsAnswer) this.#unanswered.push({ sequence, sentAt: now });
+    if (wantsReply) this.#pendingUpdates.push({ sequence, sentAt: now });
     this.#sentAt = now;
-    this.#tellBy = Infinity;
-    const isListing = this.#isListing ||
-      (this.hasWaiting && now - this.#listedAt >= LIST_WITH_ASK_MS);
+    this.#sendBy = Infinity;
+    const isListing = this.#isListingDue ||
+      (this.hasWaiting && now - this.#listedAt >= EARLY_LISTING_MS);
     if (isListing) this.#listedAt = now;
     const reports = [...this.#reports];
     this.#reports.clear();
-    this.#isListing = false;
+    this.#isListingDue = false;
     return {
       cell: this.cell,
       sequence,
-      described: this.#untold(this.#described, sequence),
-      withdrawn: this.#untold(this.#withdrawn, sequence),
-      ...isListing && { waiting: [...this.#described.keys()] },
+      described: this.#unacknowledged(this.#describedIn, sequence),
+      withdrawn: this.#unacknowledged(this.#withdrawnIn, sequence),
+      ...isListing && { waiting: [...this.#describedIn.keys()] },
       reports,
       observations: [...this.#observations],
-      firstObservation: this.#observationsFrom,
-      decisionsSeen: this.#verdictsSeen,
-      wantsReply: wantsAnswer,
-      replyTime: this.#meanAnswerTime,
+      firstObservation: this.#firstObservation,
+      decisionsSeen: this.#decisionsSeen,
+      wantsReply,
+      replyTime: this.#meanReplyTime,
     };
   }
 
-  /** Takes in an answer; gives back the verdicts that are new, or `undefined` for one that is not the keeper's. */
+  /**
+   * Applies a reply; returns its new decisions, or `undefined` if it is not
+   * from the current coordinator.
+   */
   receive(
-    answer: CellReply,
+    reply: CellReply,
     now: Milliseconds,
   ): NumberedDecision[] | undefined {
-    if (answer.host !== this.#keeper) return undefined;
-    this.#noteTime(answer.sequence, now);
-    if (answer.incarnation !== this.#keeperIncarnation) {
-      this.#keeperIncarnation = answer.incarnation;
-      this.#verdictsSeen = 0;
-      this.#describeAnew();
+    if (reply.host !== this.#coordinator) return undefined;
+    this.#recordReplyTime(reply.sequence, now);
+    if (reply.incarnation !== this.#coordinatorIncarnation) {
+      this.#coordinatorIncarnation = reply.incarnation;
+      this.#decisionsSeen = 0;
+      this.#describeAll();
     }
-    this.#silentKeepers = 0;
-    this.#answered = Math.max(this.#answered, answer.sequence);
-    for (const [request, sequence] of this.#withdrawn) {
-      if (sequence <= this.#answered) this.#withdrawn.delete(request);
+    this.#unresponsiveCoordinators = 0;
+    this.#acknowledged = Math.max(this.#acknowledged, reply.sequence);
+    for (const [request, sequence] of this.#withdrawnIn) {
+      if (sequence <= this.#acknowledged) this.#withdrawnIn.delete(request);
     }
-    for (const request of answer.unknownRequests) {
-      if (this.#described.has(request)) this.#described.set(request, Infinity);
+    for (const request of reply.unknownRequests) {
+      if (this.#describedIn.has(request)) {
+        this.#describedIn.set(request, Infinity);
+      }
     }
-    this.#unanswered = this.#unanswered.filter(({ sequence }) =>
-      sequence > answer.sequence
+    this.#pendingUpdates = this.#pendingUpdates.filter(({ sequence }) =>
+      sequence > reply.sequence
     );
-    const known = answer.observationsSeen - this.#observationsFrom + 1;
-    if (known > 0) {
-      this.#observations.splice(0, known);
-      this.#observationsFrom = answer.observationsSeen + 1;
+    const newlyAcknowledged = reply.observationsSeen - this.#firstObservation +
+      1;
+    if (newlyAcknowledged > 0) {
+      this.#observations.splice(0, newlyAcknowledged);
+      this.#firstObservation = reply.observationsSeen + 1;
     }
     this.#unconfirmedSince = this.#observations.length > 0 ? now : Infinity;
-    const fresh = answer.decisions.filter(({ number }) =>
-      number > this.#verdictsSeen
+    const newDecisions = reply.decisions.filter(({ number }) =>
+      number > this.#decisionsSeen
     );
-    this.#verdictsSeen = Math.max(
-      this.#verdictsSeen,
-      ...fresh.map(({ number }) => number),
+    this.#decisionsSeen = Math.max(
+      this.#decisionsSeen,
+      ...newDecisions.map(({ number }) => number),
     );
-    return fresh;
+    return newDecisions;
   }
 
-  /** What is due, by what this host has to do with the cell. */
+  /** Returns what this host has to do next. */
   nextAction(
-    { hasWork, now }: { hasWork: boolean; now: Milliseconds },
+    { hasLoad, now }: { hasLoad: boolean; now: Milliseconds },
   ): SessionAction {
     const sinceSent = now - this.#sentAt;
-    const told = now >= this.#tellBy ? "tell" : "nothing";
-    const [oldest] = this.#unanswered;
+    const whenIdle = now >= this.#sendBy ? "notify" : "none";
+    const [oldest] = this.#pendingUpdates;
     if (oldest !== undefined) {
-      const silence = SILENCE_FACTOR * this.#answerTime;
-      const longest = Math.min(LONGEST_SILENCE_MS, silence);
-      if (now - oldest.sentAt >= Math.max(SILENCE_MS, longest)) {
-        return "passed-over";
+      const timeout = REPLY_TIMEOUT_FACTOR * this.#replyTime;
+      const longest = Math.min(MAXIMUM_REPLY_TIMEOUT_MS, timeout);
+      if (now - oldest.sentAt >= Math.max(REPLY_TIMEOUT_MS, longest)) {
+        return "skip-coordinator";
       }
-      const repeat = Math.max(REPEAT_MS, REPEAT_FACTOR * this.#answerTime);
-      return sinceSent >= repeat ? "ask" : told;
+      const resendAfter = Math.max(RESEND_MS, RESEND_FACTOR * this.#replyTime);
+      return sinceSent >= resendAfter ? "update" : whenIdle;
+    }
+    if (this.hasWaiting && now - this.#listedAt >= REFRESH_INTERVAL_MS) {
+      this.#isListingDue = true;
+      return "update";
     }
-    if (this.hasWaiting && now - this.#listedAt >= CONFIRM_MS) {
-      this.#isListing = true;
-      return "ask";
+    if (now - this.#unconfirmedSince >= ACKNOWLEDGEMENT_TIMEOUT_MS) {
+      return "update";
     }
-    if (now - this.#unconfirmedSince >= CONFIRM_END_MS) return "ask";
-    if (hasWork && sinceSent >= CONFIRM_MS) return "ask";
-    const isBusy = hasWork || this.hasWaiting;
-    return !isBusy && sinceSent >= IDLE_MS ? "over" : told;
+    if (hasLoad && sinceSent >= REFRESH_INTERVAL_MS) return "update";
+    const isBusy = hasLoad || this.hasWaiting;
+    return !isBusy && sinceSent >= IDLE_MS ? "close" : whenIdle;
   }
 
   /**
-   * This host itself stood still for so long. Answers that came meanwhile are still to be
-   * read; its own pause is not the keeper's silence.
+   * Extends reply timeouts by the time for which this host was suspended:
+   * replies that arrived meanwhile have yet to be read.
    */
   extendTimeouts(pause: Milliseconds, now: Milliseconds): void {
-    this.#unanswered = this.#unanswered.map(({ sequence, sentAt }) => ({
+    this.#pendingUpdates = this.#pendingUpdates.map(({ sequence, sentAt }) => ({
       sequence,
       sentAt: Math.min(now, sentAt + pause),
     }));
   }
 
-  /** The keeper does not answer, or stops. */
+  /** Records that the coordinator did not reply or is about to stop. */
   recordFailover(kind: FailoverReason): void {
-    if (kind === "silent") this.#silentKeepers++;
-    this.#unanswered = [];
+    if (kind === "silent") this.#unresponsiveCoordinators++;
+    this.#pendingUpdates = [];
   }
 
-  /** Nobody answers; the next ask begins anew. */
+  /** Resets the session when no coordinator replies. */
   reset(): void {
-    this.#silentKeepers = 0;
-    this.#unanswered = [];
+    this.#unresponsiveCoordinators = 0;
+    this.#pendingUpdates = [];
   }
 
-  /** The oldest ask that an answer speaks of tells what answers take. */
-  #noteTime(sequence: number, now: Milliseconds): void {
-    const [oldest] = this.#unanswered;
+  /**
+   * Measures the reply time by the oldest update that the reply acknowledges.
+   */
+  #recordReplyTime(sequence: number, now: Milliseconds): void {
+    const [oldest] = this.#pendingUpdates;
     if (oldest === undefined || oldest.sequence > sequence) return;
-    const took = now - oldest.sentAt;
-    const weight = took > this.#answerTime ? SLOWER_WEIGHT : FASTER_WEIGHT;
-    this.#answerTime += weight * (took - this.#answerTime);
-    this.#meanAnswerTime += MEAN_WEIGHT * (took - this.#meanAnswerTime);
+    const duration = now - oldest.sentAt;
+    const weight = duration > this.#replyTime
+      ? SLOWER_REPLY_WEIGHT
+      : FASTER_REPLY_WEIGHT;
+    this.#replyTime += weight * (duration - this.#replyTime);
+    this.#meanReplyTime += MEAN_REPLY_TIME_WEIGHT *
+      (duration - this.#meanReplyTime);
   }
 
-  /** Requests of which the keeper may not know; from now on this ask tells of them. */
-  #untold(
+  /**
+   * Returns the requests that the coordinator has not acknowledged, and notes
+   * that this update includes them.
+   */
+  #unacknowledged(
     requests: Map<RequestId, number>,
     sequence: number,
   ): RequestId[] {
-    const untold: RequestId[] = [];
-    for (const [request, told] of requests) {
-      if (told <= this.#answered) continue;
-      untold.push(request);
-      requests.set(request, Math.min(told, sequence));
+    const unacknowledged: RequestId[] = [];
+    for (const [request, firstSequence] of requests) {
+      if (firstSequence <= this.#acknowledged) continue;
+      unacknowledged.push(request);
+      requests.set(request, Math.min(firstSequence, sequence));
     }
-    return untold;
+    return unacknowledged;
   }
 
-  /** The keeper knows nothing of this host's requests. */
-  #describeAnew(): void {
-    for (const request of this.#described.keys()) {
-      this.#described.set(request, Infinity);
+  /**
+   * Has all waiting requests described again to a coordinator without state.
+   */
+  #describeAll(): void {
+    for (const request of this.#describedIn.keys()) {
+      this.#describedIn.set(request, Infinity);
     }
-    this.#withdrawn.clear();
+    this.#withdrawnIn.clear();
   }
 
-  #turnTo(keeper: HostId): void {
-    this.#keeper = keeper;
-    this.#keeperIncarnation = undefined;
-    this.#verdictsSeen = 0;
-    this.#unanswered = [];
-    this.#describeAnew();
+  #switchCoordinator(coordinator: HostId): void {
+    this.#coordinator = coordinator;
+    this.#coordinatorIncarnation = undefined;
+    this.#decisionsSeen = 0;
+    this.#pendingUpdates = [];
+    this.#describeAll();
   }
 }
--- a/packages/admission/src/cellSnapshots.ts
+++ b/packages/admission/src/cellSnapshots.ts
@@ -2,16 +2,16 @@
 import { type Cell, type CellKey, cellKeyOf } from "./cells.ts";
 import type { CellSnapshot } from "./cellMessages.ts";
 
-/** A snapshot older than this says nothing about free places. */
-const SNAPSHOT_MS: Milliseconds = 1_000;
-/** Share of all places that must be free for cells to count as idle. */
-const IDLE_SHARE = 0.25;
+/** Older snapshots say nothing about free slots. */
+const MAXIMUM_SNAPSHOT_AGE_MS: Milliseconds = 1_000;
+/** Share of all slots that must be free for cells to count as idle. */
+const IDLE_FREE_SHARE = 0.25;
 
-/** How full cells were when their keepers told last. */
+/** Latest known snapshots of cells. */
 export class CellSnapshots {
   readonly #snapshots = new Map<CellKey, CellSnapshot>();
 
-  /** Takes in a snapshot unless a newer one is known. */
+  /** Stores a snapshot unless a newer one is known. */
   update(snapshot: CellSnapshot): void {
     const key = cellKeyOf(snapshot.cell);
     const known = this.#snapshots.get(key);
@@ -20,30 +20,33 @@
     }
   }
 
-  /** The snapshot of a cell; `undefined` without one that is new enough. */
+  /** Returns the snapshot of a cell; `undefined` without a recent one. */
   get(cell: Cell, now: Milliseconds): CellSnapshot | undefined {
     const snapshot = this.#snapshots.get(cellKeyOf(cell));
-    if (snapshot === undefined || now - snapshot.at > SNAPSHOT_MS) {
+    if (snapshot === undefined || now - snapshot.at > MAXIMUM_SNAPSHOT_AGE_MS) {
       return undefined;
     }
     return snapshot;
   }
 
-  /** Whether nobody waits in these cells and places are free to spare. */
+  /** Whether no requests wait in these cells and enough slots are free. */
   areIdle(cells: readonly Cell[], now: Milliseconds): boolean {
-    let places = 0;
+    let capacity = 0;
     let free = 0;
     for (const cell of cells) {
       const snapshot = this.get(cell, now);
       if (snapshot === undefined) continue;
       if (snapshot.waiting > 0) return false;
-      places += snapshot.capacity;
+      capacity += snapshot.capacity;
       free += snapshot.free;
     }
-    return free > IDLE_SHARE * places;
+    return free > IDLE_FREE_SHARE * capacity;
   }
 
-  /** A cell drawn by the free places that were seen; `undefined` without any. */
+  /**
+   * Draws a cell with a probability in proportion to its free slots;
+   * `undefined` if none is known to be free.
+   */
   pickByFreeSlots(
     cells: readonly Cell[],
     { random, now }: { random: Random; now: Milliseconds },
--- a/packages/admission/src/cellUpstreams.ts
+++ b/packages/admission/src/cellUpstreams.ts
@@ -4,9 +4,8 @@
 import type { Upstream } from "./types.ts";
 
 /**
- * The upstreams of one cell. They are looked for when the list that they come from is
- * another one, not for each decision: that would hash the names of a whole service
- * several times for each request.
+ * Upstreams of one cell. Filters again only when the source returns another
+ * list, which saves hashing all upstreams of a service for each decision.
  */
 export class CellUpstreams implements UpstreamSource {
   readonly #cell: Cell;
@@ -14,7 +13,7 @@
   #list: readonly Upstream[] | undefined;
   #members: readonly Upstream[] = [];
 
-  /** The source must give the same list as long as nothing has changed. */
+  /** The source must return the same array until its upstreams change. */
   constructor(cell: Cell, source: UpstreamSource) {
     this.#cell = cell;
     this.#source = source;
--- a/packages/admission/src/cells.ts
+++ b/packages/admission/src/cells.ts
@@ -1,30 +1,34 @@
 import type { Branded, FailureDomain, ServiceId } from "@wasabivane/common";
-import { HASH_WEIGHTS, hashWeight } from "./hashWeight.ts";
+import { HASH_WEIGHT_COUNT, hashWeight } from "./hashWeight.ts";
 import type { Upstream } from "./types.ts";
 
 /**
- * Places that one keeper orders requests for. Asks grow with the places that come free;
- * with more of them a keeper's processor is full in a burst, its answers come late and
- * hosts go on without it. With fewer, free places of one cell stand beside the line of
- * another.
+ * Target number of slots in a cell. Larger cells can overload their
+ * coordinator; in smaller ones free slots of one cell stay unused while
+ * requests queue in another.
  */
-const CELL_PLACES = 120;
+const TARGET_CELL_SLOTS = 120;
 
-/** Text that names a {@link Cell}, equal on every host. */
+/** Identifies a {@link Cell}; equal on every host. */
 export type CellKey = Branded<string, "CellKey">;
 
-/** Some upstreams of a service, whose line one host keeps. */
+/**
+ * A group of upstreams of one service that share one queue and one coordinator.
+ */
 export interface Cell {
   readonly service: ServiceId;
-  /** Where its upstreams are; `undefined` for a service of one cell. */
+  /**
+   * Failure domain of its upstreams; `undefined` if the service has a single
+   * cell.
+   */
   readonly failureDomain: FailureDomain | undefined;
-  /** Its number among the cells of its failure domain. */
+  /** Index among the cells of its failure domain. */
   readonly index: number;
-  /** How many cells the failure domain has. */
+  /** Number of cells in the failure domain. */
   readonly count: number;
 }
 
-/** Names a cell. */
+/** Returns the key of a cell. */
 export function cellKeyOf(
   { service, failureDomain, index, count }: Cell,
 ): CellKey {
@@ -32,16 +36,17 @@
 }
 
 /**
- * Deals the upstreams of a service into cells of bounded size: all in one while they
- * are few, else by failure domain, as bytes between domains are charged, and by a
- * hash within it. Counts are powers of two, so that they seldom change when upstreams
- * come and go. Hosts with the same list deal alike without a word.
+ * Partitions the upstreams of a service into cells of bounded size: a single
+ * cell if they are few, else by failure domain, as traffic between domains is
+ * charged, and by hash within a domain. Counts are powers of two, so they
+ * rarely change as upstreams come and go. Hosts with the same list compute the
+ * same cells.
  */
 export function partitionIntoCells(
   service: ServiceId,
   upstreams: readonly Upstream[],
 ): Cell[] {
-  if (totalSlots(upstreams) <= CELL_PLACES) {
+  if (totalSlots(upstreams) <= TARGET_CELL_SLOTS) {
     return [{ service, failureDomain: undefined, index: 0, count: 1 }];
   }
   const sizes = new Map<FailureDomain, number>();
@@ -49,7 +54,8 @@
     sizes.set(failureDomain, (sizes.get(failureDomain) ?? 0) + slots);
   }
   return [...sizes].flatMap(([failureDomain, size]) => {
-    const count = 2 ** Math.max(0, Math.ceil(Math.log2(size / CELL_PLACES)));
+    const count = 2 **
+      Math.max(0, Math.ceil(Math.log2(size / TARGET_CELL_SLOTS)));
     return Array.from(
       { length: count },
       (_, index) => ({ service, failureDomain, index, count }),
@@ -57,7 +63,7 @@
   });
 }
 
-/** Requests that some upstreams run at once. */
+/** Returns the total number of slots of the upstreams. */
 export function totalSlots(upstreams: readonly Upstream[]): number {
   return upstreams.reduce((sum, { slots }) => sum + slots, 0);
 }
@@ -68,10 +74,10 @@
   upstream: Upstream,
 ): boolean {
   if (upstream.service !== service) return false;
-  const isElsewhere = failureDomain !== undefined &&
+  const isInOtherDomain = failureDomain !== undefined &&
     upstream.failureDomain !== failureDomain;
-  if (isElsewhere) return false;
+  if (isInOtherDomain) return false;
   if (count === 1) return true;
   const weight = hashWeight("cell", upstream.upstream);
-  return Math.floor(weight * count / HASH_WEIGHTS) === index;
+  return Math.floor(weight * count / HASH_WEIGHT_COUNT) === index;
 }
--- a/packages/admission/src/connectionBacklog.ts
+++ b/packages/admission/src/connectionBacklog.ts
@@ -1,33 +1,38 @@
-/** So many turns in a row that each took a connection mean that more are waiting. */
-const STANDING_TURNS = 4;
+/**
+ * Consecutive event-loop iterations with an accepted connection that indicate a
+ * backlog.
+ */
+const BACKLOG_ITERATIONS = 4;
 
 /**
- * Whether callers' connections wait to be taken.
+ * Detects whether connections wait to be accepted.
  *
- * Answers the load pattern of a host that falls behind: the runtime takes one connection
- * in each turn of its loop, whatever the turn takes, so that connections wait for seconds
- * behind a few slow turns. Nothing tells how long one has waited; that each turn takes
- * one tells that there are more.
+ * The runtime accepts one connection per iteration of the event loop, so slow
+ * iterations leave connections waiting for seconds. The waiting time is not
+ * visible, but a connection in each of several iterations means that more are
+ * waiting.
  */
 export class ConnectionBacklog {
-  #turns = 0;
-  #hasTaken = false;
+  #iterations = 0;
+  #hasAccepted = false;
 
-  /** A connection was taken in this turn of the loop. */
+  /** Records that a connection was accepted in this iteration. */
   recordAccept(): void {
-    if (!this.#hasTaken) this.#turns++;
-    this.#hasTaken = true;
+    if (!this.#hasAccepted) this.#iterations++;
+    this.#hasAccepted = true;
   }
 
-  /** A turn is over; gives back whether the next one is to be looked at as well. */
+  /**
+   * Ends an iteration; returns whether the next one must be observed as well.
+   */
   endIteration(): boolean {
-    if (!this.#hasTaken) this.#turns = 0;
-    this.#hasTaken = false;
-    return this.#turns > 0;
+    if (!this.#hasAccepted) this.#iterations = 0;
+    this.#hasAccepted = false;
+    return this.#iterations > 0;
   }
 
-  /** Whether the connection that was taken last had waited behind others. */
+  /** Whether the last accepted connection had to wait behind others. */
   get hasBacklog(): boolean {
-    return this.#turns >= STANDING_TURNS;
+    return this.#iterations >= BACKLOG_ITERATIONS;
   }
 }
--- a/packages/admission/src/coordinatorSelector.ts
+++ b/packages/admission/src/coordinatorSelector.ts
@@ -5,69 +5,79 @@
   rankCoordinators,
 } from "./rankCoordinators.ts";
 
-/** A keeper that was silent or stops is passed over for so long. */
-const PASSED_OVER_MS: Milliseconds = 3_000;
+/** How long an unresponsive or stopping coordinator is skipped. */
+const SKIP_MS: Milliseconds = 3_000;
 
-/** What a {@link CoordinatorSelector} is built from. */
+/** Dependencies and settings of a {@link CoordinatorSelector}. */
 export interface CoordinatorSelectorOptions {
   readonly host: HostId;
-  /** The hosts that live, this one included; the same list until something changes. */
+  /**
+   * Hosts that are alive, including this one; the same array until it changes.
+   */
   readonly candidates: () => readonly CoordinatorCandidate[];
 }
 
-/** The keepers of a cell in order, among the candidates that it was worked out from. */
-interface KnownOrder {
+/**
+ * Ranked hosts of a cell, and the candidates that the ranking was computed
+ * from.
+ */
+interface CachedRanking {
   readonly candidates: readonly CoordinatorCandidate[];
-  readonly order: readonly HostId[];
+  readonly ranking: readonly HostId[];
 }
 
-/** Who keeps which cell, as one host sees it: the first in order that is not passed over. */
+/**
+ * Selects the coordinator of each cell as this host sees it: the first in rank
+ * that is not skipped.
+ */
 export class CoordinatorSelector {
   readonly #options: CoordinatorSelectorOptions;
-  readonly #passedOver = new Map<HostId, Milliseconds>();
-  readonly #orders = new Map<CellKey, KnownOrder>();
+  readonly #skipped = new Map<HostId, Milliseconds>();
+  readonly #rankings = new Map<CellKey, CachedRanking>();
 
   constructor(options: CoordinatorSelectorOptions) {
     this.#options = options;
   }
 
-  /** The keeper of a cell; this host when there is none. */
+  /** Returns the coordinator of a cell; this host if there is none. */
   coordinatorOf(cell: Cell, now: Milliseconds): HostId {
     const skippedHosts = this.skipped(now);
-    const first = this.#orderOf(cell).find((host) => !skippedHosts.has(host));
+    const first = this.#rankingOf(cell).find((host) => !skippedHosts.has(host));
     return first ?? this.#options.host;
   }
 
-  /** Passes a keeper over that was silent or stops. */
-  skip(keeper: HostId, now: Milliseconds): void {
-    this.skipUntil(keeper, now + PASSED_OVER_MS);
+  /** Skips a coordinator that is unresponsive or stops. */
+  skip(coordinator: HostId, now: Milliseconds): void {
+    this.skipUntil(coordinator, now + SKIP_MS);
   }
 
-  /** A peer says that a keeper was silent. */
-  skipUntil(keeper: HostId, until: Milliseconds): void {
-    if (keeper !== this.#options.host) this.#passedOver.set(keeper, until);
+  /** Skips a coordinator that a peer reported as unresponsive. */
+  skipUntil(coordinator: HostId, until: Milliseconds): void {
+    if (coordinator !== this.#options.host) {
+      this.#skipped.set(coordinator, until);
+    }
   }
 
-  /** A keeper has answered. */
-  clearSkip(keeper: HostId): void {
-    this.#passedOver.delete(keeper);
+  /** Stops skipping a coordinator that has replied. */
+  clearSkip(coordinator: HostId): void {
+    this.#skipped.delete(coordinator);
   }
 
-  /** Keepers that this host passes over, and until when. */
+  /** Returns the coordinators that this host skips, and until when. */
   skipped(now: Milliseconds): ReadonlyMap<HostId, Milliseconds> {
-    for (const [host, until] of this.#passedOver) {
-      if (until <= now) this.#passedOver.delete(host);
+    for (const [host, until] of this.#skipped) {
+      if (until <= now) this.#skipped.delete(host);
     }
-    return this.#passedOver;
+    return this.#skipped;
   }
 
-  #orderOf(cell: Cell): readonly HostId[] {
+  #rankingOf(cell: Cell): readonly HostId[] {
     const key = cellKeyOf(cell);
     const candidates = this.#options.candidates();
-    const known = this.#orders.get(key);
-    if (known?.candidates === candidates) return known.order;
-    const order = rankCoordinators(cell, candidates);
-    this.#orders.set(key, { candidates, order });
-    return order;
+    const cached = this.#rankings.get(key);
+    if (cached?.candidates === candidates) return cached.ranking;
+    const ranking = rankCoordinators(cell, candidates);
+    this.#rankings.set(key, { candidates, ranking });
+    return ranking;
   }
 }
--- a/packages/admission/src/drawWatchDuration.ts
+++ b/packages/admission/src/drawWatchDuration.ts
@@ -1,57 +1,60 @@
 import type { Milliseconds, Random } from "@wasabivane/common";
 
 /**
- * Wait of one watch of a host that reads alone, of the bound within which keys must
- * stop working. An empty answer proves that nothing changed until its wait was
- * over, and the proof must not grow old: 0.8 s of 5 s.
+ * Longest watch, as a share of the revocation bound, of a host that reads the
+ * store alone, and shortest watch otherwise. An empty response confirms the
+ * policy, so the duration limits the age of the confirmation.
  */
-const LONE_WAIT_SHARE = 0.16;
+const SINGLE_READER_DURATION_SHARE = 0.16;
 /**
- * Longest wait of a host whose peers read the store too and pass their proofs on.
- * Waits are drawn between the two: a change answers all watches at once, and with
- * equal waits all proofs would be equally old from then on. 3 s of 5 s, below the
- * time for which a proof serves.
+ * Longest watch of a host whose peers also read the store and share their
+ * confirmations. Durations are drawn at random, because a change ends the
+ * watches of all hosts at once and equal durations would keep them
+ * synchronized.
  */
-const SHARED_WAIT_SHARE = 0.6;
-/** A connection that went silent is noticed only when a wait is over. */
-const LONGEST_WAIT_MS: Milliseconds = 3_000;
+const SHARED_DURATION_SHARE = 0.6;
+/** Bounds the time until a dead connection is noticed. */
+const MAXIMUM_DURATION_MS: Milliseconds = 3_000;
 /**
- * Shortest wait right after a change. Its answer proves freshness only as of when
- * it was asked; until the next proof, "no such key" may not be said.
+ * Shortest watch right after a change. Its response confirms the policy only as
+ * of the request, and unknown keys cannot be denied until the next
+ * confirmation.
  */
-const SETTLING_WAIT_SHARE = 0.04;
-/** Peers that read, from which on their proofs come often enough. */
-const SHARING_PEERS = 3;
+const SETTLING_DURATION_SHARE = 0.04;
+/**
+ * Number of reading peers from which their confirmations arrive often enough.
+ */
+const MINIMUM_SHARING_PEERS = 3;
 
-/** What a host knows when it begins to watch for changes. */
+/** What the duration of a watch depends on. */
 export interface WatchContext {
-  /** Within this time of being withdrawn, a key must have stopped working. */
+  /** A revoked key must be rejected within this time. */
   readonly revocationBound: Milliseconds;
-  /** Peers that watch too and pass on that nothing changed. */
+  /** Number of peers that watch too and share their confirmations. */
   readonly readingPeers: number;
-  /** The last answer told of a change. */
+  /** Whether the last response reported a change. */
   readonly hasJustChanged: boolean;
 }
 
 /**
- * Draws how long one watch waits for a change.
- *
- * Answers two loads on the store and the callers: each answer is a call that is
- * paid for, and the age of the last proof bounds which requests may be served.
+ * Draws how long one watch of the store waits for a change, within the bounds
+ * set by the cost of each response and by the age of the last confirmation.
  */
 export function drawWatchDuration(
   { revocationBound, readingPeers, hasJustChanged }: WatchContext,
   random: Random,
 ): Milliseconds {
-  const settling = waitOf(SETTLING_WAIT_SHARE * revocationBound);
-  const lone = waitOf(LONE_WAIT_SHARE * revocationBound);
-  const shared = waitOf(SHARED_WAIT_SHARE * revocationBound);
-  const isAlone = readingPeers < SHARING_PEERS;
-  const least = hasJustChanged ? settling : lone;
-  const most = hasJustChanged || isAlone ? lone : shared;
-  return Math.round(least + (most - least) * random.float());
+  const settling = boundedDuration(SETTLING_DURATION_SHARE * revocationBound);
+  const single = boundedDuration(
+    SINGLE_READER_DURATION_SHARE * revocationBound,
+  );
+  const shared = boundedDuration(SHARED_DURATION_SHARE * revocationBound);
+  const isSingleReader = readingPeers < MINIMUM_SHARING_PEERS;
+  const minimum = hasJustChanged ? settling : single;
+  const maximum = hasJustChanged || isSingleReader ? single : shared;
+  return Math.round(minimum + (maximum - minimum) * random.float());
 }
 
-function waitOf(span: Milliseconds): Milliseconds {
-  return Math.round(Math.min(LONGEST_WAIT_MS, span));
+function boundedDuration(span: Milliseconds): Milliseconds {
+  return Math.round(Math.min(MAXIMUM_DURATION_MS, span));
 }
--- a/packages/admission/src/firstEventModel.ts
+++ b/packages/admission/src/firstEventModel.ts
@@ -2,26 +2,31 @@
 import { LinearFit } from "./linearFit.ts";
 import type { UpstreamSpeed } from "./upstreamSpeed.ts";
 
-/** Assumed before anything was seen. */
-const FIRST_GUESS_MS: Milliseconds = 120;
+/** Estimate until a service has samples. */
+const INITIAL_ESTIMATE_MS: Milliseconds = 120;
 
-/** One request's time until its first event, or its whole plain answer. */
+/**
+ * Measured time until the first event of a stream, or until the complete
+ * response without streaming.
+ */
 export interface FirstEventSample {
   readonly service: ServiceId;
   readonly upstream: UpstreamId;
-  /** Prompt tokens that the upstream had to read before: its own and those ahead. */
+  /**
+   * Prompt tokens that the upstream processed before: those of the request and
+   * of requests ahead of it.
+   */
   readonly promptTokens: number;
   readonly duration: Milliseconds;
 }
 
 /**
- * Expects when the first event of a request comes at an upstream: a constant and a
- * time for each prompt token, learned by service, times the upstream's slowness.
+ * Estimates the time to the first event at an upstream: a constant plus a time
+ * per prompt token, learned per service and scaled by the slowness of the
+ * upstream.
  *
- * Answers the load pattern of prompts that differ a hundredfold before engines of
- * unlike speed. A mean over all requests takes a long prompt at a slow engine for
- * a silent upstream, whose work is then thrown away and begun anew elsewhere, and
- * it sends that prompt there in the first place.
+ * A mean over all requests would mistake a slow upstream with a long prompt for
+ * an unresponsive one, and would place long prompts there.
  */
 export class FirstEventModel {
   readonly #speed: UpstreamSpeed;
@@ -41,7 +46,10 @@
     } else fit.add(promptTokens, time);
   }
 
-  /** Expected time at an upstream, or at the service's mean one. */
+  /**
+   * Returns the expected time at an upstream, or at one of the service's mean
+   * speed.
+   */
   expected(
     service: ServiceId,
     { promptTokens, upstream }: {
@@ -53,10 +61,13 @@
       ? 1
       : this.#speed.slowness(service, upstream);
     const fit = this.#fits.get(service);
-    return (fit?.predict(promptTokens) ?? FIRST_GUESS_MS) * slowness;
+    return (fit?.predict(promptTokens) ?? INITIAL_ESTIMATE_MS) * slowness;
   }
 
-  /** Expected time in which an upstream reads so many prompt tokens. */
+  /**
+   * Returns the expected time in which an upstream processes the given prompt
+   * tokens.
+   */
   prefillTime(
     service: ServiceId,
     { promptTokens, upstream }: { promptTokens: number; upstream: UpstreamId },
--- a/packages/admission/src/fleetLoad.ts
+++ b/packages/admission/src/fleetLoad.ts
@@ -1,63 +1,61 @@
 import type { HostId, Milliseconds, UpstreamId } from "@wasabivane/common";
 
-/** Requests of a silent peer count until then: upstreams drop those of a dead one within seconds. */
-const PEER_FORGET_MS: Milliseconds = 2_000;
-/** Silence is looked for so often: a small part of the time after which it counts. */
-const SILENCE_CHECK_MS: Milliseconds = 100;
+/** Load of an unresponsive peer counts for this long. */
+const PEER_TIMEOUT_MS: Milliseconds = 2_000;
+/** Interval at which unresponsive peers are looked for. */
+const PEER_CHECK_INTERVAL_MS: Milliseconds = 100;
 
-/** Weight of the newest report of an upstream; two or three show work that nobody tells of. */
+/** Weight of the newest report of an upstream. */
 const REPORT_WEIGHT = 0.5;
 /**
- * Without reports, work that nobody tells of is taken to fade in about this time, about
- * as long as hosts are cut off. A full upstream gets nothing and says nothing; as soon as
- * one place seems free, the next answer tells.
+ * Time constant with which unaccounted load decays without new reports. An
+ * upstream that seems full gets no requests and so sends no reports.
  */
-const UNTOLD_MEMORY_MS: Milliseconds = 6_000;
+const UNACCOUNTED_DECAY_MS: Milliseconds = 6_000;
 
-/** Work at one upstream. */
+/** Load at one upstream. */
 export interface UpstreamLoad {
   readonly requests: number;
-  /** Prompt tokens of requests that have no first event yet. */
+  /** Prompt tokens of requests without a first event. */
   readonly pendingPrefillTokens: number;
 }
 
 const NO_LOAD: UpstreamLoad = { requests: 0, pendingPrefillTokens: 0 };
 
-/** What a host tells of its own work; each word replaces the one before. */
+/** Load that a host reports; replaces its last report. */
 export interface HostLoad {
   readonly inFlight: ReadonlyMap<UpstreamId, UpstreamLoad>;
 }
 
-/** Requests at an upstream that no host tells of, as a mean of its reports. */
-interface UntoldLoad {
+/** Requests at an upstream that no host accounts for; mean of its reports. */
+interface UnaccountedLoad {
   readonly requests: number;
   readonly at: Milliseconds;
 }
 
 interface PeerLoad extends HostLoad {
-  readonly heardAt: Milliseconds;
+  readonly updatedAt: Milliseconds;
 }
 
 /**
- * Requests in flight at each upstream over all hosts: own ones exactly, those
- * of peers as they told them last.
+ * Requests in flight at each upstream over all hosts: exact for this host, last
+ * reported by the others.
  *
- * Answers the load pattern of many hosts before few upstreams. Each sees only
- * its own few requests; without the others' counts several hosts fill the same
- * upstream while another idles, and the engines queue or reject what was sent. Hosts
- * that are cut off go on sending and tell nobody: an upstream's own report shows that
- * it has more than is known of, and what it has more counts as taken.
+ * Without the load of the other hosts, several hosts would fill the same
+ * upstream while another is idle. Partitioned hosts keep sending without
+ * reporting their load; upstreams report their total, and what exceeds the
+ * known load counts as taken.
  */
 export class FleetLoad {
   readonly #own = new Map<UpstreamId, UpstreamLoad>();
   readonly #others = new Map<UpstreamId, UpstreamLoad>();
   readonly #peers = new Map<HostId, PeerLoad>();
-  readonly #untold = new Map<UpstreamId, UntoldLoad>();
-  /** Time of the last call that told it. */
+  readonly #unaccounted = new Map<UpstreamId, UnaccountedLoad>();
+  /** Latest time passed to any method. */
   #now: Milliseconds = 0;
   #checkedAt: Milliseconds = -Infinity;
 
-  /** Counts a request in that this host sends. */
+  /** Adds a request that this host sends. */
   begin(upstream: UpstreamId, promptTokens = 0): void {
     add(this.#own, upstream, {
       requests: 1,
@@ -65,7 +63,10 @@
     });
   }
 
-  /** The upstream has read a request's prompt, or will not any more. */
+  /**
+   * Removes the prompt tokens of a request that the upstream has processed or
+   * will not process.
+   */
   endPrefill(upstream: UpstreamId, promptTokens: number): void {
     add(this.#own, upstream, {
       requests: 0,
@@ -73,28 +74,30 @@
     });
   }
 
-  /** Counts a request out. */
+  /** Removes a request. */
   end(upstream: UpstreamId): void {
     add(this.#own, upstream, { requests: -1, pendingPrefillTokens: 0 });
   }
 
-  /** Takes a peer's word. */
+  /** Replaces the load of a peer. */
   setPeerLoad(peer: HostId, load: HostLoad, now: Milliseconds): void {
     this.#now = Math.max(this.#now, now);
     const former = this.#peers.get(peer);
     if (former !== undefined) this.#addAll(former, -1);
-    this.#peers.set(peer, { ...load, heardAt: now });
+    this.#peers.set(peer, { ...load, updatedAt: now });
     this.#addAll(load, 1);
   }
 
-  /** Forgets peers that have been silent; true when one was forgotten. */
+  /**
+   * Removes the load of unresponsive peers; returns whether any was removed.
+   */
   expirePeers(now: Milliseconds): boolean {
     this.#now = Math.max(this.#now, now);
-    if (now - this.#checkedAt < SILENCE_CHECK_MS) return false;
+    if (now - this.#checkedAt < PEER_CHECK_INTERVAL_MS) return false;
     this.#checkedAt = now;
     let isChanged = false;
     for (const [peer, load] of this.#peers) {
-      if (now - load.heardAt < PEER_FORGET_MS) continue;
+      if (now - load.updatedAt < PEER_TIMEOUT_MS) continue;
       this.#addAll(load, -1);
       this.#peers.delete(peer);
       isChanged = true;
@@ -102,56 +105,60 @@
     return isChanged;
   }
 
-  /** Requests at the upstream from all hosts. */
+  /** Returns the number of requests at the upstream from all hosts. */
   total(upstream: UpstreamId): number {
-    return this.#told(upstream) + Math.floor(this.#untoldAt(upstream));
+    return this.#knownTotal(upstream) +
+      Math.floor(this.#unaccountedAt(upstream));
   }
 
-  /** An upstream says how many requests it has, running and waiting. */
+  /** Applies an upstream's report of its running and queued requests. */
   recordReport(
     upstream: UpstreamId,
     requests: number,
     now: Milliseconds,
   ): void {
     this.#now = Math.max(this.#now, now);
-    const more = requests - this.#told(upstream);
-    const known = this.#untoldAt(upstream);
-    const mean = Math.max(0, known + REPORT_WEIGHT * (more - known));
-    this.#untold.set(upstream, { requests: mean, at: now });
+    const excess = requests - this.#knownTotal(upstream);
+    const known = this.#unaccountedAt(upstream);
+    const mean = Math.max(0, known + REPORT_WEIGHT * (excess - known));
+    this.#unaccounted.set(upstream, { requests: mean, at: now });
   }
 
-  #told(upstream: UpstreamId): number {
+  #knownTotal(upstream: UpstreamId): number {
     const own = this.#own.get(upstream) ?? NO_LOAD;
     return own.requests + (this.#others.get(upstream) ?? NO_LOAD).requests;
   }
 
-  #untoldAt(upstream: UpstreamId): number {
-    const untold = this.#untold.get(upstream);
-    if (untold === undefined) return 0;
-    const age = this.#now - untold.at;
-    return untold.requests * Math.exp(-Math.max(0, age) / UNTOLD_MEMORY_MS);
+  #unaccountedAt(upstream: UpstreamId): number {
+    const unaccounted = this.#unaccounted.get(upstream);
+    if (unaccounted === undefined) return 0;
+    const age = this.#now - unaccounted.at;
+    return unaccounted.requests *
+      Math.exp(-Math.max(0, age) / UNACCOUNTED_DECAY_MS);
   }
 
-  /** Prompt tokens from all hosts that the upstream has yet to read. */
+  /**
+   * Returns the prompt tokens from all hosts that the upstream has yet to
+   * process.
+   */
   pendingPrefillTokens(upstream: UpstreamId): number {
     const own = this.#own.get(upstream) ?? NO_LOAD;
     const others = this.#others.get(upstream) ?? NO_LOAD;
     return own.pendingPrefillTokens + others.pendingPrefillTokens;
   }
 
-  /** This host's own work. */
+  /** Returns the load of this host. */
   ownInFlight(): ReadonlyMap<UpstreamId, UpstreamLoad> {
     return this.#own;
   }
 
   #addAll({ inFlight }: HostLoad, sign: 1 | -1): void {
     for (
-      const [upstream, { requests, pendingPrefillTokens: unreadTokens }]
-        of inFlight
+      const [upstream, { requests, pendingPrefillTokens }] of inFlight
     ) {
       add(this.#others, upstream, {
         requests: sign * requests,
-        pendingPrefillTokens: sign * unreadTokens,
+        pendingPrefillTokens: sign * pendingPrefillTokens,
       });
     }
   }
--- a/packages/admission/src/hashWeight.ts
+++ b/packages/admission/src/hashWeight.ts
@@ -1,7 +1,10 @@
-/** Number of different weights. */
-export const HASH_WEIGHTS = 2 ** 32;
+/** Number of distinct weights. */
+export const HASH_WEIGHT_COUNT = 2 ** 32;
 
-/** Weight of a candidate for a key, equal on every host: FNV-1a with a final mix. */
+/**
+ * Returns the rendezvous-hashing weight of a candidate for a key (FNV-1a with a
+ * final mix); equal on every host.
+ */
 export function hashWeight(key: string, candidate: string): number {
   let hash = 0x811c9dc5;
   for (const text of [key, candidate]) {
--- a/packages/admission/src/index.ts
+++ b/packages/admission/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * Decisions of a host that decides alone on what it sees and what its peers tell:
- * placement, waiting, refusal, quotas, retries, health. No module reads a clock,
- * a network or a random source of its own.
+ * Admission decisions of a host, based on what it observes and what its peers
+ * report: placement, queueing, refusal, quotas, retries and upstream health. No
+ * module accesses a clock, the network or a random source itself.
  */
 export * from "./types.ts";
 export { PolicyIndex } from "./policyIndex.ts";
--- a/packages/admission/src/latencyMargin.ts
+++ b/packages/admission/src/latencyMargin.ts
@@ -1,45 +1,48 @@
 import type { Milliseconds } from "@wasabivane/common";
 import type { RouteId } from "./types.ts";
 
-/** About twenty answers are remembered: a burst changes what engines take within a second. */
+/** Weight of the newest sample; high enough to follow a burst. */
 const SAMPLE_WEIGHT = 0.05;
-/** With so many mean deviations above the mean, nine in ten first events come sooner. */
+/** Mean deviations above the mean that cover about nine in ten first events. */
 const DEVIATIONS = 1.6;
 
-/** By how much first events came later than expected. */
+/** How much later than expected first events came. */
 interface Lateness {
   mean: Milliseconds;
-  /** Mean distance from the mean. */
+  /** Mean absolute deviation from the mean. */
   deviation: Milliseconds;
 }
 
 /**
- * By how much a request must start before its expected first event would just be on time,
- * so that nine in ten of its route are.
+ * Learns by how much earlier than expected the requests of a route must start
+ * so that about nine in ten are on time.
  *
- * Answers the load pattern of lasting overload, in which the earliest due first start all
- * just before it is too late for the mean one. Engines are full then and read others'
- * prompts first, and each such request is a little late although it was served.
+ * In lasting overload, requests are started just before they become late. A
+ * start that only fits the mean latency would make many of them slightly late.
  */
 export class LatencyMargin {
   readonly #routes = new Map<RouteId, Lateness>();
 
-  /** A first event, or a whole plain answer, came so much later than expected. */
-  observe(route: RouteId, lateness: Milliseconds): void {
-    const known = this.#routes.get(route);
-    if (known === undefined) {
+  /**
+   * Records how much later than expected a first event, or a complete response
+   * without streaming, came.
+   */
+  observe(route: RouteId, excess: Milliseconds): void {
+    const lateness = this.#routes.get(route);
+    if (lateness === undefined) {
       this.#routes.set(route, { mean: 0, deviation: 0 });
       return;
     }
-    const off = lateness - known.mean;
-    known.mean += SAMPLE_WEIGHT * off;
-    known.deviation += SAMPLE_WEIGHT * (Math.abs(off) - known.deviation);
+    const offset = excess - lateness.mean;
+    lateness.mean += SAMPLE_WEIGHT * offset;
+    lateness.deviation += SAMPLE_WEIGHT *
+      (Math.abs(offset) - lateness.deviation);
   }
 
-  /** The margin of a route; 0 before anything was seen. */
+  /** Returns the margin of a route; 0 before any samples. */
   of(route: RouteId): Milliseconds {
-    const known = this.#routes.get(route);
-    if (known === undefined) return 0;
-    return Math.max(0, known.mean + DEVIATIONS * known.deviation);
+    const lateness = this.#routes.get(route);
+    if (lateness === undefined) return 0;
+    return Math.max(0, lateness.mean + DEVIATIONS * lateness.deviation);
   }
 }
--- a/packages/admission/src/linearFit.ts
+++ b/packages/admission/src/linearFit.ts
@@ -1,12 +1,12 @@
 import type { Milliseconds } from "@wasabivane/common";
 
-/** Weight of the newest sample: about fifty are remembered, some seconds of one host's work. */
+/** Weight of the newest sample once there are enough. */
 const SAMPLE_WEIGHT = 0.02;
 
 /**
- * A straight line of times over amounts of work, the newest samples weighing most.
- * While there are few, all weigh alike: the first answers after a start are often
- * slow, and one of them must not stand for the next fifty.
+ * Exponentially weighted linear regression of time over an amount of work. The
+ * first samples weigh equally, so that a slow first response does not dominate
+ * the fit.
  */
 export class LinearFit {
   #samples = 1;
@@ -15,7 +15,7 @@
   #variance = 0;
   #covariance = 0;
 
-  /** Begins with one sample. */
+  /** Creates a fit from a first sample. */
   constructor(amount: number, time: Milliseconds) {
     this.#meanAmount = amount;
     this.#meanTime = time;
@@ -23,28 +23,36 @@
 
   add(amount: number, time: Milliseconds): void {
     const weight = Math.max(SAMPLE_WEIGHT, 1 / ++this.#samples);
-    const amountOff = amount - this.#meanAmount;
-    const timeOff = time - this.#meanTime;
-    this.#meanAmount += weight * amountOff;
-    this.#meanTime += weight * timeOff;
-    this.#variance = blend(this.#variance, amountOff * amountOff, weight);
-    this.#covariance = blend(this.#covariance, amountOff * timeOff, weight);
+    const amountDeviation = amount - this.#meanAmount;
+    const timeDeviation = time - this.#meanTime;
+    this.#meanAmount += weight * amountDeviation;
+    this.#meanTime += weight * timeDeviation;
+    this.#variance = blend(
+      this.#variance,
+      amountDeviation * amountDeviation,
+      weight,
+    );
+    this.#covariance = blend(
+      this.#covariance,
+      amountDeviation * timeDeviation,
+      weight,
+    );
   }
 
-  /** Expected time of so much work. */
+  /** Returns the expected time for an amount of work. */
   predict(amount: number): Milliseconds {
     const time = this.#meanTime + this.slope * (amount - this.#meanAmount);
     return Math.max(0, time);
   }
 
-  /** Time of one unit more; more work never takes less. */
+  /** Time per unit of work; never negative. */
   get slope(): Milliseconds {
     if (this.#variance <= 0) return 0;
     return Math.max(0, this.#covariance / this.#variance);
   }
 }
 
-/** A moment of the samples with one more of the given weight. */
+/** Updates a weighted moment with one sample. */
 function blend(moment: number, sample: number, weight: number): number {
   return (1 - weight) * (moment + weight * sample);
 }
--- a/packages/admission/src/pauseRiskModel.ts
+++ b/packages/admission/src/pauseRiskModel.ts
@@ -1,42 +1,43 @@
 import type { Milliseconds, ServiceId, UpstreamId } from "@wasabivane/common";
 import type { UpstreamSpeed } from "./upstreamSpeed.ts";
 
-/** Late pauses a millisecond that a service is taken to have before anything was seen. */
-const FIRST_RATE = 0.01 / 1_000;
-/** Streaming time for which an upstream is judged by its speed as much as by what was seen. */
+/** Late pauses per millisecond assumed for a service without samples. */
+const INITIAL_RATE = 0.01 / 1_000;
+/**
+ * Streaming time by which the prior of an upstream weighs as much as its
+ * samples.
+ */
 const PRIOR_MS: Milliseconds = 10_000;
-/** Streaming time that is remembered of one upstream: about half a minute of one host's work. */
+/** Streaming time with which the samples of an upstream decay. */
 const MEMORY_MS: Milliseconds = 40_000;
 
-/** What one stream showed. */
+/** Pauses of one stream. */
 export interface PauseSample {
   readonly service: ServiceId;
   readonly upstream: UpstreamId;
-  /** Pauses that were longer than its route's target. */
+  /** Number of pauses longer than the route's target. */
   readonly latePauses: number;
   /** From its first event to its end. */
   readonly duration: Milliseconds;
 }
 
-interface Seen {
+interface PauseTotals {
   pauses: number;
   duration: Milliseconds;
 }
 
 /**
- * How likely a stream is late by a pause at each upstream.
+ * Estimates the risk that a pause makes a stream late at an upstream.
  *
- * Answers the load pattern of long prompts among streams. An engine reads prompts
- * between the tokens of its streams, so that these pause; at a slow engine for so
- * long that each second there is late as often as several at a fast one. Pauses come
- * at a steady rate while a stream runs: twice the time means twice the risk. Before
- * enough was seen of an upstream, it is taken to pause as its service does, the more
- * the slower it is.
+ * Upstreams process prompts between the tokens of their streams, which pauses
+ * the streams, for longer at slow upstreams. Late pauses are modelled as a
+ * constant rate while a stream runs. The prior of an upstream is the rate of
+ * its service scaled by its slowness.
  */
 export class PauseRiskModel {
   readonly #speed: UpstreamSpeed;
-  readonly #upstreams = new Map<UpstreamId, Seen>();
-  readonly #services = new Map<ServiceId, Seen>();
+  readonly #upstreams = new Map<UpstreamId, PauseTotals>();
+  readonly #services = new Map<ServiceId, PauseTotals>();
 
   constructor(speed: UpstreamSpeed) {
     this.#speed = speed;
@@ -47,7 +48,10 @@
     add(this.#services, service, sample);
   }
 
-  /** Chance of a late pause, 0 to 1, within so much streaming time there. */
+  /**
+   * Returns the probability, 0 to 1, of a late pause within the given streaming
+   * time.
+   */
   risk(
     { service, upstream, duration }: {
       service: ServiceId;
@@ -55,8 +59,8 @@
       duration: Milliseconds;
     },
   ): number {
-    const usual = rateOf(this.#services.get(service), FIRST_RATE);
-    const prior = usual * this.#speed.slowness(service, upstream);
+    const serviceRate = rateOf(this.#services.get(service), INITIAL_RATE);
+    const prior = serviceRate * this.#speed.slowness(service, upstream);
     const rate = rateOf(this.#upstreams.get(upstream), prior);
     return 1 - Math.exp(-rate * duration);
   }
@@ -66,20 +70,20 @@
   }
 }
 
-function rateOf(seen: Seen | undefined, prior: number): number {
-  const { pauses, duration } = seen ?? { pauses: 0, duration: 0 };
+function rateOf(totals: PauseTotals | undefined, prior: number): number {
+  const { pauses, duration } = totals ?? { pauses: 0, duration: 0 };
   return (pauses + prior * PRIOR_MS) / (duration + PRIOR_MS);
 }
 
 function add<Key>(
-  all: Map<Key, Seen>,
+  all: Map<Key, PauseTotals>,
   key: Key,
   { latePauses, duration }: Omit<PauseSample, "service" | "upstream">,
 ): void {
-  const former = all.get(key) ?? { pauses: 0, duration: 0 };
-  const kept = MEMORY_MS / (MEMORY_MS + duration);
+  const previous = all.get(key) ?? { pauses: 0, duration: 0 };
+  const retained = MEMORY_MS / (MEMORY_MS + duration);
   all.set(key, {
-    pauses: former.pauses * kept + latePauses,
-    duration: former.duration * kept + duration,
+    pauses: previous.pauses * retained + latePauses,
+    duration: previous.duration * retained + duration,
   });
 }
--- a/packages/admission/src/placement.ts
+++ b/packages/admission/src/placement.ts
@@ -10,92 +10,114 @@
 import type { PromptPart, Upstream } from "./types.ts";
 import type { UpstreamStats } from "./upstreamStats.ts";
 
-/** An upstream with no work at all still has half the cost of a full one. */
+/** Cost of an idle upstream, as a share of the cost of a full one. */
 const IDLE_COST = 0.5;
-/** Bytes between failure domains are charged; so little more load is taken for them. */
+/**
+ * Cost factor of an upstream in another failure domain, as traffic between
+ * domains is charged.
+ */
 const OTHER_DOMAIN_FACTOR = 1.1;
 /**
- * An upstream that holds the whole prompt costs so much less than one that holds
- * nothing of it: what is read again takes its time from the streams beside it.
+ * Share by which the cost falls at an upstream that has the whole prompt
+ * cached.
  */
-const HELD_DISCOUNT = 0.75;
+const CACHED_DISCOUNT = 0.75;
 /**
- * A request waits for an upstream that holds its prompt up to so many times what reading
- * it again would take: once for its own first event, once for the streams beside it.
+ * Multiple of the prefill time saved for which a request waits for an upstream
+ * that has its prompt cached: prefill delays both the request and the streams
+ * beside it.
  */
-const READING_WORTH = 2;
-/** An upstream that fails every request costs so many times more than one that fails none. */
+const PREFILL_WAIT_FACTOR = 2;
+/** Relative cost added at an upstream that fails every request. */
 const FAILURE_COST = 4;
-/** An upstream whose first event takes all the time to the target costs twice one that answers at once. */
+/** Relative cost added where the first event takes the whole target. */
 const LATENCY_COST = 1;
-/** A last place may be taken by a peer at the same moment; so many times dearer. */
-const LAST_PLACE_FACTOR = 1.6;
-const LAST_BUT_ONE_FACTOR = 1.15;
-/** A cold upstream takes longer for each request; warm ones come first. */
-const COLD_FACTOR = 2;
-/** Greatest chance of a late pause with which a place still counts as good. */
-const GOOD_PAUSE_RISK = 0.15;
-/** Answers may take so many times as long as expected; callers' hints are often far off. */
-const LENGTH_MARGIN = 1.5;
-/** Hosts that see the same loads must not all pick the same upstream. */
+/**
+ * Cost factors of the last free slots, which another host may take at the same
+ * time.
+ */
+const LAST_SLOT_FACTOR = 1.6;
+const SECOND_LAST_SLOT_FACTOR = 1.15;
+/** Cost factor of an upstream that is warming up, which is slower. */
+const WARMUP_FACTOR = 2;
+/** Highest probability of a late pause at which an upstream is suitable. */
+const MAXIMUM_PAUSE_RISK = 0.15;
+/**
+ * Factor by which responses may exceed their expected duration, as callers'
+ * hints are often inaccurate.
+ */
+const DURATION_MARGIN = 1.5;
+/**
+ * Random cost that keeps hosts with the same loads from picking the same
+ * upstream.
+ */
 const JITTER = 0.08;
 
-/** What a request looks for. */
+/** What the placement of a request depends on. */
 export interface PlacementCriteria {
-  /** Where the host is that sends it. */
+  /** Failure domain of the host that sends it. */
   readonly failureDomain: FailureDomain;
-  /** When it arrived. */
+  /** Arrival time. */
   readonly since: Milliseconds;
-  /** Prompt tokens that have to be read before its first event. */
+  /** Prompt tokens to process before its first event. */
   readonly promptTokens: number;
-  /** Its first event, or its whole plain answer, is on time until then. */
+  /**
+   * Its first event, or its complete response without streaming, is on time
+   * until then.
+   */
   readonly dueAt: Milliseconds;
   /** Time from arrival until it is due. */
   readonly target: Milliseconds;
-  /** When the whole answer must have been given. */
+  /** When the complete response must have been delivered. */
   readonly deadline: Milliseconds;
-  /** Expected time from the first event to the end at the service's mean upstream. */
+  /**
+   * Expected time from the first event to the end at an upstream of the
+   * service's mean speed.
+   */
   readonly responseDuration: Milliseconds;
-  /** Longest pause of a stream that is on time; 0 where pauses do not count. */
+  /** Longest pause of a stream that is on time; 0 if pauses do not count. */
   readonly pauseTarget: Milliseconds;
-  /** Parts of the prompt, in order; engines keep those that they have read. */
+  /**
+   * Parts of the prompt, in order; upstreams cache those that they have
+   * processed.
+   */
   readonly parts: readonly PromptPart[];
-  /** Upstreams that this request was sent to before. */
+  /** Upstreams that it was sent to before. */
   readonly excluded?: ReadonlySet<UpstreamId>;
 }
 
-/** An upstream where a request could start. */
-interface Option {
+/** An upstream at which a request could start. */
+interface UpstreamCandidate {
   readonly upstream: Upstream;
-  /** Tokens of the prompt that it likely holds. */
-  readonly held: number;
-  readonly isGood: boolean;
+  /** Tokens of the prompt that it has probably cached. */
+  readonly cachedTokens: number;
+  readonly isSuitable: boolean;
 }
 
-/** What {@link Placement} reads. */
+/** Dependencies of a {@link Placement}. */
 export interface PlacementOptions {
   readonly load: FleetLoad;
   readonly stats: UpstreamStats;
   readonly prefixCaches: PrefixCacheIndex;
   readonly random: Random;
   readonly starts: StartLimit;
-  /** Requests that an upstream may have from all hosts together. */
+  /** Maximum number of requests of all hosts at an upstream. */
   readonly limitOf: (upstream: Upstream) => number;
 }
 
 /**
- * Picks the upstream for one request: free places first, then whether the answer
- * would be good there, speed, load, failures, nearness and a prompt that was read
- * there before. A request that would not be good at any free place, but at another
- * upstream, leaves the place to others while it can still be on time.
+ * Picks the upstream for a request by free slots, suitability, speed, load,
+ * failures, failure domain and cached prompt. A request that no upstream with a
+ * free slot suits, but another upstream would, waits while it can still be on
+ * time.
  *
- * A place is good where the first event comes in time, the answer ends before the
- * caller's deadline, no pause makes it late, and reading its prompt makes none of the
- * streams beside it late. At a slow engine that is so for short work only: a long
- * answer runs into its deadline there and a long prompt holds up everybody else.
+ * An upstream is suitable if the first event comes in time, the response ends
+ * before the deadline, no pause makes the stream late, and processing the
+ * prompt delays no stream beside it. Slow upstreams are therefore suitable for
+ * short requests only.
  *
- * What an upstream holds of the prompt is not read again: its first event comes
- * sooner, and the streams beside it pause less.
+ * Cached parts of a prompt are not processed again, so the first event comes
+ * sooner and other streams pause less.
  */
 export class Placement {
   readonly #options: PlacementOptions;
@@ -104,69 +126,77 @@
     this.#options = options;
   }
 
-  /** Places that the upstreams have left, over all hosts. */
+  /**
+   * Returns the number of free slots of the upstreams, counting the requests of
+   * all hosts.
+   */
   freeSlots(upstreams: readonly Upstream[], now: Milliseconds): number {
     let free = 0;
-    for (const upstream of upstreams) free += this.#freeAt(upstream, now);
+    for (const upstream of upstreams) free += this.#freeSlotsAt(upstream, now);
     return free;
   }
 
-  /** The best upstream with a free place, or `undefined` when none should be taken. */
+  /**
+   * Returns the best upstream with a free slot, or `undefined` if the request
+   * should wait.
+   */
   pick(
     upstreams: readonly Upstream[],
-    wish: PlacementCriteria,
+    request: PlacementCriteria,
     now: Milliseconds,
   ): Upstream | undefined {
-    const best = this.#bestFree(upstreams, wish, now);
+    const best = this.#bestFree(upstreams, request, now);
     if (best === undefined) return undefined;
-    if (this.#shouldWaitForHolder(wish, { upstreams, best, now })) {
+    if (this.#shouldWaitForCache(request, { upstreams, best, now })) {
       return undefined;
     }
-    if (best.isGood) return best.upstream;
-    return this.#couldBeGood(upstreams, wish, now) ? undefined : best.upstream;
+    if (best.isSuitable) return best.upstream;
+    return this.#isAnySuitable(upstreams, request, now)
+      ? undefined
+      : best.upstream;
   }
 
   #bestFree(
     upstreams: readonly Upstream[],
-    wish: PlacementCriteria,
+    request: PlacementCriteria,
     now: Milliseconds,
-  ): Option | undefined {
-    const { excluded, parts, promptTokens } = wish;
-    const { stats: knowledge } = this.#options;
-    let best: Option | undefined;
+  ): UpstreamCandidate | undefined {
+    const { excluded, parts, promptTokens } = request;
+    const { stats } = this.#options;
+    let best: UpstreamCandidate | undefined;
     let leastCost = Infinity;
     for (const upstream of upstreams) {
       if (excluded?.has(upstream.upstream)) continue;
-      if (this.#freeAt(upstream, now) <= 0) continue;
-      const held = this.#options.prefixCaches.cachedTokens(
+      if (this.#freeSlotsAt(upstream, now) <= 0) continue;
+      const cached = this.#options.prefixCaches.cachedTokens(
         upstream.upstream,
         parts,
         now,
       );
-      const latency = this.#latencyAt(upstream, promptTokens - held);
-      const isGood = this.#isGood(upstream, { wish, latency, now });
-      if (best?.isGood && !isGood) continue;
+      const latency = this.#latencyAt(upstream, promptTokens - cached);
+      const isSuitable = this.#isSuitable(upstream, { request, latency, now });
+      if (best?.isSuitable && !isSuitable) continue;
       const cost = this.#costOf(upstream, {
-        heldShare: Math.min(1, held / Math.max(1, promptTokens)),
-        latencyShare: latency / wish.target,
-        failureDomain: wish.failureDomain,
-        isCold: knowledge.warmup.isCold(upstream.upstream, now),
+        cachedShare: Math.min(1, cached / Math.max(1, promptTokens)),
+        latencyShare: latency / request.target,
+        failureDomain: request.failureDomain,
+        isWarmingUp: stats.warmup.isWarmingUp(upstream.upstream, now),
       });
-      if (cost >= leastCost && isGood === best?.isGood) continue;
+      if (cost >= leastCost && isSuitable === best?.isSuitable) continue;
       leastCost = cost;
-      best = { upstream, held, isGood };
+      best = { upstream, cachedTokens: cached, isSuitable };
     }
     return best;
   }
 
-  /** Whether the request would be good if a place came free now at some upstream. */
-  #couldBeGood(
+  /** Whether some upstream would suit the request if it had a free slot now. */
+  #isAnySuitable(
     upstreams: readonly Upstream[],
-    wish: PlacementCriteria,
+    request: PlacementCriteria,
     now: Milliseconds,
   ): boolean {
     const { health, firstEvents } = this.#options.stats;
-    const { promptTokens, excluded } = wish;
+    const { promptTokens, excluded } = request;
     return upstreams.some((upstream) => {
       const { service, upstream: id } = upstream;
       if (excluded?.has(id) || health.isEjected(id, now)) return false;
@@ -174,13 +204,14 @@
         upstream: id,
         promptTokens,
       });
-      return this.#isGood(upstream, { wish, latency, now });
+      return this.#isSuitable(upstream, { request, latency, now });
     });
   }
 
   /**
-   * What it is worth that an upstream gets another request than the next one, because
-   * it holds more of its prompt; 0 where it does not or the other had better not go there.
+   * Returns the value of giving the slot to `other` instead of `next`, because
+   * the upstream has more of its prompt cached; 0 if it has not, or does not
+   * suit `other`.
    */
   prefillTimeSaved(
     upstream: Upstream,
@@ -190,105 +221,124 @@
       now: Milliseconds;
     },
   ): Milliseconds {
-    const { prefixCaches: prompts } = this.#options;
+    const { prefixCaches } = this.#options;
     const id = upstream.upstream;
     if (other.excluded?.has(id)) return 0;
-    const held = prompts.cachedTokens(id, other.parts, now);
-    const more = held - prompts.cachedTokens(id, next.parts, now);
-    if (more <= 0) return 0;
-    const latency = this.#latencyAt(upstream, other.promptTokens - held);
-    if (!this.#isGood(upstream, { wish: other, latency, now })) return 0;
-    return this.#worthOfReading(upstream, more);
+    const cached = prefixCaches.cachedTokens(id, other.parts, now);
+    const additional = cached - prefixCaches.cachedTokens(id, next.parts, now);
+    if (additional <= 0) return 0;
+    const latency = this.#latencyAt(upstream, other.promptTokens - cached);
+    if (!this.#isSuitable(upstream, { request: other, latency, now })) return 0;
+    return this.#prefillCost(upstream, additional);
   }
 
-  /** What it costs, for itself and those beside it, that an upstream reads so much. */
-  #worthOfReading(
+  /**
+   * Returns the cost of processing the tokens, for the request and for the
+   * streams beside it.
+   */
+  #prefillCost(
     { service, upstream }: Upstream,
     promptTokens: number,
   ): Milliseconds {
     const { firstEvents } = this.#options.stats;
-    return READING_WORTH *
+    return PREFILL_WAIT_FACTOR *
       firstEvents.prefillTime(service, { upstream, promptTokens });
   }
 
-  /** Whether a place that is likely free soon, where the prompt is held, is worth waiting for. */
-  #shouldWaitForHolder(
-    wish: PlacementCriteria,
+  /**
+   * Whether to wait for a full upstream that has the prompt cached and will
+   * likely have a free slot soon.
+   */
+  #shouldWaitForCache(
+    request: PlacementCriteria,
     { upstreams, best, now }: {
       upstreams: readonly Upstream[];
-      best: Option;
+      best: UpstreamCandidate;
       now: Milliseconds;
     },
   ): boolean {
-    const { prefixCaches: prompts, stats: knowledge } = this.#options;
-    const { parts, excluded } = wish;
-    const holders = prompts.upstreamsCaching(parts);
-    if (holders.size === 0) return false;
-    let most = best.held;
+    const { prefixCaches, stats } = this.#options;
+    const { parts, excluded } = request;
+    const caching = prefixCaches.upstreamsCaching(parts);
+    if (caching.size === 0) return false;
+    let mostCached = best.cachedTokens;
     for (const upstream of upstreams) {
       const id = upstream.upstream;
-      if (!holders.has(id) || excluded?.has(id)) continue;
-      const isFull = !knowledge.health.isEjected(id, now) &&
-        this.#freeAt(upstream, now) <= 0;
-      if (isFull) most = Math.max(most, prompts.cachedTokens(id, parts, now));
+      if (!caching.has(id) || excluded?.has(id)) continue;
+      const isFull = !stats.health.isEjected(id, now) &&
+        this.#freeSlotsAt(upstream, now) <= 0;
+      if (isFull) {
+        mostCached = Math.max(
+          mostCached,
+          prefixCaches.cachedTokens(id, parts, now),
+        );
+      }
     }
-    if (most === best.held) return false;
-    const span = this.#worthOfReading(best.upstream, most - best.held);
-    const latency = this.#latencyAt(best.upstream, wish.promptTokens);
-    return now < wish.since + span && now + span + latency <= wish.dueAt;
+    if (mostCached === best.cachedTokens) return false;
+    const span = this.#prefillCost(
+      best.upstream,
+      mostCached - best.cachedTokens,
+    );
+    const latency = this.#latencyAt(best.upstream, request.promptTokens);
+    return now < request.since + span && now + span + latency <= request.dueAt;
   }
 
-  #isGood(
+  #isSuitable(
     { service, upstream }: Upstream,
-    { wish, latency, now }: {
-      wish: PlacementCriteria;
+    { request, latency, now }: {
+      request: PlacementCriteria;
       latency: Milliseconds;
       now: Milliseconds;
     },
   ): boolean {
-    const { load, stats: { speed, pauseRisks: pauses, firstEvents } } =
-      this.#options;
-    if (now + latency > wish.dueAt) return false;
-    const duration = wish.responseDuration * speed.slowness(service, upstream);
-    if (now + latency + LENGTH_MARGIN * duration > wish.deadline) return false;
-    if (wish.pauseTarget <= 0) return true;
-    const risk = pauses.risk({ service, upstream, duration });
-    if (risk > GOOD_PAUSE_RISK) return false;
-    const { promptTokens } = wish;
-    const reading = firstEvents.prefillTime(service, {
+    const { load, stats: { speed, pauseRisks, firstEvents } } = this.#options;
+    if (now + latency > request.dueAt) return false;
+    const duration = request.responseDuration *
+      speed.slowness(service, upstream);
+    if (now + latency + DURATION_MARGIN * duration > request.deadline) {
+      return false;
+    }
+    if (request.pauseTarget <= 0) return true;
+    const risk = pauseRisks.risk({ service, upstream, duration });
+    if (risk > MAXIMUM_PAUSE_RISK) return false;
+    const { promptTokens } = request;
+    const prefillTime = firstEvents.prefillTime(service, {
       upstream,
       promptTokens,
     });
-    return reading <= wish.pauseTarget || load.total(upstream) === 0;
+    return prefillTime <= request.pauseTarget || load.total(upstream) === 0;
   }
 
-  /** Expected time to the first event behind the prompts that are read there now. */
+  /**
+   * Returns the expected time to the first event behind the prompts that the
+   * upstream processes now.
+   */
   #latencyAt(
     { service, upstream }: Upstream,
     promptTokens: number,
   ): Milliseconds {
-    const { load, stats: knowledge } = this.#options;
-    return knowledge.firstEvents.expected(service, {
+    const { load, stats } = this.#options;
+    return stats.firstEvents.expected(service, {
       upstream,
       promptTokens: Math.max(0, promptTokens) +
         load.pendingPrefillTokens(upstream),
     });
   }
 
-  #freeAt(upstream: Upstream, now: Milliseconds): number {
-    const { load, stats: knowledge, limitOf, starts } = this.#options;
-    if (knowledge.health.isEjected(upstream.upstream, now)) return 0;
+  #freeSlotsAt(upstream: Upstream, now: Milliseconds): number {
+    const { load, stats, limitOf, starts } = this.#options;
+    if (stats.health.isEjected(upstream.upstream, now)) return 0;
     if (!starts.isOpen(upstream, now)) return 0;
     return Math.max(0, limitOf(upstream) - load.total(upstream.upstream));
   }
 
   #costOf(
     upstream: Upstream,
-    { heldShare, latencyShare, failureDomain, isCold }: {
-      heldShare: number;
+    { cachedShare, latencyShare, failureDomain, isWarmingUp }: {
+      cachedShare: number;
       latencyShare: number;
       failureDomain: FailureDomain;
-      isCold: boolean;
+      isWarmingUp: boolean;
     },
   ): number {
     const { load, random, limitOf } = this.#options;
@@ -300,14 +350,14 @@
     cost *= 1 + FAILURE_COST * health.failureShare(id);
     if (upstream.failureDomain !== failureDomain) cost *= OTHER_DOMAIN_FACTOR;
     cost *= 1 + LATENCY_COST * latencyShare;
-    if (isCold) cost *= COLD_FACTOR;
+    if (isWarmingUp) cost *= WARMUP_FACTOR;
     cost *= scarcityOf(limit - load.total(id));
-    cost *= 1 - HELD_DISCOUNT * heldShare;
+    cost *= 1 - CACHED_DISCOUNT * cachedShare;
     return cost * (1 + JITTER * random.float());
   }
 }
 
 function scarcityOf(free: number): number {
-  if (free <= 1) return LAST_PLACE_FACTOR;
-  return free <= 2 ? LAST_BUT_ONE_FACTOR : 1;
+  if (free <= 1) return LAST_SLOT_FACTOR;
+  return free <= 2 ? SECOND_LAST_SLOT_FACTOR : 1;
 }
--- a/packages/admission/src/placementClient.ts
+++ b/packages/admission/src/placementClient.ts
@@ -33,23 +33,32 @@
 import type { UpstreamDirectory } from "./upstreamDirectory.ts";
 import type { AttemptObservation, UpstreamStats } from "./upstreamStats.ts";
 
-/** Keepers that may be silent in a row before a host decides alone. */
-const SILENT_KEEPERS = 2;
 /**
- * Looks come every few milliseconds while an answer is due. After a longer time between
- * two of them this host has stood still: small machines do when their share is used up.
+ * Coordinators in a row that may be unresponsive before a host schedules
+ * locally.
  */
-const OWN_PAUSE_MS: Milliseconds = 40;
-/** What makes upstreams look busier than they are is told by then, */
-const TELL_MS: Milliseconds = 40;
-/** and what only saves the keeper a repetition by then. */
-const SEEN_MS: Milliseconds = 80;
-/** An evacuation lasts for seconds at least; callers come back no sooner than this. */
-const EVACUATED_RETURN_MS: Milliseconds = 1_000;
-/** Cells that one request waits in at most. */
-const CELLS_AT_ONCE = 2;
-
-/** What a {@link PlacementClient} is built from. */
+const MAXIMUM_UNRESPONSIVE_COORDINATORS = 2;
+/**
+ * A longer time between two ticks while a reply is due means that this host was
+ * suspended, for example by its CPU quota.
+ */
+const SUSPENSION_MS: Milliseconds = 40;
+/**
+ * Delay within which processed prompts are reported, as they free capacity at
+ * the coordinator.
+ */
+const PREFILL_REPORT_MS: Milliseconds = 40;
+/**
+ * Delay within which decisions are acknowledged, which only saves the
+ * coordinator a resend.
+ */
+const ACKNOWLEDGE_MS: Milliseconds = 80;
+/** Retry delay of callers during an evacuation. */
+const EVACUATED_RETRY_MS: Milliseconds = 1_000;
+/** Cells in which one request waits at most. */
+const MAXIMUM_CELLS = 2;
+
+/** Dependencies and settings of a {@link PlacementClient}. */
 export interface PlacementClientOptions {
   readonly host: HostId;
   readonly incarnation: Incarnation;
@@ -57,264 +66,317 @@
   readonly directory: UpstreamDirectory;
   readonly stats: UpstreamStats;
   readonly random: Random;
-  /** The hosts that live, this one included. */
+  /** Hosts that are alive, including this one. */
   readonly candidates: () => readonly CoordinatorCandidate[];
-  /** Starts in one second that a cold upstream bears; `undefined` where it bears any. */
+  /**
+   * Starts per second that an upstream can take while warming up; `undefined`
+   * if unlimited.
+   */
   readonly coldStartsOf: (upstream: Upstream) => number | undefined;
-  readonly send: (keeper: HostId, ask: CellUpdate) => void;
-  /** A keeper is to be told something in a while; see {@link PlacementClient.sendAt}. */
+  readonly send: (coordinator: HostId, update: CellUpdate) => void;
+  /**
+   * Called when an update must be sent later; see
+   * {@link PlacementClient.sendAt}.
+   */
   readonly onSendScheduled: () => void;
-  /** Something changed about who keeps a cell. */
+  /** Called when the coordinator of a cell changes. */
   readonly onCoordinatorChange: (change: CoordinatorChange) => void;
 }
 
-/** A host turned to another keeper, or to none. */
+/** A change of the coordinator of a cell, or to local scheduling. */
 export interface CoordinatorChange {
   readonly cell: CellKey;
   readonly kind: "silent" | "leaving" | "alone";
   readonly coordinator: HostId | undefined;
 }
 
-/** A request that waits, and where. */
-interface Seeking {
-  wish: PlacementRequest;
-  readonly decide: (verdict: PlacementDecision) => void;
+/** A request that waits for a slot, and the cells in which it waits. */
+interface WaitingRequest {
+  placementRequest: PlacementRequest;
+  readonly decide: (decision: PlacementDecision) => void;
   readonly cells: Set<CellKey>;
-  isAlone: boolean;
+  isLocal: boolean;
 }
 
 /**
- * Seeks places for the requests of one host: asks the keepers of cells, passes over
- * silent ones, and decides alone when none answers.
+ * Obtains slots for the requests of one host from the coordinators of cells,
+ * skips unresponsive ones, and schedules locally if none replies.
  *
- * A request asks the nearest cell that was seen with a free place. Where it has to
- * wait, it also waits in one other cell and takes what comes first; the other keeper
- * learns that from the next ask. A dead keeper costs the first request that asks it a
- * tenth of a second, less than the shortest target; others hear of it.
+ * A request is queued in the nearest cell with a free slot. If it has to wait,
+ * it is queued in one more cell and takes the first grant; the other
+ * coordinator learns that from the next update. An unresponsive coordinator
+ * delays only the first requests sent to it, as hosts report it to each other.
  */
 export class PlacementClient {
   readonly #options: PlacementClientOptions;
-  readonly #alone: RequestScheduler;
-  readonly #seeking = new Map<RequestId, Seeking>();
+  readonly #localScheduler: RequestScheduler;
+  readonly #waiting = new Map<RequestId, WaitingRequest>();
   readonly #cells: CellMap;
-  readonly #askings = new Map<CellKey, CellSession>();
+  readonly #sessions = new Map<CellKey, CellSession>();
   readonly #snapshots = new CellSnapshots();
-  readonly #choice: CellSelector;
-  readonly #keepers: CoordinatorSelector;
+  readonly #selector: CellSelector;
+  readonly #coordinators: CoordinatorSelector;
   #tickedAt: Milliseconds = -Infinity;
 
   constructor(options: PlacementClientOptions) {
-    const { directory, stats: knowledge, random } = options;
+    const { directory, stats, random } = options;
     this.#options = options;
     this.#cells = new CellMap(directory);
-    this.#choice = new CellSelector({
+    this.#selector = new CellSelector({
       ...options,
       cells: this.#cells,
       snapshots: this.#snapshots,
     });
-    this.#keepers = new CoordinatorSelector(options);
-    this.#alone = new RequestScheduler({
+    this.#coordinators = new CoordinatorSelector(options);
+    this.#localScheduler = new RequestScheduler({
       upstreams: directory,
-      stats: knowledge,
+      stats,
       random,
       starts: new LocalStartLimit({
         coldStartsOf: options.coldStartsOf,
-        warmth: knowledge.warmup,
+        warmup: stats.warmup,
         hosts: () => options.candidates().length,
         random,
       }),
     });
   }
 
-  /** Requests that wait for a place. */
+  /** Number of requests that wait for a slot. */
   get waitingTotal(): number {
-    return this.#seeking.size;
+    return this.#waiting.size;
   }
 
-  /** Requests of this host that upstreams work on. */
+  /** Number of this host's requests at upstreams. */
   get inFlightTotal(): number {
     let total = 0;
-    for (const { requests } of this.#alone.load.ownInFlight().values()) {
+    for (
+      const { requests } of this.#localScheduler.load.ownInFlight().values()
+    ) {
       total += requests;
     }
     return total;
   }
 
-  /** Whether an answer is due or this host decides alone, so that it looks often. */
+  /**
+   * Whether a reply is due or requests are scheduled locally, so that ticks
+   * must be frequent.
+   */
   get isBusy(): boolean {
-    if (this.#alone.waitingTotal > 0) return true;
-    for (const { isAwaitingReply: isUnanswered } of this.#askings.values()) {
-      if (isUnanswered) return true;
+    if (this.#localScheduler.waitingTotal > 0) return true;
+    for (const { isAwaitingReply } of this.#sessions.values()) {
+      if (isAwaitingReply) return true;
     }
     return false;
   }
 
-  /** When a keeper is to be told something at the latest; `Infinity` if nothing is. */
+  /**
+   * Latest time for the next update to a coordinator; `Infinity` if none is
+   * needed.
+   */
   get sendAt(): Milliseconds {
     let at = Infinity;
-    for (const { sendAt: tellAt } of this.#askings.values()) {
-      at = Math.min(at, tellAt);
+    for (const { sendAt } of this.#sessions.values()) {
+      at = Math.min(at, sendAt);
     }
     return at;
   }
 
-  /** Seeks a place; the verdict may come before the call returns. */
+  /** Requests a slot; the decision may come before the call returns. */
   submit(
-    wish: PlacementRequest,
-    decide: (verdict: PlacementDecision) => void,
+    placementRequest: PlacementRequest,
+    decide: (decision: PlacementDecision) => void,
     now: Milliseconds,
   ): void {
-    const seeking = { wish, decide, cells: new Set<CellKey>(), isAlone: false };
-    this.#seeking.set(wish.request, seeking);
-    if (this.#options.directory.isEvacuated(wish.service)) {
-      return this.#refuseEvacuated(seeking, now);
+    const waitingRequest = {
+      placementRequest,
+      decide,
+      cells: new Set<CellKey>(),
+      isLocal: false,
+    };
+    this.#waiting.set(placementRequest.request, waitingRequest);
+    if (this.#options.directory.isEvacuated(placementRequest.service)) {
+      return this.#refuseEvacuated(waitingRequest, now);
     }
-    const cell = this.#choice.selectFirst(wish, now);
-    if (cell === undefined) this.#decideAlone(seeking, now);
-    else this.#seekIn(cell, seeking, now);
+    const cell = this.#selector.selectFirst(placementRequest, now);
+    if (cell === undefined) this.#scheduleLocally(waitingRequest, now);
+    else this.#queueIn(cell, waitingRequest, now);
   }
 
-  /** Takes back a request that still waits. */
+  /** Withdraws a request that still waits. */
   withdraw(service: ServiceId, request: RequestId, now: Milliseconds): void {
-    const seeking = this.#seeking.get(request);
-    if (seeking === undefined) return;
-    this.#close(seeking);
-    this.#alone.withdraw(service, request);
-    for (const key of seeking.cells) this.#ask(key, now);
+    const waitingRequest = this.#waiting.get(request);
+    if (waitingRequest === undefined) return;
+    this.#remove(waitingRequest);
+    this.#localScheduler.withdraw(service, request);
+    for (const key of waitingRequest.cells) this.#sendUpdate(key, now);
   }
 
-  /** A request was sent to an upstream. */
+  /** Records that a request was sent to an upstream. */
   begin(upstream: UpstreamId, promptTokens: number): void {
-    this.#alone.load.begin(upstream, promptTokens);
+    this.#localScheduler.load.begin(upstream, promptTokens);
   }
 
-  /** The upstream has read a request's prompt, or will not any more. */
+  /**
+   * Records that the upstream has processed the prompt of a request or will not
+   * process it.
+   */
   endPrefill(
     upstream: Upstream,
     promptTokens: number,
     now: Milliseconds,
   ): void {
-    this.#alone.load.endPrefill(upstream.upstream, promptTokens);
+    this.#localScheduler.load.endPrefill(upstream.upstream, promptTokens);
     if (promptTokens <= 0) return;
     const cell = this.#cells.cellOf(upstream);
     if (cell === undefined) return;
-    this.#askingOf(cell).sendBy(now + TELL_MS);
+    this.#sessionOf(cell).sendBy(now + PREFILL_REPORT_MS);
     this.#options.onSendScheduled();
   }
 
-  /** An upstream said how many requests it has; the keeper hears of it with the next ask. */
+  /**
+   * Records how many requests an upstream reported; the next update passes it
+   * on.
+   */
   recordUpstreamLoad(
     upstream: Upstream,
     requests: number,
     now: Milliseconds,
   ): void {
-    this.#alone.load.recordReport(upstream.upstream, requests, now);
+    this.#localScheduler.load.recordReport(upstream.upstream, requests, now);
     const cell = this.#cells.cellOf(upstream);
     if (cell === undefined) return;
-    this.#askingOf(cell).setUpstreamReport(upstream.upstream, requests);
+    this.#sessionOf(cell).setUpstreamReport(upstream.upstream, requests);
   }
 
-  /** A request ended at an upstream. */
+  /** Records the end of a request at an upstream. */
   end(
     upstream: Upstream,
     observation: AttemptObservation,
     now: Milliseconds,
   ): void {
-    this.#alone.load.end(upstream.upstream);
+    this.#localScheduler.load.end(upstream.upstream);
     const cell = this.#cells.cellOf(upstream);
     if (cell !== undefined) {
-      const asking = this.#askingOf(cell);
-      asking.addObservation(observation, now);
-      // With more to say soon, the answer to that confirms this as well.
-      const isLast = !asking.hasWaiting && !this.#hasWorkAt(cell);
-      this.#ask(asking.key, now, { wantsAnswer: isLast });
+      const session = this.#sessionOf(cell);
+      session.addObservation(observation, now);
+      // A reply to a later update acknowledges this one as well.
+      const isLast = !session.hasWaiting && !this.#hasLoadAt(cell);
+      this.#sendUpdate(session.key, now, { wantsReply: isLast });
       this.#options.onSendScheduled();
     }
-    if (this.#alone.waitingTotal > 0) this.#alone.review(now);
+    if (this.#localScheduler.waitingTotal > 0) this.#localScheduler.review(now);
   }
 
-  /** Takes in what a keeper says. */
-  receive(answer: CellReply, now: Milliseconds): void {
+  /** Applies the reply of a coordinator. */
+  receive(reply: CellReply, now: Milliseconds): void {
     const { incarnation } = this.#options;
-    if (answer.toIncarnation !== incarnation) return;
-    for (const snapshot of answer.snapshots) this.#snapshots.update(snapshot);
-    const key = cellKeyOf(answer.cell);
-    const asking = this.#askings.get(key);
-    const fresh = asking?.receive(answer, now);
-    if (asking === undefined || fresh === undefined) return;
-    this.#keepers.clearSkip(answer.host);
-    if (fresh.length > 0) {
-      asking.sendBy(now + SEEN_MS);
+    if (reply.toIncarnation !== incarnation) return;
+    for (const snapshot of reply.snapshots) this.#snapshots.update(snapshot);
+    const key = cellKeyOf(reply.cell);
+    const session = this.#sessions.get(key);
+    const newDecisions = session?.receive(reply, now);
+    if (session === undefined || newDecisions === undefined) return;
+    this.#coordinators.clearSkip(reply.host);
+    if (newDecisions.length > 0) {
+      session.sendBy(now + ACKNOWLEDGE_MS);
       this.#options.onSendScheduled();
     }
-    for (const verdict of fresh) this.#take(verdict, key, now);
-    const isRemote = answer.host !== this.#options.host;
-    if (answer.isLeaving && isRemote) this.#passOver(asking, "leaving", now);
-    this.#spread(key, now);
+    for (const decision of newDecisions) {
+      this.#applyDecision(decision, key, now);
+    }
+    const isRemote = reply.host !== this.#options.host;
+    if (reply.isLeaving && isRemote) this.#failOver(session, "leaving", now);
+    this.#queueInSecondCell(key, now);
   }
 
-  /** The keeper of a cell has just begun and asks for what hosts do there. */
+  /**
+   * Reports load and waiting requests to a coordinator that has just started.
+   */
   resync(cell: Cell, now: Milliseconds): void {
-    const asking = this.#askings.get(cellKeyOf(cell));
-    if (asking === undefined) return;
-    if (!this.#hasWorkAt(cell) && !asking.hasWaiting) return;
-    asking.scheduleListing();
-    this.#ask(asking.key, now);
+    const session = this.#sessions.get(cellKeyOf(cell));
+    if (session === undefined) return;
+    if (!this.#hasLoadAt(cell) && !session.hasWaiting) return;
+    session.scheduleListing();
+    this.#sendUpdate(session.key, now);
   }
 
-  /** Who keeps which cell, as this host sees it. */
+  /** Coordinators of the cells, as this host sees them. */
   get coordinators(): CoordinatorSelector {
-    return this.#keepers;
+    return this.#coordinators;
   }
 
-  /** The cells of a service. */
+  /** Returns the cells of a service. */
   cellsOf(service: ServiceId): readonly Cell[] {
     return this.#cells.cellsOf(service);
   }
 
-  /** Repeats what went unanswered, confirms work, and looks for dead keepers. */
+  /**
+   * Resends unacknowledged updates, refreshes load and detects unresponsive
+   * coordinators.
+   */
   tick(now: Milliseconds): void {
     const pause = now - this.#tickedAt;
     this.#tickedAt = now;
-    for (const asking of [...this.#askings.values()]) {
-      if (pause > OWN_PAUSE_MS) asking.extendTimeouts(pause, now);
-      const { key, cell } = asking;
-      const due = asking.nextAction({ hasWork: this.#hasWorkAt(cell), now });
-      if (due === "passed-over") this.#passOver(asking, "silent", now);
-      else if (due === "ask") this.#ask(key, now);
-      else if (due === "tell") this.#ask(key, now, { wantsAnswer: false });
-      else if (due === "over") this.#askings.delete(key);
+    for (const session of [...this.#sessions.values()]) {
+      if (pause > SUSPENSION_MS) session.extendTimeouts(pause, now);
+      const { key, cell } = session;
+      const action = session.nextAction({
+        hasLoad: this.#hasLoadAt(cell),
+        now,
+      });
+      if (action === "skip-coordinator") this.#failOver(session, "silent", now);
+      else if (action === "update") this.#sendUpdate(key, now);
+      else if (action === "notify") {
+        this.#sendUpdate(key, now, { wantsReply: false });
+      } else if (action === "close") this.#sessions.delete(key);
     }
-    if (this.#alone.waitingTotal > 0) this.#alone.review(now);
+    if (this.#localScheduler.waitingTotal > 0) this.#localScheduler.review(now);
   }
 
-  /** Upstreams have changed: requests may have to be asked for in other cells. */
+  /** Queues requests in other cells if needed after upstreams have changed. */
   review(now: Milliseconds): void {
-    for (const seeking of [...this.#seeking.values()]) {
-      if (this.#options.directory.isEvacuated(seeking.wish.service)) {
-        this.#refuseEvacuated(seeking, now);
+    for (const waitingRequest of [...this.#waiting.values()]) {
+      if (
+        this.#options.directory.isEvacuated(
+          waitingRequest.placementRequest.service,
+        )
+      ) {
+        this.#refuseEvacuated(waitingRequest, now);
         continue;
       }
-      if (seeking.isAlone || !this.#seeking.has(seeking.wish.request)) continue;
+      if (
+        waitingRequest.isLocal ||
+        !this.#waiting.has(waitingRequest.placementRequest.request)
+      ) continue;
       const known = new Set(
-        this.#cells.cellsOf(seeking.wish.service).map(cellKeyOf),
+        this.#cells.cellsOf(waitingRequest.placementRequest.service).map(
+          cellKeyOf,
+        ),
       );
-      for (const key of [...seeking.cells]) {
-        if (!known.has(key)) this.#leave(seeking, key);
+      for (const key of [...waitingRequest.cells]) {
+        if (!known.has(key)) this.#leaveCell(waitingRequest, key);
       }
-      if (seeking.cells.size > 0) continue;
-      const cell = this.#choice.selectFirst(seeking.wish, now);
-      if (cell !== undefined) this.#seekIn(cell, seeking, now);
+      if (waitingRequest.cells.size > 0) continue;
+      const cell = this.#selector.selectFirst(
+        waitingRequest.placementRequest,
+        now,
+      );
+      if (cell !== undefined) this.#queueIn(cell, waitingRequest, now);
     }
-    if (this.#alone.waitingTotal > 0) this.#alone.review(now);
+    if (this.#localScheduler.waitingTotal > 0) this.#localScheduler.review(now);
   }
 
-  /** Whether places of a service are free to spare and nobody waits, as last heard. */
+  /**
+   * Whether a service had spare slots and no waiting requests when last
+   * reported.
+   */
   isIdle(service: ServiceId, now: Milliseconds): boolean {
     return this.#snapshots.areIdle(this.#cells.cellsOf(service), now);
   }
 
-  /** Whether a service has an upstream in reach besides those left out. */
+  /**
+   * Whether a service has an available upstream other than the excluded ones.
+   */
   hasAlternative(
     service: ServiceId,
     { excluded, now }: {
@@ -322,206 +384,233 @@
       now: Milliseconds;
     },
   ): boolean {
-    const { directory, stats: knowledge } = this.#options;
+    const { directory, stats } = this.#options;
     return directory.of(service).some(({ upstream }) =>
-      !excluded.has(upstream) && !knowledge.health.isEjected(upstream, now)
+      !excluded.has(upstream) && !stats.health.isEjected(upstream, now)
     );
   }
 
-  /** Requests that wait at a keeper wait in one other cell as well. */
-  #spread(key: CellKey, now: Milliseconds): void {
-    for (const seeking of this.#seekingIn(key)) {
-      const { wish, cells: held } = seeking;
-      if (held.size >= CELLS_AT_ONCE) continue;
-      const other = this.#choice.selectAdditional(wish, { held, now });
-      if (other !== undefined) this.#seekIn(other, seeking, now);
+  /** Queues the requests that wait in a cell in one more cell. */
+  #queueInSecondCell(key: CellKey, now: Milliseconds): void {
+    for (const waitingRequest of this.#waitingIn(key)) {
+      const { placementRequest, cells: joined } = waitingRequest;
+      if (joined.size >= MAXIMUM_CELLS) continue;
+      const other = this.#selector.selectAdditional(placementRequest, {
+        joined,
+        now,
+      });
+      if (other !== undefined) this.#queueIn(other, waitingRequest, now);
     }
   }
 
-  #seekIn(cell: Cell, seeking: Seeking, now: Milliseconds): void {
-    const asking = this.#askingOf(cell);
-    seeking.cells.add(asking.key);
-    asking.add(seeking.wish.request);
-    this.#ask(asking.key, now);
+  #queueIn(
+    cell: Cell,
+    waitingRequest: WaitingRequest,
+    now: Milliseconds,
+  ): void {
+    const session = this.#sessionOf(cell);
+    waitingRequest.cells.add(session.key);
+    session.add(waitingRequest.placementRequest.request);
+    this.#sendUpdate(session.key, now);
   }
 
-  #take(
+  #applyDecision(
     { request, decision }: NumberedDecision,
     key: CellKey,
     now: Milliseconds,
   ): void {
-    const seeking = this.#seeking.get(request);
-    if (seeking === undefined || !seeking.cells.has(key)) {
-      if (decision.kind === "place") this.#ask(key, now);
+    const waitingRequest = this.#waiting.get(request);
+    if (waitingRequest === undefined || !waitingRequest.cells.has(key)) {
+      if (decision.kind === "place") this.#sendUpdate(key, now);
       return;
     }
     if (decision.kind === "refuse") {
-      return this.#takeRefusal(seeking, { key, decision, now });
+      return this.#applyRefusal(waitingRequest, { key, decision, now });
     }
     const upstream = this.#options.directory.get(decision.upstream);
     if (upstream === undefined) {
-      // The keeper has yet to hear that it left. The place is returned and another one
-      // asked for; without leaving it out, keeper and host would go on so at the pace
-      // of their words.
-      const excluded = new Set([...seeking.wish.excluded, decision.upstream]);
-      seeking.wish = { ...seeking.wish, excluded };
-      this.#askings.get(key)?.add(request);
-      return this.#ask(key, now);
+      // The coordinator does not know yet that the upstream left. Excluding the
+      // upstream keeps it from being granted again and again.
+      const excluded = new Set([
+        ...waitingRequest.placementRequest.excluded,
+        decision.upstream,
+      ]);
+      waitingRequest.placementRequest = {
+        ...waitingRequest.placementRequest,
+        excluded,
+      };
+      this.#sessions.get(key)?.add(request);
+      return this.#sendUpdate(key, now);
     }
-    this.#close(seeking, key);
-    seeking.decide({ ...decision, upstream });
-    for (const other of seeking.cells) {
-      if (other !== key) this.#ask(other, now, { wantsAnswer: false });
+    this.#remove(waitingRequest, key);
+    waitingRequest.decide({ ...decision, upstream });
+    for (const other of waitingRequest.cells) {
+      if (other !== key) this.#sendUpdate(other, now, { wantsReply: false });
     }
   }
 
-  /** A request is refused when no cell takes it. */
-  #takeRefusal(
-    seeking: Seeking,
+  /** Refuses a request once no cell accepts it. */
+  #applyRefusal(
+    waitingRequest: WaitingRequest,
     { key, decision, now }: {
       key: CellKey;
       decision: Extract<PlacementDecision, { kind: "refuse" }>;
       now: Milliseconds;
     },
   ): void {
-    this.#leave(seeking, key, { isTold: false });
-    if (seeking.cells.size > 0) return;
+    this.#leaveCell(waitingRequest, key, { shouldNotify: false });
+    if (waitingRequest.cells.size > 0) return;
     const other = decision.reason === "no-other-upstream"
-      ? this.#cellWithOther(seeking.wish)
+      ? this.#cellWithAlternative(waitingRequest.placementRequest)
       : undefined;
     if (other !== undefined && cellKeyOf(other) !== key) {
-      return this.#seekIn(other, seeking, now);
+      return this.#queueIn(other, waitingRequest, now);
     }
-    this.#close(seeking);
-    seeking.decide(decision);
+    this.#remove(waitingRequest);
+    waitingRequest.decide(decision);
   }
 
-  /** Nothing may be sent to any upstream of its service until operators say so. */
-  #refuseEvacuated(seeking: Seeking, now: Milliseconds): void {
-    const { wish, decide } = seeking;
-    this.withdraw(wish.service, wish.request, now);
+  /** Refuses a request for whose service all upstreams are evacuated. */
+  #refuseEvacuated(waitingRequest: WaitingRequest, now: Milliseconds): void {
+    const { placementRequest, decide } = waitingRequest;
+    this.withdraw(placementRequest.service, placementRequest.request, now);
     decide({
       kind: "refuse",
       reason: "evacuated",
-      estimate: { ahead: 0, startsPerSecond: 0, wait: EVACUATED_RETURN_MS },
+      estimate: { ahead: 0, startsPerSecond: 0, wait: EVACUATED_RETRY_MS },
     });
   }
 
-  /** A cell that holds an upstream which has not got the request. */
-  #cellWithOther({ service, excluded }: PlacementRequest): Cell | undefined {
+  /** Returns a cell with an upstream that has not had the request. */
+  #cellWithAlternative(
+    { service, excluded }: PlacementRequest,
+  ): Cell | undefined {
     const upstream = this.#options.directory.of(service).find((candidate) =>
       !excluded.has(candidate.upstream)
     );
     return upstream === undefined ? undefined : this.#cells.cellOf(upstream);
   }
 
-  #decideAlone(seeking: Seeking, now: Milliseconds): void {
-    seeking.isAlone = true;
-    for (const key of [...seeking.cells]) this.#leave(seeking, key);
-    const candidate = createPendingRequest(
-      seeking.wish,
+  #scheduleLocally(waitingRequest: WaitingRequest, now: Milliseconds): void {
+    waitingRequest.isLocal = true;
+    for (const key of [...waitingRequest.cells]) {
+      this.#leaveCell(waitingRequest, key);
+    }
+    const pending = createPendingRequest(
+      waitingRequest.placementRequest,
       this.#options.stats,
-      (verdict) => {
-        this.#close(seeking);
-        seeking.decide(verdict);
+      (decision) => {
+        this.#remove(waitingRequest);
+        waitingRequest.decide(decision);
       },
     );
-    this.#alone.submit(candidate, now);
+    this.#localScheduler.submit(pending, now);
   }
 
-  /** A request seeks no more; `decidedBy` is the cell whose keeper knows that. */
-  #close({ wish, cells }: Seeking, decidedBy?: CellKey): void {
-    this.#seeking.delete(wish.request);
+  /**
+   * Removes a request; `decidedBy` is the cell whose coordinator made the
+   * decision.
+   */
+  #remove(
+    { placementRequest, cells }: WaitingRequest,
+    decidedBy?: CellKey,
+  ): void {
+    this.#waiting.delete(placementRequest.request);
     for (const key of cells) {
-      const isTold = key !== decidedBy;
-      this.#askings.get(key)?.remove(wish.request, { isTold });
+      const shouldNotify = key !== decidedBy;
+      this.#sessions.get(key)?.remove(placementRequest.request, {
+        shouldNotify,
+      });
     }
   }
 
-  /** A request waits in a cell no more. */
-  #leave(
-    seeking: Seeking,
+  /** Removes a request from the queue of a cell. */
+  #leaveCell(
+    waitingRequest: WaitingRequest,
     key: CellKey,
-    { isTold = true }: { isTold?: boolean } = {},
+    { shouldNotify = true }: { shouldNotify?: boolean } = {},
   ): void {
-    seeking.cells.delete(key);
-    this.#askings.get(key)?.remove(seeking.wish.request, { isTold });
+    waitingRequest.cells.delete(key);
+    this.#sessions.get(key)?.remove(waitingRequest.placementRequest.request, {
+      shouldNotify,
+    });
   }
 
-  #passOver(
-    asking: CellSession,
+  #failOver(
+    session: CellSession,
     kind: FailoverReason,
     now: Milliseconds,
   ): void {
-    const { coordinator: keeper, key } = asking;
-    const { host, onCoordinatorChange: onKeeper } = this.#options;
-    if (keeper !== undefined) this.#keepers.skip(keeper, now);
-    onKeeper({ cell: key, kind, coordinator: keeper });
-    asking.recordFailover(kind);
-    const isAlone = asking.silentCoordinators >= SILENT_KEEPERS ||
-      keeper === host;
-    if (!isAlone) return this.#ask(key, now);
-    onKeeper({ cell: key, kind: "alone", coordinator: keeper });
-    for (const seeking of this.#seekingIn(key)) {
-      this.#decideAlone(seeking, now);
+    const { coordinator, key } = session;
+    const { host, onCoordinatorChange } = this.#options;
+    if (coordinator !== undefined) this.#coordinators.skip(coordinator, now);
+    onCoordinatorChange({ cell: key, kind, coordinator });
+    session.recordFailover(kind);
+    const isLocal =
+      session.unresponsiveCoordinators >= MAXIMUM_UNRESPONSIVE_COORDINATORS ||
+      coordinator === host;
+    if (!isLocal) return this.#sendUpdate(key, now);
+    onCoordinatorChange({ cell: key, kind: "alone", coordinator });
+    for (const waitingRequest of this.#waitingIn(key)) {
+      this.#scheduleLocally(waitingRequest, now);
     }
-    asking.reset();
+    session.reset();
   }
 
-  #ask(
+  #sendUpdate(
     key: CellKey,
     now: Milliseconds,
-    { wantsAnswer = true }: { wantsAnswer?: boolean } = {},
+    { wantsReply = true }: { wantsReply?: boolean } = {},
   ): void {
-    const asking = this.#askings.get(key);
-    if (asking === undefined) return;
+    const session = this.#sessions.get(key);
+    if (session === undefined) return;
     const { host, incarnation, send } = this.#options;
-    const keeper = this.#keepers.coordinatorOf(asking.cell, now);
-    const { described, ...ask } = asking.createUpdate({
-      keeper,
-      wantsAnswer,
+    const coordinator = this.#coordinators.coordinatorOf(session.cell, now);
+    const { described, ...update } = session.createUpdate({
+      coordinator,
+      wantsReply,
       now,
     });
-    send(keeper, {
-      ...ask,
+    send(coordinator, {
+      ...update,
       host,
       incarnation,
-      inFlight: this.#workAt(asking.cell),
+      inFlight: this.#loadAt(session.cell),
       requests: described.flatMap((request) =>
-        this.#seeking.get(request)?.wish ?? []
+        this.#waiting.get(request)?.placementRequest ?? []
       ),
     });
   }
 
-  #hasWorkAt(cell: Cell): boolean {
-    for (const upstream of this.#alone.load.ownInFlight().keys()) {
+  #hasLoadAt(cell: Cell): boolean {
+    for (const upstream of this.#localScheduler.load.ownInFlight().keys()) {
       if (this.#cells.hasUpstream(cell, upstream)) return true;
     }
     return false;
   }
 
-  #workAt(
+  #loadAt(
     cell: Cell,
   ): Map<UpstreamId, { requests: number; pendingPrefillTokens: number }> {
-    const work = new Map();
-    for (const [upstream, load] of this.#alone.load.ownInFlight()) {
-      if (this.#cells.hasUpstream(cell, upstream)) work.set(upstream, load);
+    const loads = new Map();
+    for (const [upstream, load] of this.#localScheduler.load.ownInFlight()) {
+      if (this.#cells.hasUpstream(cell, upstream)) loads.set(upstream, load);
     }
-    return work;
+    return loads;
   }
 
-  #seekingIn(key: CellKey): Seeking[] {
-    const requests = [...this.#askings.get(key)?.waiting ?? []];
-    return requests.flatMap((request) => this.#seeking.get(request) ?? []);
+  #waitingIn(key: CellKey): WaitingRequest[] {
+    const requests = [...this.#sessions.get(key)?.waiting ?? []];
+    return requests.flatMap((request) => this.#waiting.get(request) ?? []);
   }
 
-  #askingOf(cell: Cell): CellSession {
+  #sessionOf(cell: Cell): CellSession {
     const key = cellKeyOf(cell);
-    let asking = this.#askings.get(key);
-    if (asking === undefined) {
-      asking = new CellSession(cell);
-      this.#askings.set(key, asking);
+    let session = this.#sessions.get(key);
+    if (session === undefined) {
+      session = new CellSession(cell);
+      this.#sessions.set(key, session);
     }
-    return asking;
+    return session;
   }
 }
--- a/packages/admission/src/placementRequest.ts
+++ b/packages/admission/src/placementRequest.ts
@@ -11,66 +11,75 @@
 import type { PromptPart, RouteId } from "./types.ts";
 import type { UpstreamStats } from "./upstreamStats.ts";
 
-/** Part of the target that a margin takes at most: a belief must not make all late. */
-const MOST_MARGIN_SHARE = 0.5;
-/** Shortest time in a place that is told apart from none. */
-const LEAST_HOLD_MS: Milliseconds = 1;
+/**
+ * Share of the target that a margin takes at most, so that it does not make
+ * every request late.
+ */
+const MAXIMUM_MARGIN_SHARE = 0.5;
+/** Shortest time in a slot that is distinguished from none. */
+const MINIMUM_SLOT_TIME_MS: Milliseconds = 1;
 
-/** A request that wants a place, as its host describes it to whoever keeps the line. */
+/** A request that needs a slot, as its host describes it to a scheduler. */
 export interface PlacementRequest {
   readonly request: RequestId;
   readonly service: ServiceId;
-  /** Where the host is that sends it. */
+  /** Failure domain of the host that sends it. */
   readonly failureDomain: FailureDomain;
   readonly route: RouteId;
   readonly tier: Tier;
   readonly arrivedAt: Milliseconds;
-  /** Time from arrival until its first event, or its whole plain answer, is due. */
+  /**
+   * Time from arrival until its first event, or its complete response without
+   * streaming, is due.
+   */
   readonly target: Milliseconds;
-  /** When the whole answer must have been given. */
+  /** When the complete response must have been delivered. */
   readonly deadline: Milliseconds;
-  /** Time from arrival for which its caller bears it that nothing comes. */
+  /** How long after its arrival the caller waits for the first byte. */
   readonly firstByteTimeout: Milliseconds;
   readonly promptTokens: number;
-  /** Tokens that its caller expects in the answer; 0 where it does not say. */
+  /** Response length in tokens that the caller expects; 0 if it gives none. */
   readonly expectedTokens: number;
-  /** Longest pause of a stream that is on time; 0 where pauses do not count. */
+  /** Longest pause of a stream that is on time; 0 if pauses do not count. */
   readonly pauseTarget: Milliseconds;
   /** Parts of the prompt, in order. */
   readonly parts: readonly PromptPart[];
   /** Upstreams that it was sent to before. */
   readonly excluded: ReadonlySet<UpstreamId>;
-  /** An upstream may have begun with it. */
+  /** Whether an upstream may have started it. */
   readonly isContinuation: boolean;
 }
 
-/** Works out from what is known of the upstreams what a scheduler decides by. */
+/**
+ * Adds to a request what its scheduling needs from the statistics of the
+ * upstreams.
+ */
 export function createPendingRequest(
-  wish: PlacementRequest,
-  knowledge: UpstreamStats,
-  decide: (verdict: PlacementDecision) => void,
+  request: PlacementRequest,
+  stats: UpstreamStats,
+  decide: (decision: PlacementDecision) => void,
 ): PendingRequest {
-  const { service, route, arrivedAt, target, promptTokens } = wish;
-  const latency = knowledge.firstEvents.expected(service, { promptTokens });
-  const answering = knowledge.responseDurations.expected(
+  const { service, route, arrivedAt, target, promptTokens } = request;
+  const latency = stats.firstEvents.expected(service, { promptTokens });
+  const responseDuration = stats.responseDurations.expected(
     route,
-    wish.expectedTokens,
+    request.expectedTokens,
   );
   return {
-    ...wish,
+    ...request,
     since: arrivedAt,
     dueAt: arrivedAt + target,
-    hold: Math.max(LEAST_HOLD_MS, latency + answering),
-    responseDuration: answering,
+    slotTime: Math.max(MINIMUM_SLOT_TIME_MS, latency + responseDuration),
+    responseDuration,
     ...computeStartBounds({
       arrivedAt,
       target,
-      firstByteTimeout: wish.firstByteTimeout,
+      firstByteTimeout: request.firstByteTimeout,
       latency,
     }),
     margin: Math.min(
-      knowledge.latencyMargins.of(route),
-      MOST_MARGIN_SHARE * target,
+      stats.latencyMargins.of(route),
+      MAXIMUM_MARGIN_SHARE * target,
     ),
     decide,
   };
--- a/packages/admission/src/poisonRequestDetector.ts
+++ b/packages/admission/src/poisonRequestDetector.ts
@@ -1,14 +1,17 @@
 import type { Digest, Milliseconds, UpstreamId } from "@wasabivane/common";
 
-/** A break counts as a crash when its upstream is found down within this time. */
+/**
+ * A broken response counts as a crash if its upstream is found down within this
+ * time.
+ */
 const CONFIRMATION_MS: Milliseconds = 1_500;
-/** Crashes after which a request gets no further upstream. */
-const CONVICTING_CRASHES = 3;
-/** How long a crash is remembered; callers of such requests come back within seconds. */
-const REMEMBERED_MS: Milliseconds = 60_000;
+/** Number of crashes after which a request is not sent to another upstream. */
+const QUARANTINE_CRASHES = 3;
+/** How long a crash is remembered. */
+const RETENTION_MS: Milliseconds = 60_000;
 const MAXIMUM_FINGERPRINTS = 2_000;
 
-/** One upstream crashed while it ran a request with this fingerprint. */
+/** A crash of an upstream while it ran a request with this fingerprint. */
 export interface Crash {
   readonly fingerprint: Digest;
   readonly upstream: UpstreamId;
@@ -16,24 +19,25 @@
 }
 
 /**
- * Finds requests that crash each upstream that runs them.
+ * Detects poison requests, which crash every upstream that runs them.
  *
- * Such a request comes again with the same path, caller and body at any host and
- * would take down one upstream after the other. A broken answer alone proves
- * nothing; it counts when the upstream is found down right after. Hosts tell
- * each other of crashes, so that three on any hosts convict.
+ * Callers repeat such a request at any host and would take down one upstream
+ * after another. A broken response counts as a crash only if the upstream is
+ * found down right after; hosts share confirmed crashes.
  */
 export class PoisonRequestDetector {
   readonly #broken: Crash[] = [];
   readonly #crashes = new Map<Digest, Map<UpstreamId, Milliseconds>>();
 
-  /** The answer to a request broke off. */
+  /** Records that the response to a request broke off. */
   recordBrokenResponse(crash: Crash): void {
     this.#broken.push(crash);
     while (this.#broken.length > MAXIMUM_FINGERPRINTS) this.#broken.shift();
   }
 
-  /** An upstream is down; gives back the crashes that this confirms. */
+  /**
+   * Records that an upstream is down; returns the crashes that this confirms.
+   */
   confirmCrashes(upstream: UpstreamId, now: Milliseconds): Crash[] {
     const confirmed: Crash[] = [];
     for (const crash of this.#broken.splice(0)) {
@@ -45,25 +49,27 @@
     return confirmed;
   }
 
-  /** Takes in a crash, also one that a peer saw; true when it was news. */
+  /** Records a crash seen here or by a peer; returns whether it was new. */
   recordCrash({ fingerprint, upstream, at }: Crash): boolean {
     const crashes = this.#crashes.get(fingerprint) ?? new Map();
-    const isNews = !crashes.has(upstream);
+    const isNew = !crashes.has(upstream);
     this.#crashes.delete(fingerprint);
     this.#crashes.set(fingerprint, crashes.set(upstream, at));
-    if (this.#crashes.size <= MAXIMUM_FINGERPRINTS) return isNews;
+    if (this.#crashes.size <= MAXIMUM_FINGERPRINTS) return isNew;
     const [oldest] = this.#crashes.keys();
     this.#crashes.delete(oldest!);
-    return isNews;
+    return isNew;
   }
 
-  /** Whether a request has crashed so many upstreams that it must not run again. */
+  /**
+   * Whether a request has crashed so many upstreams that it must not run again.
+   */
   isQuarantined(fingerprint: Digest, now: Milliseconds): boolean {
     const crashes = this.#crashes.get(fingerprint);
     if (crashes === undefined) return false;
     for (const [upstream, at] of crashes) {
-      if (now - at > REMEMBERED_MS) crashes.delete(upstream);
+      if (now - at > RETENTION_MS) crashes.delete(upstream);
     }
-    return crashes.size >= CONVICTING_CRASHES;
+    return crashes.size >= QUARANTINE_CRASHES;
   }
 }
--- a/packages/admission/src/policyFreshness.ts
+++ b/packages/admission/src/policyFreshness.ts
@@ -2,56 +2,60 @@
 
 /** Options of a {@link PolicyFreshness}. */
 export interface PolicyFreshnessOptions {
-  /** Within this time of being withdrawn, a key must have stopped working. */
+  /** A revoked key must be rejected within this time. */
   readonly revocationBound: Milliseconds;
-  /** Within this time of being published, a policy must be in force. */
+  /** A published policy must be in force within this time. */
   readonly applyBound: Milliseconds;
 }
 
 /**
- * Share of the revocation bound for which a proof of freshness serves. The rest
- * covers a store whose watches hear nothing for a second while changes are made,
- * and the time that an answer takes.
+ * Share of the revocation bound for which a confirmation is valid. The rest
+ * covers delays of the store's watches and of its responses.
  */
 const KEY_LEASE_SHARE = 0.65;
-/** Share of the apply bound within which "there is no such route or key" may be said. */
+/**
+ * Share of the apply bound within which unknown routes and keys may be denied.
+ */
 const DENIAL_SHARE = 0.6;
 
 /**
- * How long ago the policy in force was known to be the newest.
+ * Tracks when the policy in force was last confirmed to be the newest.
  *
- * Answers the failure of a host that is cut off from the store: it would go on
- * serving keys that were withdrawn, and deny routes and keys that were added.
- * A proof (an answer of the store, or a peer that holds the same policy with a
- * newer proof) is a lease; when it has run out, requests with a key are
- * refused as not run, and nothing is denied for good.
+ * Guards against a host that is cut off from the store: it would accept revoked
+ * keys and deny new routes and keys. A confirmation by the store, or by a peer
+ * with the same policy and a newer confirmation, is a lease; after it expires,
+ * requests with a key are refused as not run, and nothing is denied
+ * permanently.
  */
 export class PolicyFreshness {
   readonly #keyLease: Milliseconds;
   readonly #denialLease: Milliseconds;
-  #provenAt: Milliseconds = -Infinity;
+  #confirmedAt: Milliseconds = -Infinity;
 
   constructor({ revocationBound, applyBound }: PolicyFreshnessOptions) {
     this.#keyLease = revocationBound * KEY_LEASE_SHARE;
     this.#denialLease = applyBound * DENIAL_SHARE;
   }
 
-  /** The policy in force was the newest at this moment; older proofs change nothing. */
+  /**
+   * Confirms that the policy in force was the newest at this time; older
+   * confirmations have no effect.
+   */
   confirm(at: Milliseconds): void {
-    this.#provenAt = Math.max(this.#provenAt, at);
+    this.#confirmedAt = Math.max(this.#confirmedAt, at);
   }
 
-  /** Time since the last proof. */
+  /** Returns the time since the last confirmation. */
   age(now: Milliseconds): Milliseconds {
-    return now - this.#provenAt;
+    return now - this.#confirmedAt;
   }
 
-  /** Whether requests may be served on the word of a key. */
+  /** Whether requests may be served based on their key. */
   isKeyTrusted(now: Milliseconds): boolean {
     return this.age(now) <= this.#keyLease;
   }
 
-  /** Whether an unknown route or key may be denied. */
+  /** Whether unknown routes and keys may be denied. */
   isDenialAllowed(now: Milliseconds): boolean {
     return this.age(now) <= this.#denialLease;
   }
--- a/packages/admission/src/policyIndex.ts
+++ b/packages/admission/src/policyIndex.ts
@@ -1,7 +1,7 @@
 import type { ClientAccountId, ServiceId } from "@wasabivane/common";
 import type { ClientAccount, Policy, Route, Service } from "./types.ts";
 
-/** Looks up routes, keys and services of one policy. */
+/** Index of the routes, keys and services of one policy. */
 export class PolicyIndex {
   readonly policy: Policy;
   readonly #routes = new Map<string, Route[]>();
@@ -21,14 +21,17 @@
     }
   }
 
-  /** The route of the host with the longest prefix that begins the path. */
+  /**
+   * Returns the route of the host whose prefix is the longest match of the
+   * path.
+   */
   route(host: string, path: string): Route | undefined {
     return this.#routes.get(hostName(host))?.find(({ prefix }) =>
       path.startsWith(prefix)
     );
   }
 
-  /** The account that holds a key. */
+  /** Returns the account that holds a key. */
   accountOfKey(key: string): ClientAccount | undefined {
     return this.#accountsByKey.get(key);
   }
@@ -53,7 +56,9 @@
   }
 }
 
-/** The host name of a `Host` field, without its port and in lower case. */
+/**
+ * Returns the host name of a `Host` header, in lower case and without the port.
+ */
 function hostName(field: string): string {
   const colon = field.indexOf(":");
   return (colon < 0 ? field : field.slice(0, colon)).toLowerCase();
--- a/packages/admission/src/prefixCacheIndex.ts
+++ b/packages/admission/src/prefixCacheIndex.ts
@@ -1,97 +1,111 @@
 import type { Milliseconds, UpstreamId } from "@wasabivane/common";
 import type { PromptPart } from "./types.ts";
 
-/** Engines let the least recently used parts go; after so long one is taken for gone. */
-const KEPT_MS: Milliseconds = 20_000;
-/** Parts remembered of one upstream: about what its memory holds of usual prompts. */
+/**
+ * Parts not used for this time are assumed to be evicted from the upstream's
+ * cache.
+ */
+const RETENTION_MS: Milliseconds = 20_000;
+/** Parts tracked per upstream at most. */
 const MAXIMUM_PARTS = 512;
-/** Upstreams remembered: more than a cell has; those that left are the first to go. */
+/** Upstreams tracked at most; those unused for longest are dropped first. */
 const MAXIMUM_UPSTREAMS = 256;
-const NOBODY: ReadonlySet<UpstreamId> = new Set();
+const NO_UPSTREAMS: ReadonlySet<UpstreamId> = new Set();
 
 /**
- * Which parts of prompts each upstream has read, as far as whoever places requests
- * sent them there.
+ * Tracks which prompt parts each upstream has probably cached, by the requests
+ * that were placed there.
  *
- * Answers the load pattern of prompts that begin alike, by account or by session.
- * Spread over all engines, each reads every common beginning once more; a fifth of
- * what engines read can be saved by going back to where it was read.
+ * Many prompts share a prefix, by account or by session. Sending them to the
+ * same upstreams saves processing the prefix again.
  */
 export class PrefixCacheIndex {
-  readonly #read = new Map<UpstreamId, Map<string, Milliseconds>>();
-  readonly #holders = new Map<string, Set<UpstreamId>>();
+  readonly #parts = new Map<UpstreamId, Map<string, Milliseconds>>();
+  readonly #upstreamsByPart = new Map<string, Set<UpstreamId>>();
 
-  /** A prompt of these parts goes to an upstream. */
+  /** Records that a prompt goes to an upstream. */
   recordPrompt(
     upstream: UpstreamId,
     parts: readonly PromptPart[],
     now: Milliseconds,
   ): void {
     if (parts.length === 0) return;
-    const read = this.#readAt(upstream);
+    const cachedParts = this.#partsOf(upstream);
     for (const { part } of parts) {
-      read.delete(part);
-      read.set(part, now);
-      this.#noteHolder(part, upstream);
+      cachedParts.delete(part);
+      cachedParts.set(part, now);
+      this.#addUpstream(part, upstream);
     }
-    for (const oldest of read.keys()) {
-      if (read.size <= MAXIMUM_PARTS) return;
-      read.delete(oldest);
-      this.#forgetHolder(oldest, upstream);
+    for (const oldest of cachedParts.keys()) {
+      if (cachedParts.size <= MAXIMUM_PARTS) return;
+      cachedParts.delete(oldest);
+      this.#removeUpstream(oldest, upstream);
     }
   }
 
-  /** Upstreams that have read the longest beginning of a prompt which any has read. */
+  /**
+   * Returns the upstreams that have cached the longest prefix of the prompt
+   * that any has.
+   */
   upstreamsCaching(parts: readonly PromptPart[]): ReadonlySet<UpstreamId> {
     for (const { part } of parts.toReversed()) {
-      const holders = this.#holders.get(part);
-      if (holders !== undefined) return holders;
+      const upstreams = this.#upstreamsByPart.get(part);
+      if (upstreams !== undefined) return upstreams;
     }
-    return NOBODY;
+    return NO_UPSTREAMS;
   }
 
-  /** Tokens of the longest beginning of a prompt that an upstream likely holds. */
+  /**
+   * Returns the tokens of the longest prefix of the prompt that the upstream
+   * has probably cached.
+   */
   cachedTokens(
     upstream: UpstreamId,
     parts: readonly PromptPart[],
     now: Milliseconds,
   ): number {
-    const read = this.#read.get(upstream);
-    if (read === undefined) return 0;
+    const cachedParts = this.#parts.get(upstream);
+    if (cachedParts === undefined) return 0;
     let tokens = 0;
     for (const { part, tokens: count } of parts) {
-      const at = read.get(part);
-      if (at === undefined || now - at > KEPT_MS) return tokens;
+      const at = cachedParts.get(part);
+      if (at === undefined || now - at > RETENTION_MS) return tokens;
       tokens += count;
     }
     return tokens;
   }
 
   #forget(upstream: UpstreamId): void {
-    const read = this.#read.get(upstream);
-    this.#read.delete(upstream);
-    for (const part of read?.keys() ?? []) this.#forgetHolder(part, upstream);
+    const cachedParts = this.#parts.get(upstream);
+    this.#parts.delete(upstream);
+    for (const part of cachedParts?.keys() ?? []) {
+      this.#removeUpstream(part, upstream);
+    }
   }
 
-  /** What an upstream has read; it is the last to be forgotten now. */
-  #readAt(upstream: UpstreamId): Map<string, Milliseconds> {
-    const read = this.#read.get(upstream) ?? new Map<string, Milliseconds>();
-    this.#read.delete(upstream);
-    this.#read.set(upstream, read);
-    const [oldest] = this.#read.keys();
-    if (this.#read.size > MAXIMUM_UPSTREAMS) this.#forget(oldest!);
-    return read;
+  /**
+   * Returns the parts of an upstream and marks the upstream as most recently
+   * used.
+   */
+  #partsOf(upstream: UpstreamId): Map<string, Milliseconds> {
+    const cachedParts = this.#parts.get(upstream) ??
+      new Map<string, Milliseconds>();
+    this.#parts.delete(upstream);
+    this.#parts.set(upstream, cachedParts);
+    const [oldest] = this.#parts.keys();
+    if (this.#parts.size > MAXIMUM_UPSTREAMS) this.#forget(oldest!);
+    return cachedParts;
   }
 
-  #noteHolder(part: string, upstream: UpstreamId): void {
-    const holders = this.#holders.get(part) ?? new Set();
-    holders.add(upstream);
-    this.#holders.set(part, holders);
+  #addUpstream(part: string, upstream: UpstreamId): void {
+    const upstreams = this.#upstreamsByPart.get(part) ?? new Set();
+    upstreams.add(upstream);
+    this.#upstreamsByPart.set(part, upstreams);
   }
 
-  #forgetHolder(part: string, upstream: UpstreamId): void {
-    const holders = this.#holders.get(part);
-    holders?.delete(upstream);
-    if (holders?.size === 0) this.#holders.delete(part);
+  #removeUpstream(part: string, upstream: UpstreamId): void {
+    const upstreams = this.#upstreamsByPart.get(part);
+    upstreams?.delete(upstream);
+    if (upstreams?.size === 0) this.#upstreamsByPart.delete(part);
   }
 }
--- a/packages/admission/src/quotaBucket.ts
+++ b/packages/admission/src/quotaBucket.ts
@@ -1,32 +1,41 @@
 import type { Milliseconds } from "@wasabivane/common";
 import type { Quota } from "./types.ts";
 
-/** A host that just started does not know what was used; it takes this share of a burst as left. */
-const START_SHARE = 0.5;
 /**
- * Part of what operators tolerate that is used. The rest covers what peers tell
- * late and what one restart of all hosts within the span forgets.
+ * Share of the burst that is available after a start, when earlier usage is
+ * unknown.
  */
-const USED_TOLERANCE = 0.9;
+const INITIAL_SHARE = 0.5;
+/**
+ * Share of the tolerance that is used. The rest covers delayed reports and a
+ * restart of all hosts.
+ */
+const USED_TOLERANCE_SHARE = 0.9;
 
-/** By how much all hosts together may exceed a quota, as they count without a store. */
+/**
+ * By how much all hosts together may exceed a quota, as they count without a
+ * shared store.
+ */
 export interface QuotaTolerance {
   /** Share of the quota. */
   readonly overrun: number;
-  /** Units besides, in each span. */
+  /** Additional units in each span. */
   readonly slack: number;
-  /** Span over which operators count. */
+  /** Span over which usage is counted. */
   readonly span: Milliseconds;
 }
 
-/** What an account may still use: by its quota, and by what operators tolerate above it. */
+/**
+ * Token bucket of an account, with a second level for the tolerance above its
+ * quota.
+ */
 export class QuotaBucket {
   readonly #tolerance: QuotaTolerance;
   #quota: Quota;
   #refilledAt: Milliseconds;
-  /** Units left of the quota; below 0 for what was admitted above it. */
+  /** Units left of the quota; negative after usage above it. */
   #level: number;
-  /** Units left of the quota and the tolerance. */
+  /** Units left of the quota and the tolerance together. */
   #toleratedLevel: number;
 
   constructor(
@@ -36,7 +45,7 @@
     this.#quota = quota;
     this.#tolerance = tolerance;
     this.#refilledAt = now;
-    this.#level = quota.burst * START_SHARE;
+    this.#level = quota.burst * INITIAL_SHARE;
     this.#toleratedLevel = this.#level;
   }
 
@@ -48,23 +57,29 @@
     return this.#toleratedLevel > 0;
   }
 
-  /** Time until something is left of the quota, or of what is tolerated. */
-  refillTime(isToleranceOpen: boolean): Milliseconds {
+  /**
+   * Returns the time until units of the quota, or of the tolerance, are
+   * available.
+   */
+  refillTime(isToleranceAllowed: boolean): Milliseconds {
     const quotaTime = -this.#level / this.#quota.perSecond;
     const toleratedTime = -this.#toleratedLevel / this.#toleratedRate();
-    const seconds = isToleranceOpen
+    const seconds = isToleranceAllowed
       ? Math.min(quotaTime, toleratedTime)
       : quotaTime;
     return Math.max(0, seconds) * 1_000;
   }
 
-  /** Takes units, or gives them back when negative. */
+  /** Takes units, or returns them if negative. */
   take(units: number): void {
     this.#level -= units;
     this.#toleratedLevel -= units;
   }
 
-  /** Fills up for the time gone by; `presumed` units a second went to silent peers. */
+  /**
+   * Refills for the elapsed time, less the `presumed` units per second of
+   * unresponsive peers.
+   */
   refill(
     quota: Quota,
     { presumed, now }: { presumed: number; now: Milliseconds },
@@ -84,14 +99,17 @@
     );
   }
 
-  /** Units a second that keep every span within quota and tolerance, a burst included. */
+  /**
+   * Returns the refill rate in units per second that keeps every span,
+   * including a burst, within quota and tolerance.
+   */
   #toleratedRate(): number {
     const { overrun, slack, span } = this.#tolerance;
     const { perSecond, burst } = this.#quota;
     const seconds = span / 1_000;
     if (seconds <= 0) return perSecond;
     const granted = (perSecond * seconds + burst) * (1 + overrun) + slack;
-    const rate = (USED_TOLERANCE * granted - burst) / seconds;
+    const rate = (USED_TOLERANCE_SHARE * granted - burst) / seconds;
     return Math.max(perSecond, rate);
   }
 }
--- a/packages/admission/src/quotaLimiter.ts
+++ b/packages/admission/src/quotaLimiter.ts
@@ -8,15 +8,18 @@
 import { QuotaBucket, type QuotaTolerance } from "./quotaBucket.ts";
 import type { Quota } from "./types.ts";
 
-/** A peer that says nothing for so long may be cut off and go on admitting. */
-const SILENCE_MS: Milliseconds = 1_000;
-/** Its last rate is charged for so long: longer than partitions usually last. */
-const PRESUMED_MS: Milliseconds = 15_000;
-/** Span over which a peer's rate is measured. */
-const RATE_SPAN_MS: Milliseconds = 2_000;
-/** Shortest and longest time after which an account over its quota is asked to return. */
-const LEAST_RETRY_MS: Milliseconds = 250;
-const GREATEST_RETRY_MS: Milliseconds = 4_000;
+/**
+ * A peer without reports for this time may be partitioned and still admit
+ * requests.
+ */
+const PEER_TIMEOUT_MS: Milliseconds = 1_000;
+/** How long its last rate is charged; longer than most partitions. */
+const PRESUMED_USAGE_MS: Milliseconds = 15_000;
+/** Window over which a peer's rate is measured. */
+const RATE_WINDOW_MS: Milliseconds = 2_000;
+/** Bounds of the retry delay of an account over its quota. */
+const MINIMUM_RETRY_MS: Milliseconds = 250;
+const MAXIMUM_RETRY_MS: Milliseconds = 4_000;
 
 /** An account is over its quota. */
 export interface OverQuota {
@@ -32,24 +35,24 @@
 
 interface PeerUsage {
   incarnation: Incarnation;
-  heardAt: Milliseconds;
+  reportedAt: Milliseconds;
   readonly used: Map<ClientAccountId, number>;
-  /** Units a millisecond by account. */
+  /** Units per millisecond, by account. */
   readonly rates: Map<ClientAccountId, number>;
   measuredAt: Milliseconds;
   measured: Map<ClientAccountId, number>;
 }
 
 /**
- * Keeps client accounts within quotas that count over all hosts, without a store.
- * Each host holds a bucket of the whole quota and takes out of it what it admits
- * and what its peers say that they admitted.
+ * Enforces quotas of client accounts over all hosts without a shared store.
+ * Each host keeps a token bucket for the whole quota and charges it with what
+ * it admits and what its peers report.
  *
- * Answers the load pattern of one account that sends many times its usual through
- * all hosts at once. Equal shares would starve an account whose callers hash to
- * one host; a bucket for each host alone would admit the quota once per host.
- * Peers lag by a fraction of a second, which a bucket in debt makes good. A peer
- * that falls silent may be cut off: its last rate stays charged for a while.
+ * Equal shares per host would starve an account whose callers use a single
+ * host; independent buckets would admit the quota once per host. Reports are
+ * delayed by a fraction of a second, which the bucket repays as debt. An
+ * unresponsive peer may be partitioned, so its last rate stays charged for a
+ * while.
  */
 export class QuotaLimiter {
   readonly #tolerance: QuotaTolerance;
@@ -62,9 +65,8 @@
   }
 
   /**
-   * Takes units for a request, or says when to come back. What operators tolerate
-   * above a quota is used only where it takes nothing from others: `isIdle` says
-   * that places are free and nobody waits.
+   * Takes units for a request, or returns when to retry. The tolerance above
+   * the quota is granted only if `isIdle`: slots are free and no requests wait.
    */
   take(
     { account, quota, units, isIdle }: {
@@ -76,37 +78,37 @@
     now: Milliseconds,
   ): Result<void, OverQuota> {
     const bucket = this.#refill(account, quota, now);
-    const isToleranceOpen = isIdle && !this.#hasSilentPeer(now);
-    const isTolerated = isToleranceOpen && bucket.isTolerated;
+    const isToleranceAllowed = isIdle && !this.#hasUnresponsivePeer(now);
+    const isTolerated = isToleranceAllowed && bucket.isTolerated;
     if (!bucket.isWithinQuota && !isTolerated) {
-      const refillTime = bucket.refillTime(isToleranceOpen);
-      const wait = Math.max(LEAST_RETRY_MS, refillTime);
-      return err({ retryAfter: Math.min(GREATEST_RETRY_MS, wait) });
+      const refillTime = bucket.refillTime(isToleranceAllowed);
+      const wait = Math.max(MINIMUM_RETRY_MS, refillTime);
+      return err({ retryAfter: Math.min(MAXIMUM_RETRY_MS, wait) });
     }
     bucket.take(units);
     this.#used.set(account, (this.#used.get(account) ?? 0) + units);
     return ok(undefined);
   }
 
-  /** Gives back units of a request that did not run. */
+  /** Refunds units of a request that did not run. */
   refund(account: ClientAccountId, units: number): void {
     this.#buckets.get(account)?.take(-units);
     this.#used.set(account, (this.#used.get(account) ?? 0) - units);
   }
 
-  /** This host's sums for its peers. */
+  /** Returns the units admitted by this host, for its peers. */
   used(): ReadonlyMap<ClientAccountId, number> {
     return this.#used;
   }
 
-  /** Takes out what a peer admitted since its last word. */
+  /** Charges what a peer has admitted since its last report. */
   applyUsage(
     { host, incarnation, used }: UsageReport,
     now: Milliseconds,
   ): void {
     const former = this.#peers.get(host);
     if (former === undefined || former.incarnation !== incarnation) {
-      this.#peers.set(host, freshUsage({ incarnation, used, now }));
+      this.#peers.set(host, createPeerUsage({ incarnation, used, now }));
       return;
     }
     for (const [account, sum] of used) {
@@ -114,8 +116,8 @@
       this.#buckets.get(account)?.take(sum - before);
       former.used.set(account, sum);
     }
-    former.heardAt = now;
-    measure(former, now);
+    former.reportedAt = now;
+    updateRates(former, now);
   }
 
   #refill(
@@ -135,28 +137,31 @@
     return bucket;
   }
 
-  /** A peer that may be cut off may use the tolerance itself. */
-  #hasSilentPeer(now: Milliseconds): boolean {
-    for (const { heardAt } of this.#peers.values()) {
-      if (now - heardAt >= SILENCE_MS) return true;
+  /** Whether a peer may be partitioned and use the tolerance itself. */
+  #hasUnresponsivePeer(now: Milliseconds): boolean {
+    for (const { reportedAt } of this.#peers.values()) {
+      if (now - reportedAt >= PEER_TIMEOUT_MS) return true;
     }
     return false;
   }
 
-  /** Units a millisecond that silent peers are taken to admit. */
+  /**
+   * Returns the units per millisecond that unresponsive peers are assumed to
+   * admit.
+   */
   #presumedRate(account: ClientAccountId, now: Milliseconds): number {
     let rate = 0;
     for (const [host, peer] of this.#peers) {
-      const silence = now - peer.heardAt;
-      if (silence < SILENCE_MS) continue;
-      if (silence > PRESUMED_MS) this.#peers.delete(host);
+      const timeSinceReport = now - peer.reportedAt;
+      if (timeSinceReport < PEER_TIMEOUT_MS) continue;
+      if (timeSinceReport > PRESUMED_USAGE_MS) this.#peers.delete(host);
       else rate += peer.rates.get(account) ?? 0;
     }
     return rate;
   }
 }
 
-function freshUsage(
+function createPeerUsage(
   { incarnation, used, now }: {
     incarnation: Incarnation;
     used: ReadonlyMap<ClientAccountId, number>;
@@ -165,7 +170,7 @@
 ): PeerUsage {
   return {
     incarnation,
-    heardAt: now,
+    reportedAt: now,
     used: new Map(used),
     rates: new Map(),
     measuredAt: now,
@@ -173,9 +178,9 @@
   };
 }
 
-function measure(peer: PeerUsage, now: Milliseconds): void {
+function updateRates(peer: PeerUsage, now: Milliseconds): void {
   const span = now - peer.measuredAt;
-  if (span < RATE_SPAN_MS) return;
+  if (span < RATE_WINDOW_MS) return;
   for (const [account, sum] of peer.used) {
     const rate = (sum - (peer.measured.get(account) ?? 0)) / span;
     peer.rates.set(account, Math.max(0, rate));
