--- a/packages/admission/src/rankCoordinators.ts
+++ b/packages/admission/src/rankCoordinators.ts
@@ -3,32 +3,32 @@
 import { hashWeight } from "./hashWeight.ts";
 
 /**
- * A host younger than this keeps no cell while there are older ones: until everybody
- * knows it, hosts would turn to two keepers, which fill the same places.
+ * Hosts younger than this rank behind older ones. Until all hosts know a new
+ * host, some would still use the previous coordinator and both would fill the
+ * same slots.
  */
-const GROWN_UP_MS: Milliseconds = 4_000;
+const MINIMUM_AGE_MS: Milliseconds = 4_000;
 
-/** Fewer cores than this are not told apart. */
-const LEAST_CORES = 0.05;
+/** Machines with fewer cores than this count as equal. */
+const MINIMUM_CORES = 0.05;
 
-/** A live host that may keep a cell. */
+/** A live host that may coordinate a cell. */
 export interface CoordinatorCandidate {
   readonly host: HostId;
   readonly failureDomain: FailureDomain;
   /** Time since its process started. */
   readonly age: Milliseconds;
-  /** Processor cores that it may use, also a fraction of one. */
+  /** Processor cores available to it; may be fractional. */
   readonly cores: number;
 }
 
 /**
- * The hosts in the order in which they keep a cell: grown-up ones first, those in
- * its failure domain before others, larger machines before smaller, then by a hash on
- * which all agree. The next in order takes over from one that is silent.
+ * Ranks the hosts by which they coordinate a cell: established hosts first,
+ * then those in its failure domain, then larger machines, then by rendezvous
+ * hash. The next in rank takes over from an unresponsive one.
  *
- * A keeper does the work of all hosts of its cell beside its own. On the smallest
- * machines of a mixed fleet a burst takes all the processor there is, the keeper
- * answers late, and its hosts go on without it at the worst time.
+ * A coordinator also does the work of its own callers; on the smallest machines
+ * a burst would leave it too little processor time to reply in time.
  */
 export function rankCoordinators(
   cell: Cell,
@@ -38,21 +38,24 @@
   const ranked = candidates.map(({ host, failureDomain, age, cores }) => ({
     host,
     size: sizeOf(cores),
-    isYoung: age < GROWN_UP_MS,
-    isFar: cell.failureDomain !== undefined &&
+    isNew: age < MINIMUM_AGE_MS,
+    isInOtherDomain: cell.failureDomain !== undefined &&
       failureDomain !== cell.failureDomain,
     weight: hashWeight(key, host),
   }));
   ranked.sort((left, right) =>
-    Number(left.isYoung) - Number(right.isYoung) ||
-    Number(left.isFar) - Number(right.isFar) ||
+    Number(left.isNew) - Number(right.isNew) ||
+    Number(left.isInOtherDomain) - Number(right.isInOtherDomain) ||
     right.size - left.size ||
     right.weight - left.weight
   );
   return ranked.map(({ host }) => host);
 }
 
-/** Machines count as larger from twice the processor on; less is no reason to move a line. */
+/**
+ * Returns the size class of a machine, in powers of two so that small
+ * differences do not move a cell.
+ */
 function sizeOf(cores: number): number {
-  return Math.round(Math.log2(Math.max(cores, LEAST_CORES)));
+  return Math.round(Math.log2(Math.max(cores, MINIMUM_CORES)));
 }
--- a/packages/admission/src/requestQueue.ts
+++ b/packages/admission/src/requestQueue.ts
@@ -3,79 +3,83 @@
 import { SortedQueue } from "./sortedQueue.ts";
 import { type Rank, StartRates } from "./startRates.ts";
 
-/** How often the pace of a line is held against its late requests; it changes slowly. */
-const PACE_CHECK_MS: Milliseconds = 100;
+/** Interval at which late requests are checked against the start rates. */
+const RATE_CHECK_INTERVAL_MS: Milliseconds = 100;
 
-/** Order of the requests of one tier. */
-const BEGUN = 0;
+/**
+ * Order within a tier: continuations, requests that can be on time, late
+ * requests.
+ */
+const CONTINUATION = 0;
 const ON_TIME = 1;
 const LATE = 2;
-const PLACES = 3;
+const RANKS_PER_TIER = 3;
 
-/** A request in a line. */
+/** A request in a queue. */
 export interface QueuedRequest {
   readonly request: RequestId;
   readonly tier: Tier;
   readonly since: Milliseconds;
-  /** Started until then, its answer is on time. */
+  /** Latest start for a response that is on time. */
   readonly onTimeUntil: Milliseconds;
-  /** Started later, its answer is of no use to the caller. */
+  /** Latest start for a response that is of use to the caller. */
   readonly usefulUntil: Milliseconds;
-  /** Expected time in a place, above 0. */
-  readonly hold: Milliseconds;
-  /** It goes on with work that an upstream began and that its caller still waits for. */
+  /** Expected time in a slot, above 0. */
+  readonly slotTime: Milliseconds;
+  /**
+   * Whether it continues work that an upstream has started and its caller still
+   * waits for.
+   */
   readonly isContinuation?: boolean;
 }
 
-/** What a line promises one of its requests, or one that would join it. */
+/** Expected course of a queued request, or of one that would join the queue. */
 export interface QueueEstimate {
-  /** Requests that start before it as long as it is as urgent as now. */
+  /** Number of requests that start before it unless it becomes late. */
   readonly ahead: number;
-  /** Starts a second of requests like it; `undefined` while that is not known. */
+  /** Starts per second of requests like it; `undefined` while unknown. */
   readonly startsPerSecond: number | undefined;
-  /** Time until it starts at that pace. */
+  /** Expected time until it starts at that rate. */
   readonly wait: Milliseconds;
 }
 
-/** A request of the line, and where in its queue it stands. */
-interface Queued<Item> {
+/** A queued request and its position. */
+interface QueueEntry<Item> {
   readonly item: Item;
   readonly rank: Rank;
-  readonly turn: Milliseconds;
+  readonly priority: Milliseconds;
   readonly order: number;
 }
 
 /**
- * Orders the requests that wait for one service: the most urgent tier first; within
- * it those that go on with begun work; then those that can still be on time, earliest
- * due first; then those that are late anyway, in order of arrival. Short work of lower
- * tiers has a bounded room of its own, see {@link BypassBudget}.
+ * Queue of the requests that wait for one service, ordered by tier. Within a
+ * tier, continuations come first, then requests that can still be on time by
+ * their due time, then late requests by arrival. Short requests of lower tiers
+ * can bypass others within a budget, see {@link BypassBudget}.
  *
- * Answers the load pattern of a burst above capacity. First come, first served
- * would make every request late in turn; serving those that can still be on
- * time keeps most of a burst on time and the rest late, but served. The length of an
- * answer does not count among equals: with short ones first, the longest starve in
- * lasting overload. What will not start while it is of use is told so as soon as the
- * pace of the line shows it, so that its caller can come back instead of waiting in
- * vain. Begun work is never told so: most of it is done, and what was passed on would
- * break off.
+ * In a burst above capacity, serving those first that can still be on time
+ * keeps most requests on time, while order of arrival would make all of them
+ * late. The expected length of a response does not affect the order, so that
+ * long requests do not starve. Requests that cannot start in time are refused
+ * as soon as the start rates show it. Continuations are never refused, as most
+ * of their work is done.
  */
 export class RequestQueue<Item extends QueuedRequest> {
-  readonly #queued = new Map<RequestId, Queued<Item>>();
-  /** By rank; those of a rank are in the order in which they should start. */
+  readonly #entries = new Map<RequestId, QueueEntry<Item>>();
+  /** Queues by rank, each in start order. */
   readonly #queues = new Map<Rank, SortedQueue<Item>>();
   readonly #rates = new StartRates();
-  readonly #room = new BypassBudget();
-  #pushed = 0;
-  /** Before this time no request of the line is of no use any more. */
-  #uselessFrom: Milliseconds = Infinity;
-  #pacedAt: Milliseconds = -Infinity;
+  readonly #bypassBudget = new BypassBudget();
+  #pushCount = 0;
+  /** No queued request expires before this time. */
+  #nextExpiryAt: Milliseconds = Infinity;
+  #ratesCheckedAt: Milliseconds = -Infinity;
 
   get size(): number {
-    return this.#queued.size;
+    return this.#entries.size;
   }
 
-  /** Whether something has waited for a good part of the last seconds. */
+  /** Whether requests were waiting for a good part of the last seconds. */
   get isBacklogged(): boolean {
     return this.#rates.isKnown;
   }
@@ -83,90 +87,93 @@
   push(item: Item, now: Milliseconds): void {
     this.#rates.advance(this.size > 0, now);
     this.remove(item.request);
-    this.#add(item, this.#pushed++, now);
-    if (isBegun(item)) return;
-    this.#uselessFrom = Math.min(this.#uselessFrom, item.usefulUntil);
+    this.#add(item, this.#pushCount++, now);
+    if (isContinuation(item)) return;
+    this.#nextExpiryAt = Math.min(this.#nextExpiryAt, item.usefulUntil);
   }
 
-  /** Takes out a request that starts. */
+  /** Removes a request that starts. */
   start(request: RequestId, now: Milliseconds): Item | undefined {
     this.#rates.advance(this.size > 0, now);
     const item = this.remove(request);
     if (item === undefined) return undefined;
     this.#rates.recordStart(rankOf(item, now));
-    this.#room.recordStart(item, this.#hasAbove(item.tier));
+    this.#bypassBudget.recordStart(item, this.#hasMoreUrgent(item.tier));
     return item;
   }
 
   remove(request: RequestId): Item | undefined {
-    const queued = this.#queued.get(request);
-    if (queued === undefined) return undefined;
-    this.#queued.delete(request);
-    this.#queues.get(queued.rank)!.remove(queued.turn, queued.order);
-    return queued.item;
+    const entry = this.#entries.get(request);
+    if (entry === undefined) return undefined;
+    this.#entries.delete(request);
+    this.#queues.get(entry.rank)!.remove(entry.priority, entry.order);
+    return entry.item;
   }
 
   /**
-   * Takes out the requests that are of no use any more, and those that are late and
-   * will not start in time at the pace of the line.
+   * Removes and returns the requests that have expired, and late ones that
+   * cannot start in time at the current rates.
    */
   removeUnservable(now: Milliseconds): Item[] {
     this.#rates.advance(this.size > 0, now);
-    return [...this.#takeExpired(now), ...this.#takeOutpaced(now)];
+    return [...this.#removeExpired(now), ...this.#removeProjectedLate(now)];
   }
 
-  #takeExpired(now: Milliseconds): Item[] {
-    if (now < this.#uselessFrom) return [];
+  #removeExpired(now: Milliseconds): Item[] {
+    if (now < this.#nextExpiryAt) return [];
     const expired: Item[] = [];
-    this.#uselessFrom = Infinity;
-    for (const { item } of this.#queued.values()) {
-      if (isBegun(item)) continue;
+    this.#nextExpiryAt = Infinity;
+    for (const { item } of this.#entries.values()) {
+      if (isContinuation(item)) continue;
       if (item.usefulUntil <= now) expired.push(item);
-      else this.#uselessFrom = Math.min(this.#uselessFrom, item.usefulUntil);
+      else this.#nextExpiryAt = Math.min(this.#nextExpiryAt, item.usefulUntil);
     }
     for (const { request } of expired) this.remove(request);
     return expired;
   }
 
-  /** Takes out late requests that will not start in time behind those before them. */
-  #takeOutpaced(now: Milliseconds): Item[] {
-    if (now - this.#pacedAt < PACE_CHECK_MS) return [];
-    this.#pacedAt = now;
-    this.#noteLate(now);
-    const outpaced: Item[] = [];
+  /**
+   * Removes late requests that cannot start in time behind those ahead of them.
+   */
+  #removeProjectedLate(now: Milliseconds): Item[] {
+    if (now - this.#ratesCheckedAt < RATE_CHECK_INTERVAL_MS) return [];
+    this.#ratesCheckedAt = now;
+    this.#demoteLate(now);
+    const projectedLate: Item[] = [];
     for (const rank of this.#ranks()) {
-      if (!isRankOfLate(rank)) continue;
+      if (!isLateRank(rank)) continue;
       let ahead = 0;
       for (const item of this.#queues.get(rank)!.items) {
         const startsAt = now + this.#rates.estimateWait(ahead, [rank]);
-        if (startsAt > item.usefulUntil) outpaced.push(item);
+        if (startsAt > item.usefulUntil) projectedLate.push(item);
         else ahead++;
       }
     }
-    for (const { request } of outpaced) this.remove(request);
-    return outpaced;
+    for (const { request } of projectedLate) this.remove(request);
+    return projectedLate;
   }
 
   /**
-   * Whether a request, waiting or not, will start too late at the pace of the line: for
-   * any use, or for an answer on time while it could still be. With nobody ahead it may
-   * start at once and is never refused for a belief.
+   * Whether a request, queued or not, would start too late at the current
+   * rates: after its response is of use, or too late to be on time while that
+   * is still possible. With none ahead it may start at once, so it is not
+   * refused on an estimate.
    */
   shouldRefuse(item: QueuedRequest, now: Milliseconds): boolean {
-    if (isBegun(item)) return false;
+    if (isContinuation(item)) return false;
     const { ahead, wait } = this.estimate(item, now);
     if (ahead === 0) return false;
     const until = isLate(item, now) ? item.usefulUntil : item.onTimeUntil;
     return now + wait > until;
   }
 
-  /** What the line promises a request, waiting or not. */
+  /** Returns the estimate for a request, queued or not. */
   estimate(item: QueuedRequest, now: Milliseconds): QueueEstimate {
-    this.#noteLate(now);
+    this.#demoteLate(now);
     const rank = rankOf(item, now);
-    if (isRankOfLate(rank)) {
+    if (isLateRank(rank)) {
       const ahead = this.#aheadOf(item, rank, now);
-      const startsPerSecond = this.#rates.perSecond([rank]);
+      const startsPerSecond = this.#rates.startsPerSecond([rank]);
       return {
         ahead,
         startsPerSecond,
@@ -174,65 +181,66 @@
       };
     }
     const ranks = ranksOf(item.tier);
-    const begun = isBegun(item)
+    const continuations = isContinuation(item)
       ? 0
-      : this.#queues.get(ranks[BEGUN]!)?.size ?? 0;
-    const ahead = begun + this.#aheadOf(item, rank, now);
+      : this.#queues.get(ranks[CONTINUATION]!)?.size ?? 0;
+    const ahead = continuations + this.#aheadOf(item, rank, now);
     return {
       ahead,
-      startsPerSecond: this.#rates.perSecond(ranks),
+      startsPerSecond: this.#rates.startsPerSecond(ranks),
       wait: this.#rates.estimateWait(ahead, ranks),
     };
   }
 
-  /** The requests in the order in which they should start, the first `most` of them. */
-  inOrder(now: Milliseconds, most = Infinity): Item[] {
-    this.#noteLate(now);
+  /** Returns the requests in start order, at most `maximum` of them. */
+  inOrder(now: Milliseconds, maximum = Infinity): Item[] {
+    this.#demoteLate(now);
     const ranks = this.#ranks();
-    const order = this.#passing(ranks);
-    const isPassing = new Set(order);
+    const order = this.#selectBypassing(ranks);
+    const isBypassing = new Set(order);
     for (const rank of ranks) {
       for (const item of this.#queues.get(rank)!.items) {
-        if (order.length >= most) return order;
-        if (!isPassing.has(item)) order.push(item);
+        if (order.length >= maximum) return order;
+        if (!isBypassing.has(item)) order.push(item);
       }
     }
     return order;
   }
 
-  /** Short work that may be started before all that is more urgent. */
-  #passing(ranks: readonly Rank[]): Item[] {
-    const turn = this.#room.startSelection();
-    const passing: Item[] = [];
+  /** Returns the short requests that may start before more urgent ones. */
+  #selectBypassing(ranks: readonly Rank[]): Item[] {
+    const selection = this.#bypassBudget.startSelection();
+    const bypassing: Item[] = [];
     for (const rank of ranks) {
-      const mayPass = !isRankOfLate(rank) && turn.isTierAllowed(tierOf(rank));
-      if (!mayPass) continue;
+      const isAllowed = !isLateRank(rank) &&
+        selection.isTierAllowed(tierOf(rank));
+      if (!isAllowed) continue;
       for (const item of this.#queues.get(rank)!.items) {
-        if (turn.take(item)) passing.push(item);
+        if (selection.reserve(item)) bypassing.push(item);
       }
     }
-    return passing;
+    return bypassing;
   }
 
   #add(item: Item, order: number, now: Milliseconds): void {
     const rank = rankOf(item, now);
-    const turn = turnOf(item, now);
+    const priority = priorityOf(item, now);
     let queue = this.#queues.get(rank);
     if (queue === undefined) {
       queue = new SortedQueue();
       this.#queues.set(rank, queue);
     }
-    queue.add(item, turn, order);
-    this.#queued.set(item.request, { item, rank, turn, order });
+    queue.add(item, priority, order);
+    this.#entries.set(item.request, { item, rank, priority, order });
   }
 
-  /** Requests that have become late go to the queue of those. */
-  #noteLate(now: Milliseconds): void {
+  /** Moves requests that have become late to the queue of late requests. */
+  #demoteLate(now: Milliseconds): void {
     for (const [rank, queue] of this.#queues) {
-      if (!isRankOfPunctual(rank)) continue;
+      if (!isOnTimeRank(rank)) continue;
       for (let [item] = queue.items; item; [item] = queue.items) {
         if (!isLate(item, now)) break;
-        const { order } = this.#queued.get(item.request)!;
+        const { order } = this.#entries.get(item.request)!;
         this.remove(item.request);
         this.#add(item, order, now);
       }
@@ -243,22 +251,28 @@
     return [...this.#queues.keys()].toSorted((left, right) => left - right);
   }
 
-  #hasAbove(tier: Tier): boolean {
+  #hasMoreUrgent(tier: Tier): boolean {
     for (const [rank, { size }] of this.#queues) {
-      if (size > 0 && rank < PLACES * tier) return true;
+      if (size > 0 && rank < RANKS_PER_TIER * tier) return true;
     }
     return false;
   }
 
-  /** Others of its rank whose turn comes no later. */
+  /**
+   * Returns the number of other requests of its rank with an equal or lower
+   * priority value.
+   */
   #aheadOf(item: QueuedRequest, rank: Rank, now: Milliseconds): number {
-    const count = this.#queues.get(rank)?.countUpTo(turnOf(item, now)) ?? 0;
-    const isCounted = this.#queued.get(item.request)?.rank === rank;
+    const count = this.#queues.get(rank)?.countUpTo(priorityOf(item, now)) ?? 0;
+    const isCounted = this.#entries.get(item.request)?.rank === rank;
     return isCounted ? count - 1 : count;
   }
 }
 
-/** Whether a request is as urgent as another one and due at most so long after it. */
+/**
+ * Whether a request is as urgent as another one and due at most `span` after
+ * it.
+ */
 export function isDueWithin(
   span: Milliseconds,
   { first, other, now }: {
@@ -268,41 +282,52 @@
   },
 ): boolean {
   return rankOf(first, now) === rankOf(other, now) &&
-    turnOf(other, now) <= turnOf(first, now) + span;
+    priorityOf(other, now) <= priorityOf(first, now) + span;
 }
 
-function isBegun({ isContinuation }: QueuedRequest): boolean {
+function isContinuation({ isContinuation }: QueuedRequest): boolean {
   return isContinuation === true;
 }
 
-/** Begun work is never late in the sense of the order. */
+/** Continuations never count as late. */
 function isLate(item: QueuedRequest, now: Milliseconds): boolean {
-  return !isBegun(item) && item.onTimeUntil <= now;
+  return !isContinuation(item) && item.onTimeUntil <= now;
 }
 
 function rankOf(item: QueuedRequest, now: Milliseconds): Rank {
-  const place = isBegun(item) ? BEGUN : isLate(item, now) ? LATE : ON_TIME;
-  return PLACES * item.tier + place;
+  const position = isContinuation(item)
+    ? CONTINUATION
+    : isLate(item, now)
+    ? LATE
+    : ON_TIME;
+  return RANKS_PER_TIER * item.tier + position;
 }
 
-/** All ranks of a tier, by their place in it. */
+/** Returns the ranks of a tier, by position in it. */
 function ranksOf(tier: Tier): Rank[] {
-  return [BEGUN, ON_TIME, LATE].map((place) => PLACES * tier + place);
+  return [CONTINUATION, ON_TIME, LATE].map((position) =>
+    RANKS_PER_TIER * tier + position
+  );
 }
 
 function tierOf(rank: Rank): Tier {
-  return Math.floor(rank / PLACES) as Tier;
+  return Math.floor(rank / RANKS_PER_TIER) as Tier;
 }
 
-function isRankOfLate(rank: Rank): boolean {
-  return rank % PLACES === LATE;
+function isLateRank(rank: Rank): boolean {
+  return rank % RANKS_PER_TIER === LATE;
 }
 
-function isRankOfPunctual(rank: Rank): boolean {
-  return rank % PLACES === ON_TIME;
+function isOnTimeRank(rank: Rank): boolean {
+  return rank % RANKS_PER_TIER === ON_TIME;
 }
 
-/** Order within a rank: earliest due first, what is late or begun by its arrival. */
-function turnOf(item: QueuedRequest, now: Milliseconds): Milliseconds {
-  return isLate(item, now) || isBegun(item) ? item.since : item.onTimeUntil;
+/**
+ * Returns the priority value within a rank: by due time, or by arrival for late
+ * requests and continuations.
+ */
+function priorityOf(item: QueuedRequest, now: Milliseconds): Milliseconds {
+  return isLate(item, now) || isContinuation(item)
+    ? item.since
+    : item.onTimeUntil;
 }
--- a/packages/admission/src/requestScheduler.ts
+++ b/packages/admission/src/requestScheduler.ts
@@ -18,63 +18,68 @@
 } from "./requestQueue.ts";
 
 /**
- * Least time from an answer's end until the next request of the line is at its upstream:
- * three messages among hosts, some of another failure domain.
+ * Minimum time from the end of a response until the next queued request is at
+ * its upstream.
  */
-const LEAST_REFILL_MS: Milliseconds = 8;
+const MINIMUM_REFILL_MS: Milliseconds = 8;
 const REFILL_WEIGHT = 0.02;
-/** Requests that wait at an upstream know no tiers; so many of its places at most. */
-const MOST_AHEAD_SHARE = 0.5;
 /**
- * Requests looked at for the places that are free: in a long line of those that would
- * rather wait for another engine, looking at all would take longer than a place is free.
+ * Share of its slots that an upstream may hold in queued requests at most, as
+ * upstreams ignore tiers.
  */
-const MAXIMUM_LOOKS = 48;
-/** Assumed residence of a request before any was seen. */
-const FIRST_RESIDENCE_MS: Milliseconds = 300;
+const MAXIMUM_EXCESS_SHARE = 0.5;
+/**
+ * Queued requests that are considered for free slots at most, which bounds the
+ * time spent on long queues.
+ */
+const MAXIMUM_CONSIDERED = 48;
+/** Estimate until a service has samples. */
+const INITIAL_RESIDENCE_MS: Milliseconds = 300;
 const RESIDENCE_WEIGHT = 0.05;
 
-/** A request that wants an upstream. */
+/** A request that needs an upstream. */
 export interface PendingRequest extends QueuedRequest, PlacementCriteria {
   readonly service: ServiceId;
-  /** By how much it starts sooner than need be while the line stands, to be on time likely. */
+  /** Extra time by which it starts earlier while the queue is backlogged. */
   readonly margin?: Milliseconds;
-  /** Called once unless the candidate is withdrawn. */
-  readonly decide: (verdict: PlacementDecision) => void;
+  /** Called once unless the request is withdrawn. */
+  readonly decide: (decision: PlacementDecision) => void;
 }
 
-/** Why a {@link PendingRequest} gets no place. */
+/** Why a {@link PendingRequest} gets no slot. */
 export type PlacementRefusal =
   | "line-too-long"
   | "waited-out"
-  /** It was sent to every upstream of the service before. */
+  /** It was already sent to every upstream of the service. */
   | "no-other-upstream"
-  /** Every upstream of the service is in a failure domain that operators have evacuated. */
+  /** Every upstream of the service is in an evacuated failure domain. */
   | "evacuated";
 
-/** What was decided about a {@link PendingRequest}. */
+/** Decision about a {@link PendingRequest}. */
 export type PlacementDecision =
   | {
     readonly kind: "place";
     readonly upstream: Upstream;
-    /** Requests that the upstream has besides, as far as whoever decided knows. */
+    /** Other requests at the upstream, as far as the scheduler knows. */
     readonly inFlight: number;
-    /** Prompt tokens that it reads before this one's. */
+    /**
+     * Prompt tokens that the upstream processes before those of the request.
+     */
     readonly pendingPrefillTokens: number;
   }
   | {
     readonly kind: "refuse";
     readonly reason: PlacementRefusal;
-    /** What the line promised when it was decided. */
+    /** State of the queue when the decision was made. */
     readonly estimate: QueueEstimate;
   };
 
-/** Which upstreams of a service may get work. */
+/** Provides the upstreams of a service that accept requests. */
 export interface UpstreamSource {
   of(service: ServiceId): readonly Upstream[];
 }
 
-/** What a {@link RequestScheduler} is built from. */
+/** Dependencies of a {@link RequestScheduler}. */
 export interface RequestSchedulerOptions {
   readonly upstreams: UpstreamSource;
   readonly stats: UpstreamStats;
@@ -82,12 +87,12 @@
   readonly starts: StartLimit;
 }
 
-interface ServiceLine {
-  readonly line: RequestQueue<PendingRequest>;
+interface ServiceQueue {
+  readonly queue: RequestQueue<PendingRequest>;
   residence: Milliseconds;
 }
 
-/** Places and waiting requests of some upstreams. */
+/** Slots and queued requests of a group of upstreams. */
 export interface SlotCounts {
   readonly capacity: number;
   readonly free: number;
@@ -95,135 +100,141 @@
 }
 
 /**
- * Decides which request goes to which upstream, which waits and which is refused,
- * for all upstreams that it is given.
+ * Decides for a group of upstreams which request goes to which upstream, which
+ * waits and which is refused.
  *
- * Answers the load pattern of many hosts before few engines that admit in order of
- * arrival and know no tiers. Requests wait here, in order of tier, and engines get
- * no more than they run at once, over all hosts that tell of their work.
+ * Upstreams start requests in order of arrival and ignore tiers. Requests are
+ * therefore queued here by tier, and upstreams get hardly more than they run at
+ * once, counting the requests of all hosts.
  */
 export class RequestScheduler {
   readonly load = new FleetLoad();
   readonly #upstreams: UpstreamSource;
   readonly #starts: StartLimit;
-  readonly #prompts = new PrefixCacheIndex();
+  readonly #prefixCaches = new PrefixCacheIndex();
   readonly #placement: Placement;
-  /** What it takes to fill a place that came free, on the mean. */
-  #refill: Milliseconds = LEAST_REFILL_MS;
-  readonly #services = new Map<ServiceId, ServiceLine>();
+  /** Mean time to fill a slot that has become free. */
+  #refillTime: Milliseconds = MINIMUM_REFILL_MS;
+  readonly #queues = new Map<ServiceId, ServiceQueue>();
 
   constructor(options: RequestSchedulerOptions) {
-    const { upstreams, stats: knowledge, random, starts } = options;
+    const { upstreams, stats, random, starts } = options;
     this.#upstreams = upstreams;
     this.#starts = starts;
     this.#placement = new Placement({
       load: this.load,
-      stats: knowledge,
-      prefixCaches: this.#prompts,
+      stats,
+      prefixCaches: this.#prefixCaches,
       random,
       starts,
       limitOf: (upstream) => this.#limitOf(upstream),
     });
   }
 
-  /** Takes a candidate in and fills free places; it may be decided before the call returns. */
-  submit(candidate: PendingRequest, now: Milliseconds): void {
-    this.enqueue(candidate, now);
-    this.fillSlots(candidate.service, now);
+  /**
+   * Enqueues a request and fills free slots; may decide on it before returning.
+   */
+  submit(pending: PendingRequest, now: Milliseconds): void {
+    this.enqueue(pending, now);
+    this.fillSlots(pending.service, now);
   }
 
-  /** Takes a candidate in; it may be refused before the call returns. */
-  enqueue(candidate: PendingRequest, now: Milliseconds): void {
-    const { line } = this.#stateOf(candidate.service);
-    if (this.#hasNoOther(candidate)) {
-      return refuse(candidate, "no-other-upstream", { line, now });
+  /** Enqueues a request; may refuse it before returning. */
+  enqueue(pending: PendingRequest, now: Milliseconds): void {
+    const { queue } = this.#queueOf(pending.service);
+    if (this.#hasNoAlternative(pending)) {
+      return refuse(pending, "no-other-upstream", { queue, now });
     }
-    if (line.shouldRefuse(candidate, now)) {
-      return refuse(candidate, "line-too-long", { line, now });
+    if (queue.shouldRefuse(pending, now)) {
+      return refuse(pending, "line-too-long", { queue, now });
     }
-    line.push(line.isBacklogged ? withMargin(candidate) : candidate, now);
+    queue.push(queue.isBacklogged ? withMargin(pending) : pending, now);
   }
 
-  /** Takes back a candidate that still waits. */
+  /** Removes a request that still waits. */
   withdraw(service: ServiceId, request: RequestId): void {
-    this.#services.get(service)?.line.remove(request);
+    this.#queues.get(service)?.queue.remove(request);
   }
 
-  /** An attempt that answered whole held its place for so long. */
+  /** Records how long a complete attempt occupied its slot. */
   recordResidence(service: ServiceId, residence: Milliseconds): void {
-    const state = this.#stateOf(service);
+    const state = this.#queueOf(service);
     state.residence += RESIDENCE_WEIGHT * (residence - state.residence);
   }
 
   /**
-   * A host says what it takes to be answered: from an end that it tells to a start that
-   * it is told of. Hosts that are slow themselves leave places empty for so long.
+   * Records a host's mean reply time, from the end that it reports to the start
+   * that it learns of. Slots stay empty for that time.
    */
   recordTurnaround(span: Milliseconds): void {
     if (span <= 0) return;
-    this.#refill += REFILL_WEIGHT * (span - this.#refill);
+    this.#refillTime += REFILL_WEIGHT * (span - this.#refillTime);
   }
 
-  /** Looks at every line again: upstreams or hosts' work have changed, or time went by. */
+  /**
+   * Re-evaluates all queues after time has passed or upstreams or loads have
+   * changed.
+   */
   review(now: Milliseconds): void {
-    for (const [service, { line }] of this.#services) {
-      for (const candidate of line.removeUnservable(now)) {
-        refuse(candidate, "waited-out", { line, now });
+    for (const [service, { queue }] of this.#queues) {
+      for (const pending of queue.removeUnservable(now)) {
+        refuse(pending, "waited-out", { queue, now });
       }
       this.fillSlots(service, now);
     }
   }
 
-  /** Requests that wait. */
+  /** Number of queued requests. */
   get waitingTotal(): number {
     let total = 0;
-    for (const { line } of this.#services.values()) total += line.size;
+    for (const { queue } of this.#queues.values()) total += queue.size;
     return total;
   }
 
-  /** Places of a service, those that are free and the requests that wait. */
+  /** Returns the slots of a service and its queued requests. */
   counts(service: ServiceId, now: Milliseconds): SlotCounts {
     const upstreams = this.#upstreams.of(service);
-    let places = 0;
-    for (const upstream of upstreams) places += this.#limitOf(upstream);
+    let capacity = 0;
+    for (const upstream of upstreams) capacity += this.#limitOf(upstream);
     return {
-      capacity: places,
+      capacity,
       free: this.#placement.freeSlots(upstreams, now),
-      waiting: this.#services.get(service)?.line.size ?? 0,
+      waiting: this.#queues.get(service)?.queue.size ?? 0,
     };
   }
 
-  /** Fills free places in order of the line. */
+  /** Fills free slots in queue order. */
   fillSlots(service: ServiceId, now: Milliseconds): void {
-    const { line } = this.#stateOf(service);
-    if (line.size === 0) return;
+    const { queue } = this.#queueOf(service);
+    if (queue.size === 0) return;
     const upstreams = this.#upstreams.of(service);
     let left = this.#placement.freeSlots(upstreams, now);
     if (left <= 0) return;
-    const order = line.inOrder(now, MAXIMUM_LOOKS);
+    const order = queue.inOrder(now, MAXIMUM_CONSIDERED);
     for (let next = order.shift(); next !== undefined; next = order.shift()) {
       if (left <= 0) return;
       const upstream = this.#placement.pick(upstreams, next, now);
       if (upstream === undefined) continue;
-      const chosen = this.#bestFor(upstream, { next, order, now });
+      const chosen = this.#selectFor(upstream, { next, order, now });
       if (chosen !== next) {
         order.splice(order.indexOf(chosen), 1);
         order.unshift(next);
       }
-      // A verdict may end a request at once and fill places anew from within; who
-      // was placed meanwhile must not be placed twice.
-      if (line.start(chosen.request, now) === undefined) continue;
+      // Deciding may end a request at once and re-enter this method, so the
+      // request may already have started.
+      if (queue.start(chosen.request, now) === undefined) continue;
       left--;
       this.#place(chosen, upstream, now);
     }
   }
 
   /**
-   * Who gets the place that the next in order would take: one that is as urgent and
-   * due only a little later, if the upstream holds more of its prompt. When every place
-   * is taken, one comes free at a time, seldom where the next one's prompt is held.
+   * Returns the request that gets the slot that the next in order would take:
+   * an equally urgent one that is due only slightly later, if the upstream has
+   * more of its prompt cached. Under full load one slot becomes free at a time,
+   * rarely at the upstream that caches the next prompt.
    */
-  #bestFor(
+  #selectFor(
     upstream: Upstream,
     { next, order, now }: {
       next: PendingRequest;
@@ -231,9 +242,9 @@
       now: Milliseconds;
     },
   ): PendingRequest {
-    // The room for short work is its own: nobody else takes the place that it pays for.
-    const isPassing = order.some(({ tier }) => tier < next.tier);
-    if (isPassing) return next;
+    // A slot that the bypass budget pays for goes to no other request.
+    const isBypassing = order.some(({ tier }) => tier < next.tier);
+    if (isBypassing) return next;
     let best = next;
     let mostSaved = 0;
     for (const other of order) {
@@ -256,7 +267,7 @@
     now: Milliseconds,
   ): void {
     const id = upstream.upstream;
-    this.#prompts.recordPrompt(id, parts, now);
+    this.#prefixCaches.recordPrompt(id, parts, now);
     this.#starts.recordStart(upstream, now);
     decide({
       kind: "place",
@@ -266,49 +277,50 @@
     });
   }
 
-  #hasNoOther({ service, excluded }: PendingRequest): boolean {
+  #hasNoAlternative({ service, excluded }: PendingRequest): boolean {
     const upstreams = this.#upstreams.of(service);
     return upstreams.length > 0 &&
       upstreams.every(({ upstream }) => excluded?.has(upstream));
   }
 
   /**
-   * A place stays empty while the next request is on its way. Where that is a good
-   * part of the time for which a request stays, more of them keep an upstream busy.
+   * Returns how many requests an upstream may have. A slot stays empty while
+   * the next request is on its way, so upstreams with short requests get some
+   * more than their slots.
    */
   #limitOf({ service, slots }: Upstream): number {
-    const residence = this.#services.get(service)?.residence ??
-      FIRST_RESIDENCE_MS;
-    const refill = Math.max(LEAST_REFILL_MS, this.#refill);
-    const onTheWay = slots * refill / Math.max(residence, 1);
-    const most = Math.max(1, MOST_AHEAD_SHARE * slots);
-    return slots + Math.floor(Math.min(most, onTheWay));
+    const residence = this.#queues.get(service)?.residence ??
+      INITIAL_RESIDENCE_MS;
+    const refillTime = Math.max(MINIMUM_REFILL_MS, this.#refillTime);
+    const inTransit = slots * refillTime / Math.max(residence, 1);
+    const maximumExcess = Math.max(1, MAXIMUM_EXCESS_SHARE * slots);
+    return slots + Math.floor(Math.min(maximumExcess, inTransit));
   }
 
-  #stateOf(service: ServiceId): ServiceLine {
-    let state = this.#services.get(service);
+  #queueOf(service: ServiceId): ServiceQueue {
+    let state = this.#queues.get(service);
     if (state === undefined) {
       state = {
-        line: new RequestQueue(),
-        residence: FIRST_RESIDENCE_MS,
+        queue: new RequestQueue(),
+        residence: INITIAL_RESIDENCE_MS,
       };
-      this.#services.set(service, state);
+      this.#queues.set(service, state);
     }
     return state;
   }
 }
 
-/** The candidate, due sooner by its margin. */
-function withMargin(candidate: PendingRequest): PendingRequest {
-  const { onTimeUntil, margin = 0 } = candidate;
-  return { ...candidate, onTimeUntil: onTimeUntil - margin };
+/** Returns the request with its due time moved ahead by its margin. */
+function withMargin(pending: PendingRequest): PendingRequest {
+  const { onTimeUntil, margin = 0 } = pending;
+  return { ...pending, onTimeUntil: onTimeUntil - margin };
 }
 
 function refuse(
-  candidate: PendingRequest,
+  pending: PendingRequest,
   reason: PlacementRefusal,
-  { line, now }: { line: RequestQueue<PendingRequest>; now: Milliseconds },
+  { queue, now }: { queue: RequestQueue<PendingRequest>; now: Milliseconds },
 ): void {
-  const outlook = line.estimate(candidate, now);
-  candidate.decide({ kind: "refuse", reason, estimate: outlook });
+  const estimate = queue.estimate(pending, now);
+  pending.decide({ kind: "refuse", reason, estimate });
 }
--- a/packages/admission/src/responseDurationModel.ts
+++ b/packages/admission/src/responseDurationModel.ts
@@ -3,26 +3,25 @@
 import type { RouteId } from "./types.ts";
 import type { UpstreamSpeed } from "./upstreamSpeed.ts";
 
-/** Assumed before anything was seen of a route. */
-const FIRST_GUESS_MS: Milliseconds = 300;
+/** Estimate until a route has samples. */
+const INITIAL_ESTIMATE_MS: Milliseconds = 300;
 
-/** One answer's time from its first event to its end. */
+/** Measured duration of one response, from its first event to its end. */
 export interface ResponseDurationSample {
   readonly route: RouteId;
   readonly service: ServiceId;
   readonly upstream: UpstreamId;
-  /** Tokens that the caller expected; 0 where it did not say. */
+  /** Response length in tokens that the caller expects; 0 if it gives none. */
   readonly expectedTokens: number;
   readonly duration: Milliseconds;
 }
 
 /**
- * Expects how long an answer takes from its first event to its end: by the length
- * that its caller expects where it says one, else the mean of its route.
+ * Estimates how long a response takes from its first event to its end, from the
+ * length that the caller expects or else from the mean of the route.
  *
- * Answers the load pattern of answers that differ a hundredfold in length before
- * engines that run few at once: what a request costs the others is the time for
- * which it holds its place.
+ * Response lengths can differ by two orders of magnitude, and a request
+ * occupies its slot for as long as its response runs.
  */
 export class ResponseDurationModel {
   readonly #speed: UpstreamSpeed;
@@ -43,8 +42,11 @@
     } else fit.add(expectedTokens, time);
   }
 
-  /** Expected time at the service's mean upstream. */
+  /**
+   * Returns the expected duration at an upstream of the service's mean speed.
+   */
   expected(route: RouteId, expectedTokens: number): Milliseconds {
-    return this.#fits.get(route)?.predict(expectedTokens) ?? FIRST_GUESS_MS;
+    return this.#fits.get(route)?.predict(expectedTokens) ??
+      INITIAL_ESTIMATE_MS;
   }
 }
--- a/packages/admission/src/retryBudget.ts
+++ b/packages/admission/src/retryBudget.ts
@@ -1,20 +1,20 @@
 import type { Milliseconds, ServiceId } from "@wasabivane/common";
 
-const BUCKET_MS: Milliseconds = 1_000;
-/** Part of the shared budget that hosts use; the rest covers uneven counting. */
+const BUCKET_WIDTH_MS: Milliseconds = 1_000;
+/** Share of the budget that hosts use; the rest covers uneven counting. */
 const USED_SHARE = 0.75;
 
-/** The budget that all hosts share. */
+/** Retry budget that all hosts share. */
 export interface RetryBudgetOptions {
-  /** Further sends that are allowed for each first one. */
+  /** Retries allowed per initial send. */
   readonly ratio: number;
-  /** Further sends that are allowed besides, over all hosts. */
+  /** Additional retries allowed over all hosts. */
   readonly slack: number;
-  /** Span over which both are counted. */
+  /** Window over which both are counted. */
   readonly window: Milliseconds;
 }
 
-/** Who shares the budget, and when it is asked for. */
+/** Number of hosts that share the budget, and the current time. */
 export interface RetryBudgetContext {
   readonly hosts: number;
   readonly now: Milliseconds;
@@ -22,16 +22,16 @@
 
 interface Bucket {
   readonly startedAt: Milliseconds;
-  first: number;
-  further: number;
+  initial: number;
+  retries: number;
 }
 
 /**
- * Bounds how often requests are sent to a second upstream, for each service over
- * all hosts. Each host spends by what it sent itself and by its part of the slack.
+ * Limits the retries of each service over all hosts. Each host spends in
+ * proportion to its own initial sends, plus its part of the slack.
  *
- * Answers the load pattern of a service that fails half of its requests: repeats
- * then double the load on what is left, which fails more in turn.
+ * When a service fails many requests, unlimited retries would add load and
+ * cause more failures.
  */
 export class RetryBudget {
   readonly #options: RetryBudgetOptions;
@@ -41,43 +41,43 @@
     this.#options = options;
   }
 
-  /** A request is sent for the first time. */
+  /** Counts the initial send of a request. */
   countInitial(service: ServiceId, now: Milliseconds): void {
-    this.#current(service, now).first++;
+    this.#current(service, now).initial++;
   }
 
-  /** Whether one further send is left. */
-  hasRetry(service: ServiceId, situation: RetryBudgetContext): boolean {
-    this.#current(service, situation.now);
-    let first = 0;
-    let further = 0;
+  /** Whether a retry is available. */
+  hasRetry(service: ServiceId, context: RetryBudgetContext): boolean {
+    this.#current(service, context.now);
+    let initial = 0;
+    let retries = 0;
     for (const bucket of this.#buckets.get(service)!) {
-      first += bucket.first;
-      further += bucket.further;
+      initial += bucket.initial;
+      retries += bucket.retries;
     }
     const { ratio, slack } = this.#options;
-    const own = slack / Math.max(1, situation.hosts);
-    return further + 1 <= USED_SHARE * (ratio * first + own);
+    const ownSlack = slack / Math.max(1, context.hosts);
+    return retries + 1 <= USED_SHARE * (ratio * initial + ownSlack);
   }
 
-  /** Takes one further send, or says that there is none left. */
-  takeRetry(service: ServiceId, situation: RetryBudgetContext): boolean {
-    if (!this.hasRetry(service, situation)) return false;
-    this.#current(service, situation.now).further++;
+  /** Takes a retry; returns whether one was available. */
+  takeRetry(service: ServiceId, context: RetryBudgetContext): boolean {
+    if (!this.hasRetry(service, context)) return false;
+    this.#current(service, context.now).retries++;
     return true;
   }
 
   #current(service: ServiceId, now: Milliseconds): Bucket {
     const known = this.#buckets.get(service) ?? [];
-    const kept = known.filter(({ startedAt }) =>
+    const recent = known.filter(({ startedAt }) =>
       now - startedAt < this.#options.window
     );
-    let current = kept.at(-1);
-    if (current === undefined || now - current.startedAt >= BUCKET_MS) {
-      current = { startedAt: now, first: 0, further: 0 };
-      kept.push(current);
+    let current = recent.at(-1);
+    if (current === undefined || now - current.startedAt >= BUCKET_WIDTH_MS) {
+      current = { startedAt: now, initial: 0, retries: 0 };
+      recent.push(current);
     }
-    this.#buckets.set(service, kept);
+    this.#buckets.set(service, recent);
     return current;
   }
 }
--- a/packages/admission/src/sortedQueue.ts
+++ b/packages/admission/src/sortedQueue.ts
@@ -1,12 +1,12 @@
-/** Where an item stands: by its turn, equals by their order. */
+/** Sort key of an item; `order` breaks ties. */
 interface Key {
-  readonly turn: number;
+  readonly priority: number;
   readonly order: number;
 }
 
 /**
- * Items by a number that does not change while they are queued. Finding a place and
- * counting what goes before a number take the logarithm of the length.
+ * Queue sorted by a number that does not change while an item is queued.
+ * Insertion and counting use binary search.
  */
 export class SortedQueue<Item> {
   readonly #items: Item[] = [];
@@ -16,41 +16,41 @@
     return this.#items.length;
   }
 
-  /** All of them, the next one first; it changes with the queue. */
+  /** All items, the next one first; a live view. */
   get items(): readonly Item[] {
     return this.#items;
   }
 
-  /** Adds an item; of equal turns the smaller order goes first. */
-  add(item: Item, turn: number, order: number): void {
-    const index = this.#find(turn, order);
+  /** Adds an item; among equal priorities the smaller order goes first. */
+  add(item: Item, priority: number, order: number): void {
+    const index = this.#find(priority, order);
     this.#items.splice(index, 0, item);
-    this.#keys.splice(index, 0, { turn, order });
+    this.#keys.splice(index, 0, { priority, order });
   }
 
-  /** Takes an item out that was added with this turn and order. */
-  remove(turn: number, order: number): void {
-    const index = this.#find(turn, order);
+  /** Removes the item that was added with this priority and order. */
+  remove(priority: number, order: number): void {
+    const index = this.#find(priority, order);
     const key = this.#keys[index];
-    if (key?.turn !== turn || key.order !== order) return;
+    if (key?.priority !== priority || key.order !== order) return;
     this.#items.splice(index, 1);
     this.#keys.splice(index, 1);
   }
 
-  /** Items whose turn comes no later than this one. */
-  countUpTo(turn: number): number {
-    return this.#find(turn, Infinity);
+  /** Returns the number of items up to this priority. */
+  countUpTo(priority: number): number {
+    return this.#find(priority, Infinity);
   }
 
-  /** Place of the first item that does not go before the given key. */
-  #find(turn: number, order: number): number {
+  /** Returns the index of the first item that is not before the given key. */
+  #find(priority: number, order: number): number {
     let low = 0;
     let high = this.#keys.length;
     while (low < high) {
       const middle = (low + high) >>> 1;
       const key = this.#keys[middle]!;
-      const isBefore = key.turn < turn ||
-        (key.turn === turn && key.order < order);
+      const isBefore = key.priority < priority ||
+        (key.priority === priority && key.order < order);
       if (isBefore) low = middle + 1;
       else high = middle;
     }
--- a/packages/admission/src/startLimit.ts
+++ b/packages/admission/src/startLimit.ts
@@ -2,35 +2,37 @@
 import type { Upstream } from "./types.ts";
 import type { UpstreamWarmup } from "./upstreamWarmup.ts";
 
-/** Span in which starts are counted. */
-const SPAN_MS: Milliseconds = 1_000;
+/** Window in which starts are counted. */
+const WINDOW_MS: Milliseconds = 1_000;
 /**
- * Part of the starts that a cold upstream bears which one keeper gives it: while hosts
- * disagree on who keeps its cell, two keepers give theirs.
+ * Share of an upstream's warm-up start rate that one coordinator uses, as there
+ * may be two while hosts disagree on the coordinator.
  */
-const KEEPER_COLD_SHARE = 0.4;
-/** Part that is left to all hosts which decide alone. */
-const LONE_COLD_SHARE = 0.1;
-/** An upstream may turn cold unheard; a warm one gets this part of what a cold one bears. */
-const KEEPER_WARM_SHARE = 0.7;
+const COORDINATOR_WARMUP_SHARE = 0.4;
+/** Share left to all hosts that schedule locally together. */
+const LOCAL_WARMUP_SHARE = 0.1;
+/** Share used at other upstreams, which may have restarted unnoticed. */
+const COORDINATOR_WARM_SHARE = 0.7;
 
-/** Upstreams remembered; those that left are looked for when there are more. */
+/** Upstreams tracked before outdated ones are dropped. */
 const MAXIMUM_UPSTREAMS = 256;
 
-/** What a {@link StartLimit} reads. */
+/** Dependencies of a {@link StartLimit}. */
 export interface StartLimitOptions {
-  /** Starts in one second that a cold upstream bears over all hosts; `undefined` for any. */
+  /**
+   * Starts per second over all hosts that an upstream can take while warming
+   * up; `undefined` if unlimited.
+   */
   readonly coldStartsOf: (upstream: Upstream) => number | undefined;
-  readonly warmth: UpstreamWarmup;
+  readonly warmup: UpstreamWarmup;
 }
 
 /**
- * Bounds the starts of requests at upstreams that crash under too many while they are
- * cold: caches are empty, code is not compiled yet, and each request takes longer.
+ * Limits the start rate at upstreams that are warming up, whose caches are
+ * empty and which crash under too many starts.
  *
- * Answers the load pattern of a burst that meets upstreams which have just returned.
- * They are free, so that all that waits would go there at once, and they would be down
- * again before they are warm.
+ * Upstreams that have just restarted are idle, so a burst would otherwise send
+ * them all waiting requests at once.
  */
 export abstract class StartLimit {
   protected readonly options: StartLimitOptions;
@@ -41,30 +43,31 @@
 
   /** Whether a request may start at an upstream now. */
   abstract isOpen(upstream: Upstream, now: Milliseconds): boolean;
-  /** A request starts there. */
+  /** Records a start. */
   abstract recordStart(upstream: Upstream, now: Milliseconds): void;
 }
 
 /**
- * The limit of a keeper, through which all starts at an upstream go. One that nobody
- * else asks although there are other hosts is cut off like them, and gives a cold
- * upstream nothing: each of them would.
+ * Start limit of a coordinator, which makes all starts at its upstreams. A
+ * coordinator that receives updates from no other host is partitioned; it
+ * starts nothing at upstreams that are warming up, as other partitioned hosts
+ * may.
  */
 export class CoordinatorStartLimit extends StartLimit {
   readonly #starts = new Map<UpstreamId, Milliseconds[]>();
-  readonly #isCutOff: (now: Milliseconds) => boolean;
+  readonly #isPartitioned: (now: Milliseconds) => boolean;
 
   constructor(
     options: StartLimitOptions & {
-      /** Whether only the keeper itself asks it, of several hosts. */
-      readonly isCutOff: (now: Milliseconds) => boolean;
+      /** Whether no other host sends updates although there are several. */
+      readonly isPartitioned: (now: Milliseconds) => boolean;
     },
   ) {
     super(options);
-    this.#isCutOff = options.isCutOff;
+    this.#isPartitioned = options.isPartitioned;
   }
 
-  /** Upstreams whose starts are remembered. */
+  /** Number of upstreams with tracked starts. */
   get size(): number {
     return this.#starts.size;
   }
@@ -72,51 +75,53 @@
   override isOpen(upstream: Upstream, now: Milliseconds): boolean {
     const coldStarts = this.options.coldStartsOf(upstream);
     if (coldStarts === undefined) return true;
-    const isCold = this.options.warmth.isCold(upstream.upstream, now);
-    if (isCold && this.#isCutOff(now)) return false;
-    const share = isCold ? KEEPER_COLD_SHARE : KEEPER_WARM_SHARE;
+    const isWarmingUp = this.options.warmup.isWarmingUp(upstream.upstream, now);
+    if (isWarmingUp && this.#isPartitioned(now)) return false;
+    const share = isWarmingUp
+      ? COORDINATOR_WARMUP_SHARE
+      : COORDINATOR_WARM_SHARE;
     const starts = this.#starts.get(upstream.upstream);
     if (starts === undefined) return true;
-    const most = Math.max(1, Math.floor(share * coldStarts));
-    // The start that must be out of the span before another one fits in.
-    const earlier = starts.at(-most);
-    return earlier === undefined || now - earlier >= SPAN_MS;
+    const maximum = Math.max(1, Math.floor(share * coldStarts));
+    // The start that must have left the window before another one is allowed.
+    const earlier = starts.at(-maximum);
+    return earlier === undefined || now - earlier >= WINDOW_MS;
   }
 
   override recordStart(upstream: Upstream, now: Milliseconds): void {
     if (this.options.coldStartsOf(upstream) === undefined) return;
     const starts = this.#starts.get(upstream.upstream) ?? [];
-    while (starts.length > 0 && now - starts[0]! >= SPAN_MS) starts.shift();
+    while (starts.length > 0 && now - starts[0]! >= WINDOW_MS) starts.shift();
     starts.push(now);
     this.#starts.set(upstream.upstream, starts);
-    if (this.#starts.size > MAXIMUM_UPSTREAMS) this.#forgetOld(now);
+    if (this.#starts.size > MAXIMUM_UPSTREAMS) this.#dropOutdated(now);
   }
 
-  #forgetOld(now: Milliseconds): void {
+  #dropOutdated(now: Milliseconds): void {
     for (const [upstream, starts] of this.#starts) {
-      if (now - starts.at(-1)! >= SPAN_MS) this.#starts.delete(upstream);
+      if (now - starts.at(-1)! >= WINDOW_MS) this.#starts.delete(upstream);
     }
   }
 }
 
 /**
- * The limit of a host that decides alone. It sees its own starts only, so that a cold
- * upstream gets a small share of what it bears, over all hosts together.
+ * Start limit of a host that schedules locally. It knows only its own starts,
+ * so all such hosts together get a small share.
  */
 export class LocalStartLimit extends StartLimit {
-  readonly #hosts: () => number;
+  readonly #hostCount: () => number;
   readonly #random: Random;
   readonly #openAt = new Map<UpstreamId, Milliseconds>();
 
   constructor(
     options: StartLimitOptions & {
-      /** Hosts that may decide alone, this one included. */
+      /** Number of hosts that may schedule locally, including this one. */
       readonly hosts: () => number;
       readonly random: Random;
     },
   ) {
     super(options);
-    this.#hosts = options.hosts;
+    this.#hostCount = options.hosts;
     this.#random = options.random;
   }
 
@@ -124,22 +129,22 @@
     const coldStarts = this.options.coldStartsOf(upstream);
     if (coldStarts === undefined) return true;
     const id = upstream.upstream;
-    if (!this.options.warmth.isCold(id, now)) {
+    if (!this.options.warmup.isWarmingUp(id, now)) {
       this.#openAt.delete(id);
       return true;
     }
     const openAt = this.#openAt.get(id);
     if (openAt !== undefined) return now >= openAt;
-    // Hosts that begin together must not all send at once.
+    // Spreads the first starts of hosts that begin at the same time.
     const gap = this.#gapOf(coldStarts) * this.#random.float();
     this.#openAt.set(id, now + gap);
-    if (this.#openAt.size > MAXIMUM_UPSTREAMS) this.#forgetWarm(now);
+    if (this.#openAt.size > MAXIMUM_UPSTREAMS) this.#dropWarm(now);
     return false;
   }
 
-  #forgetWarm(now: Milliseconds): void {
+  #dropWarm(now: Milliseconds): void {
     for (const upstream of this.#openAt.keys()) {
-      if (!this.options.warmth.isCold(upstream, now)) {
+      if (!this.options.warmup.isWarmingUp(upstream, now)) {
         this.#openAt.delete(upstream);
       }
     }
@@ -152,8 +157,11 @@
     this.#openAt.set(id, now + this.#gapOf(coldStarts));
   }
 
-  /** Time between two starts of one host at a cold upstream. */
+  /**
+   * Returns the time between two starts of one host at an upstream that is
+   * warming up.
+   */
   #gapOf(coldStarts: number): Milliseconds {
-    return SPAN_MS * this.#hosts() / (LONE_COLD_SHARE * coldStarts);
+    return WINDOW_MS * this.#hostCount() / (LOCAL_WARMUP_SHARE * coldStarts);
   }
 }
--- a/packages/admission/src/startRates.ts
+++ b/packages/admission/src/startRates.ts
@@ -1,29 +1,34 @@
 import type { Milliseconds } from "@wasabivane/common";
 
-/** Starts are remembered for about so long: several of one host's lowest tier, less than a burst. */
+/** Time constant with which recorded starts decay. */
 const MEMORY_MS: Milliseconds = 1_500;
-/** A line that has not been occupied for so long within the memory tells nothing yet. */
-const LEAST_OCCUPIED_MS: Milliseconds = 800;
+/**
+ * Time within the memory for which the queue must have been occupied before
+ * rates are known.
+ */
+const MINIMUM_OCCUPIED_MS: Milliseconds = 800;
 
-/** Order of urgency in a line; the smaller starts first. */
+/** Priority class in a queue; smaller ranks start first. */
 export type Rank = number;
 
 /**
- * How fast the requests of each rank start while a line is occupied.
+ * Measures how fast the requests of each rank start while a queue is occupied.
  *
- * Answers the load pattern of a lower tier behind a burst of a higher one. The
- * line as a whole moves fast then, and nothing of the lower tier does: only its
- * own starts tell how long it will wait.
+ * While a burst of a higher tier moves through the queue, requests of lower
+ * tiers do not start at all, so each rank has its own rate.
  */
 export class StartRates {
   readonly #starts = new Map<Rank, number>();
   #occupied: Milliseconds = 0;
-  #passedAt: Milliseconds | undefined;
+  #advancedAt: Milliseconds | undefined;
 
-  /** Lets the time pass until now; `isOccupied`: something waited meanwhile. */
+  /**
+   * Advances to the given time; `isOccupied` tells whether requests were
+   * waiting meanwhile.
+   */
   advance(isOccupied: boolean, now: Milliseconds): void {
-    const span = now - (this.#passedAt ?? now);
-    this.#passedAt = now;
+    const span = now - (this.#advancedAt ?? now);
+    this.#advancedAt = now;
     if (span <= 0) return;
     const kept = Math.exp(-span / MEMORY_MS);
     this.#occupied = this.#occupied * kept + (isOccupied ? span : 0);
@@ -32,18 +37,18 @@
     }
   }
 
-  /** A request of the rank started. */
+  /** Records the start of a request. */
   recordStart(rank: Rank): void {
     this.#starts.set(rank, (this.#starts.get(rank) ?? 0) + 1);
   }
 
-  /** Whether the line was occupied for long enough to tell its pace. */
+  /** Whether the queue was occupied for long enough to know its rates. */
   get isKnown(): boolean {
-    return this.#occupied >= LEAST_OCCUPIED_MS;
+    return this.#occupied >= MINIMUM_OCCUPIED_MS;
   }
 
-  /** Starts a second of some ranks; `undefined` before the line was occupied for long enough. */
-  perSecond(ranks: readonly Rank[]): number | undefined {
+  /** Returns the starts per second of some ranks; `undefined` while unknown. */
+  startsPerSecond(ranks: readonly Rank[]): number | undefined {
     if (!this.isKnown) return undefined;
     let starts = 0;
     for (const rank of ranks) starts += this.#starts.get(rank) ?? 0;
@@ -51,14 +56,14 @@
   }
 
   /**
-   * Time until a request with so many of these ranks ahead is the next one; 0 while
-   * nothing is known. The next one may start any moment, when an upstream
-   * returns for instance, and is never given up for a pace of the past.
+   * Returns the expected time until a request with the given number of requests
+   * ahead is next; 0 while rates are unknown. A request with none ahead may
+   * start at any moment, whatever the rate.
    */
   estimateWait(ahead: number, ranks: readonly Rank[]): Milliseconds {
-    const rate = this.perSecond(ranks);
+    const rate = this.startsPerSecond(ranks);
     if (rate === undefined) return 0;
-    const least = 1_000 / MEMORY_MS;
-    return ahead * 1_000 / Math.max(rate, least);
+    const minimum = 1_000 / MEMORY_MS;
+    return ahead * 1_000 / Math.max(rate, minimum);
   }
 }
--- a/packages/admission/src/types.ts
+++ b/packages/admission/src/types.ts
@@ -1,6 +1,6 @@
 /**
- * What a host decides from: routes, services and client accounts of the policy
- * in force, and upstreams as the platform publishes them.
+ * Routes, services and client accounts of the policy, and upstreams as the
+ * platform publishes them.
  */
 import type {
   Branded,
@@ -13,10 +13,10 @@
   UpstreamId,
 } from "@wasabivane/common";
 
-/** One route of the policy. */
+/** Identifies a route of the policy. */
 export type RouteId = Branded<string, "RouteId">;
 
-/** What may be done with a request that may have run. */
+/** Whether and how a request that may have run can be sent again. */
 export type Repeatability = "idempotent" | "at-most-once" | "resumable";
 
 /** A service that a route leads to, with its share of the requests. */
@@ -25,7 +25,7 @@
   readonly weight: number;
 }
 
-/** Where requests of one host name and path prefix go. */
+/** Rules for the requests of one host name and path prefix. */
 export interface Route {
   readonly route: RouteId;
   readonly host: string;
@@ -33,14 +33,20 @@
   readonly prefix: string;
   readonly isStreaming: boolean;
   readonly repeatability: Repeatability;
-  /** Longest time that a caller is kept waiting for the whole answer. */
+  /** Longest time for the complete response. */
   readonly timeout: Milliseconds;
-  /** Time to the whole answer, or to a stream's first event, that counts as good. */
+  /**
+   * Time to the first event of a stream, or to the complete response without
+   * streaming, that counts as on time.
+   */
   readonly target: Milliseconds;
-  /** Longest pause between events of a stream that counts as good; 0 for others. */
+  /**
+   * Longest pause between events of a stream that counts as on time; 0 without
+   * streaming.
+   */
   readonly pauseTarget: Milliseconds;
   readonly tier: Tier;
-  /** Upstreams that one request may be sent to, the first included. */
+  /** Maximum number of sends of one request, including the first. */
   readonly maximumAttempts: number;
   readonly isAnonymous: boolean;
   readonly targets: readonly RouteTarget[];
@@ -49,32 +55,35 @@
 /** A group of interchangeable upstreams. */
 export interface Service {
   readonly service: ServiceId;
-  /** Connections that one upstream takes from all hosts together. */
+  /** Maximum number of connections of all hosts to one upstream. */
   readonly maximumConnections: number;
-  /** Starts a second that a cold upstream bears; `undefined` where it bears any. */
+  /**
+   * Starts per second that an upstream can take while warming up; `undefined`
+   * if unlimited.
+   */
   readonly coldStartsPerSecond: number | undefined;
 }
 
 /** What a client account may use over all hosts. */
 export interface Quota {
-  /** Whether the figures count tokens or requests. */
+  /** Whether the limits count tokens or requests. */
   readonly unit: "tokens" | "requests";
   readonly perSecond: number;
   readonly burst: number;
-  /** Tokens that a request without a token count stands for. */
+  /** Tokens charged for a request without a token count. */
   readonly plainTokens: number;
 }
 
-/** A customer with its keys. */
+/** A customer and its API keys. */
 export interface ClientAccount {
   readonly account: ClientAccountId;
   readonly apiKeys: readonly string[];
-  /** Orders the account's requests before the route's tier does. */
+  /** Overrides the tier of the route. */
   readonly tier?: Tier;
   readonly quota?: Quota;
 }
 
-/** What callers may send, and how long they may take. */
+/** Limits on the requests of callers. */
 export interface CallerLimits {
   readonly maximumHeaderBytes: number;
   readonly maximumBodyBytes: number;
@@ -82,7 +91,7 @@
   readonly idleTimeout: Milliseconds;
 }
 
-/** Everything that operators publish, under one version that only grows. */
+/** Configuration published by operators; its version only increases. */
 export interface Policy {
   readonly version: number;
   readonly routes: readonly Route[];
@@ -92,15 +101,15 @@
 }
 
 /**
- * One upstream as the platform publishes it. What is believed of it hangs on
- * `upstream`, which {@link upstreamLife} makes of its name and its birth: one that
- * starts again under the name that it had knows nothing of before.
+ * An upstream as the platform publishes it. Its `upstream` id, made by
+ * {@link createUpstreamId} from its name and start time, identifies one
+ * incarnation, so a restarted upstream begins without statistics.
  */
 export interface Upstream {
   readonly upstream: UpstreamId;
-  /** As the platform and the upstream itself call it. */
+  /** Name that the platform and the upstream itself use. */
   readonly name: string;
-  /** When it started; 0 where it does not say so. */
+  /** Start time; 0 if unknown. */
   readonly bornAt: EpochMilliseconds;
   readonly service: ServiceId;
   /** `ip:port`. */
@@ -108,30 +117,36 @@
   readonly failureDomain: FailureDomain;
   readonly slots: number;
   readonly isLeaving: boolean;
-  /** How much longer it takes little work after a start, when its entry was written. */
+  /** Remaining warm-up time when its entry was written. */
   readonly coldFor: Milliseconds;
 }
 
-/** A part of a prompt, in order; engines keep parts that they have read. */
+/** A part of a prompt; upstreams cache the parts that they have processed. */
 export interface PromptPart {
   readonly part: string;
   readonly tokens: number;
 }
 
-/** How a request ended at an upstream, as far as its host saw. */
+/** How an attempt at an upstream ended, as its host observed it. */
 export type UpstreamOutcome =
   | "whole"
-  /** It could not be connected to; nothing was sent. */
+  /** No connection could be opened; nothing was sent. */
   | "unreachable"
-  /** It said that it did not run the request. */
+  /** The upstream reported that it did not run the request. */
   | "not-run"
-  /** Another upstream answers at its address: it is gone for good, and did not run it. */
+  /**
+   * Another upstream answered at this address: this one is gone for good and
+   * did not run the request.
+   */
   | "replaced"
-  /** It answered with a failure of its own. */
+  /** The upstream responded with an error of its own. */
   | "failed"
-  /** The answer broke off, was not an answer, or belonged to another request. */
+  /** The response broke off, was malformed, or belonged to another request. */
   | "broken"
-  /** Nothing came for longer than the host was willing to wait. */
+  /** Nothing arrived within the timeout. */
   | "silent"
-  /** The caller left or its time was over; it says nothing about the upstream. */
+  /**
+   * The caller left or its deadline passed, which says nothing about the
+   * upstream.
+   */
   | "cancelled";
--- a/packages/admission/src/upstreamActivity.ts
+++ b/packages/admission/src/upstreamActivity.ts
@@ -1,53 +1,55 @@
 import type { Milliseconds, RequestId, UpstreamId } from "@wasabivane/common";
 
-interface Sign {
+interface StreamEvent {
   readonly request: RequestId;
   at: Milliseconds;
 }
 
-/** The newest sign, and the newest one of another request. */
-interface Signs {
-  newest: Sign;
-  other: Sign | undefined;
+/** The latest event, and the latest one of another request. */
+interface LatestEvents {
+  newest: StreamEvent;
+  other: StreamEvent | undefined;
 }
 
 /**
- * When an upstream last moved on with any of this host's streams. An engine that
- * reads a long prompt moves on with none of them; one that hangs on a single request
- * moves on with the others.
+ * Tracks when an upstream last sent an event of any stream of this host. An
+ * upstream that processes a long prompt pauses all its streams; one that hangs
+ * on a single request continues the others.
  */
 export class UpstreamActivity {
-  readonly #signs = new Map<UpstreamId, Signs>();
+  readonly #events = new Map<UpstreamId, LatestEvents>();
 
-  /** An event of a request came from the upstream. */
+  /** Records an event of a request. */
   recordEvent(
     upstream: UpstreamId,
     request: RequestId,
     now: Milliseconds,
   ): void {
-    const signs = this.#signs.get(upstream);
-    if (signs === undefined) {
+    const latest = this.#events.get(upstream);
+    if (latest === undefined) {
       const newest = { request, at: now };
-      this.#signs.set(upstream, { newest, other: undefined });
-    } else if (signs.newest.request === request) {
-      signs.newest.at = now;
+      this.#events.set(upstream, { newest, other: undefined });
+    } else if (latest.newest.request === request) {
+      latest.newest.at = now;
     } else {
-      signs.other = signs.newest;
-      signs.newest = { request, at: now };
+      latest.other = latest.newest;
+      latest.newest = { request, at: now };
     }
   }
 
-  /** When it last moved on with a request other than this one. */
+  /** Returns the time of the last event of any other request. */
   lastEventOfOthers(
     upstream: UpstreamId,
     request: RequestId,
   ): Milliseconds | undefined {
-    const signs = this.#signs.get(upstream);
-    if (signs === undefined) return undefined;
-    return signs.newest.request === request ? signs.other?.at : signs.newest.at;
+    const latest = this.#events.get(upstream);
+    if (latest === undefined) return undefined;
+    return latest.newest.request === request
+      ? latest.other?.at
+      : latest.newest.at;
   }
 
   forget(upstream: UpstreamId): void {
-    this.#signs.delete(upstream);
+    this.#events.delete(upstream);
   }
 }
--- a/packages/admission/src/upstreamDirectory.ts
+++ b/packages/admission/src/upstreamDirectory.ts
@@ -6,80 +6,86 @@
 } from "@wasabivane/common";
 import type { Upstream } from "./types.ts";
 
-/** Upstreams remembered, a day's releases of a large fleet among them. */
-const MAXIMUM_SEEN = 2_000;
-const NONE: readonly Upstream[] = [];
+/** Upstreams remembered at most, including those that have left. */
+const MAXIMUM_REMEMBERED = 2_000;
+const NO_UPSTREAMS: readonly Upstream[] = [];
 
 interface Entry {
   upstream: Upstream;
-  /** Until when an entry that vanished is kept; `undefined` while the store holds it. */
+  /**
+   * Until when a removed entry is still used; `undefined` while the store lists
+   * it.
+   */
   keptUntil?: Milliseconds;
 }
 
-/** An upstream whose entry lapsed and that is used for a while yet. */
+/** An upstream whose entry lapsed and which is still used for a while. */
 export interface LapsedUpstream {
   readonly name: string;
-  /** Time after which it is gone unless it was listed again. */
+  /** Remaining time until it is dropped unless it is listed again. */
   readonly left: Milliseconds;
 }
 
 /**
- * The upstreams that may get work. A life of an upstream that announced its leaving
- * stays left for this process, whatever an older reading says later: a stale page
- * would otherwise bring back an upstream that stops any moment. For the same reason
- * an older life never takes the place of a younger one of its name.
+ * Directory of the upstreams that may receive requests.
  *
- * Upstreams of an evacuated failure domain stay listed and get no work until the
- * evacuation is taken back.
+ * An incarnation that announced that it leaves is never listed again in this
+ * process, and an older incarnation never replaces a newer one of the same
+ * name, so outdated store data cannot bring back an upstream. Upstreams of an
+ * evacuated failure domain stay listed but receive no requests.
  */
 export class UpstreamDirectory {
   readonly #entries = new Map<UpstreamId, Entry>();
-  readonly #left = new Set<UpstreamId>();
-  /** The youngest life of each name that was listed. */
-  readonly #lives = new Map<string, Upstream>();
+  readonly #leaving = new Set<UpstreamId>();
+  /** The latest listed incarnation of each name. */
+  readonly #incarnations = new Map<string, Upstream>();
   readonly #byService = new Map<ServiceId, Upstream[]>();
   #evacuated: ReadonlySet<FailureDomain> = new Set();
   /** Services whose upstreams are all in evacuated failure domains. */
   readonly #evacuatedServices = new Set<ServiceId>();
-  /** All that were listed, for the work that those who left still do. */
-  readonly #seen = new Map<UpstreamId, Upstream>();
+  /**
+   * All upstreams that were listed, for requests that still run at former ones.
+   */
+  readonly #remembered = new Map<UpstreamId, Upstream>();
   #version = 0;
 
   /**
-   * Takes what the store says of one upstream; gives back the former life of its
-   * name, which is over, if that could get work until now.
+   * Applies an entry of the store; returns the previous incarnation of its name
+   * if this replaces it.
    */
   set(upstream: Upstream): Upstream | undefined {
-    const former = this.#lives.get(upstream.name);
+    const former = this.#incarnations.get(upstream.name);
     if (former !== undefined && former.bornAt > upstream.bornAt) {
       return undefined;
     }
-    this.#lives.set(upstream.name, upstream);
+    this.#incarnations.set(upstream.name, upstream);
     this.#remember(upstream);
     const known = this.#entries.get(upstream.upstream);
     const isSame = known !== undefined && known.keptUntil === undefined &&
-      !this.#left.has(upstream.upstream) && isAlike(known.upstream, upstream);
+      !this.#leaving.has(upstream.upstream) &&
+      isEquivalent(known.upstream, upstream);
     if (isSame) {
       known.upstream = upstream;
       return undefined;
     }
-    if (upstream.isLeaving) this.#left.add(upstream.upstream);
-    if (this.#left.has(upstream.upstream)) {
+    if (upstream.isLeaving) this.#leaving.add(upstream.upstream);
+    if (this.#leaving.has(upstream.upstream)) {
       this.#entries.delete(upstream.upstream);
     } else {
       this.#entries.set(upstream.upstream, { upstream });
     }
-    const isOver = former !== undefined &&
+    const isReplaced = former !== undefined &&
       former.upstream !== upstream.upstream &&
       this.#entries.delete(former.upstream);
     this.#rebuild();
-    return isOver ? former : undefined;
+    return isReplaced ? former : undefined;
   }
 
   /**
-   * The store holds the upstream no more; true when it was known and is gone now.
-   * After an outage of the store that may mean that its lease ran out unheard: with
-   * `keepUntil` it is used until then, and gone unless it was listed again.
+   * Removes an upstream that the store no longer lists; returns whether it was
+   * removed now. After an outage of the store its lease may have lapsed by
+   * mistake: with `keepUntil` it is used until then and dropped unless it is
+   * listed again.
    */
   remove(upstream: UpstreamId, keepUntil?: Milliseconds): boolean {
     const entry = this.#entries.get(upstream);
@@ -93,21 +99,24 @@
     return true;
   }
 
-  /** The upstream announced its leaving; `true` when that was news. */
+  /**
+   * Removes an upstream that announced that it leaves; returns whether that was
+   * new.
+   */
   markLeaving(upstream: UpstreamId): boolean {
-    if (this.#left.has(upstream)) return false;
-    this.#left.add(upstream);
+    if (this.#leaving.has(upstream)) return false;
+    this.#leaving.add(upstream);
     this.#entries.delete(upstream);
     this.#rebuild();
     return true;
   }
 
-  /** The failure domains whose upstreams get no work. */
+  /** Failure domains whose upstreams receive no requests. */
   get evacuated(): ReadonlySet<FailureDomain> {
     return this.#evacuated;
   }
 
-  /** Replaces the failure domains whose upstreams get no work; true when they differ. */
+  /** Replaces the evacuated failure domains; returns whether they changed. */
   evacuate(domains: ReadonlySet<FailureDomain>): boolean {
     const isSame = domains.size === this.#evacuated.size &&
       [...domains].every((domain) => this.#evacuated.has(domain));
@@ -122,20 +131,23 @@
     return this.#evacuatedServices.has(service);
   }
 
-  /** The listed life of the upstream that the platform calls so. */
+  /** Returns the listed incarnation of the upstream with this name. */
   findByName(name: string): Upstream | undefined {
-    const life = this.#lives.get(name);
-    return life === undefined ? undefined : this.findListed(life.upstream);
+    const latest = this.#incarnations.get(name);
+    return latest === undefined ? undefined : this.findListed(latest.upstream);
   }
 
-  /** Makes the directory equal to a full reading of the store; gives back who is gone. */
+  /**
+   * Replaces all entries by a full listing of the store; returns the upstreams
+   * that are gone.
+   */
   replaceAll(
     upstreams: readonly Upstream[],
     keepUntil?: Milliseconds,
   ): Upstream[] {
-    const found = new Set(upstreams.map(({ name }) => name));
+    const listedNames = new Set(upstreams.map(({ name }) => name));
     const gone = this.all().filter(({ name, upstream }) =>
-      !found.has(name) && this.remove(upstream, keepUntil)
+      !listedNames.has(name) && this.remove(upstream, keepUntil)
     );
     for (const upstream of upstreams) {
       const former = this.set(upstream);
@@ -144,7 +156,7 @@
     return gone;
   }
 
-  /** Drops kept entries that did not come back; gives them back. */
+  /** Drops lapsed entries that were not listed again, and returns them. */
   expireLapsed(now: Milliseconds): Upstream[] {
     const gone: Upstream[] = [];
     for (const { upstream, keptUntil } of this.#entries.values()) {
@@ -154,45 +166,50 @@
     return gone;
   }
 
-  /** Upstreams of a service that may get work; the same list until something changes. */
+  /**
+   * Returns the available upstreams of a service; the same array until it
+   * changes.
+   */
   of(service: ServiceId): readonly Upstream[] {
-    return this.#byService.get(service) ?? NONE;
+    return this.#byService.get(service) ?? NO_UPSTREAMS;
   }
 
-  /** An upstream that may get work. */
+  /** Returns an upstream if it may receive requests. */
   get(upstream: UpstreamId): Upstream | undefined {
     const listed = this.findListed(upstream);
     if (listed === undefined) return undefined;
     return this.#evacuated.has(listed.failureDomain) ? undefined : listed;
   }
 
-  /** An upstream that is listed, in an evacuated failure domain or not. */
+  /**
+   * Returns an upstream if it is listed, even in an evacuated failure domain.
+   */
   findListed(upstream: UpstreamId): Upstream | undefined {
     return this.#entries.get(upstream)?.upstream;
   }
 
-  /** Every upstream that is listed. */
+  /** Returns all listed upstreams. */
   all(): Upstream[] {
     return [...this.#entries.values()].map(({ upstream }) => upstream);
   }
 
-  /** Those whose entries lapsed, for peers that do not read the store. */
+  /** Returns the lapsed upstreams, for peers that do not read the store. */
   lapsed(now: Milliseconds): LapsedUpstream[] {
-    const kept: LapsedUpstream[] = [];
+    const lapsed: LapsedUpstream[] = [];
     for (const { upstream: { name }, keptUntil } of this.#entries.values()) {
-      if (keptUntil !== undefined) kept.push({ name, left: keptUntil - now });
+      if (keptUntil !== undefined) lapsed.push({ name, left: keptUntil - now });
     }
-    return kept;
+    return lapsed;
   }
 
-  /** Grows with each change of what may get work. */
+  /** Increases with each change of the available upstreams. */
   get version(): number {
     return this.#version;
   }
 
-  /** An upstream, also one that may get no work any more. */
+  /** Returns an upstream, even if it has left. */
   lastKnown(upstream: UpstreamId): Upstream | undefined {
-    return this.#seen.get(upstream);
+    return this.#remembered.get(upstream);
   }
 
   get size(): number {
@@ -204,11 +221,11 @@
   }
 
   #remember(upstream: Upstream): void {
-    this.#seen.set(upstream.upstream, upstream);
-    if (this.#seen.size <= MAXIMUM_SEEN) return;
-    for (const id of this.#seen.keys()) {
+    this.#remembered.set(upstream.upstream, upstream);
+    if (this.#remembered.size <= MAXIMUM_REMEMBERED) return;
+    for (const id of this.#remembered.keys()) {
       if (this.#entries.has(id)) continue;
-      this.#seen.delete(id);
+      this.#remembered.delete(id);
       return;
     }
   }
@@ -233,8 +250,11 @@
   }
 }
 
-/** Whether two entries of one life differ in nothing that decides about its work. */
-function isAlike(left: Upstream, right: Upstream): boolean {
+/**
+ * Whether two entries of one incarnation agree in everything that affects
+ * scheduling.
+ */
+function isEquivalent(left: Upstream, right: Upstream): boolean {
   return left.bornAt === right.bornAt && left.service === right.service &&
     left.address === right.address && left.slots === right.slots &&
     left.failureDomain === right.failureDomain &&
--- a/packages/admission/src/upstreamHealth.ts
+++ b/packages/admission/src/upstreamHealth.ts
@@ -1,46 +1,46 @@
 import type { Milliseconds, UpstreamId } from "@wasabivane/common";
 import type { UpstreamOutcome } from "./types.ts";
 
-/** First time that an upstream gets no work after a sign of loss. */
+/** Duration of the first ejection of an upstream. */
 const FIRST_EJECTION_MS: Milliseconds = 400;
-/** Crashed upstreams are back after some seconds; a later look costs callers. */
+/** Longest ejection; crashed upstreams are usually back within seconds. */
 const MAXIMUM_EJECTION_MS: Milliseconds = 3_000;
-/** Answers that broke off or never came, in a row, which eject. */
-const BREAKS_IN_A_ROW = 2;
-/** Signs of one loss come from many requests at once; they count once. */
+/** Consecutive broken or missing responses that eject an upstream. */
+const CONSECUTIVE_BREAKS = 2;
+/** Failures of many requests within this time count as one loss. */
 const SAME_LOSS_MS: Milliseconds = 300;
-/** Weight of the newest outcome in the failure share; about 12 outcomes are remembered. */
+/** Weight of the newest outcome in the failure share. */
 const FAILURE_WEIGHT = 0.08;
 
 interface Health {
-  breaksInARow: number;
+  consecutiveBreaks: number;
   ejections: number;
   ejectedUntil: Milliseconds;
   lostAt: Milliseconds;
   failureShare: number;
 }
 
-/** What peers may learn of an upstream's loss. */
+/** Ejection of an upstream, as announced to peers. */
 export interface EjectionNotice {
   readonly upstream: UpstreamId;
   readonly until: Milliseconds;
 }
 
 /**
- * Answers the load pattern of upstreams that die, hang, or fail a part of their
- * requests while their health check is good. Real requests are the only probes.
- * Without it a dead upstream, which is free all the time, draws most requests.
+ * Tracks failures of upstreams and ejects those that seem lost, based on
+ * requests only.
  *
- * Grounds: a connection that cannot be opened costs no request and ejects at
- * once; an answer that breaks off may be the request's own fault, so it takes
- * two in a row. Ejection starts at 0.4 s and doubles to 3 s, as crashed upstreams
- * come back within seconds. A share of failures never ejects, since it may be the
- * service's usual one; it only makes the upstream less attractive.
+ * A dead upstream seems free and would otherwise attract most requests, and a
+ * health check can succeed while requests fail. A failed connection ejects at
+ * once; a broken response may be caused by the request, so it takes several in
+ * a row. Ejections grow exponentially up to a limit. A share of failures never
+ * ejects, as it may be usual for the service; it only raises the cost of the
+ * upstream.
  */
 export class UpstreamHealth {
   readonly #health = new Map<UpstreamId, Health>();
 
-  /** Takes in an outcome; true when the upstream is ejected by it. */
+  /** Records an outcome; returns whether it ejects the upstream. */
   observe(
     upstream: UpstreamId,
     outcome: UpstreamOutcome,
@@ -53,16 +53,16 @@
       ((isFailure ? 1 : 0) - health.failureShare);
     if (outcome === "unreachable") return this.#eject(health, now);
     if (outcome === "broken" || outcome === "silent") {
-      health.breaksInARow++;
-      return health.breaksInARow >= BREAKS_IN_A_ROW &&
+      health.consecutiveBreaks++;
+      return health.consecutiveBreaks >= CONSECUTIVE_BREAKS &&
         this.#eject(health, now);
     }
-    health.breaksInARow = 0;
+    health.consecutiveBreaks = 0;
     if (!isFailure && now >= health.ejectedUntil) health.ejections = 0;
     return false;
   }
 
-  /** A peer ejected the upstream; one host's word holds as long as it says. */
+  /** Applies an ejection by a peer. */
   applyNotice({ upstream, until }: EjectionNotice, now: Milliseconds): void {
     const health = this.#healthOf(upstream);
     const bounded = Math.min(until, now + MAXIMUM_EJECTION_MS);
@@ -73,17 +73,19 @@
     return this.ejectedUntil(upstream) > now;
   }
 
-  /** When an ejection is over, or was; 0 where there was none. */
+  /** Returns when the last ejection ends or ended; 0 if there was none. */
   ejectedUntil(upstream: UpstreamId): Milliseconds {
     return this.#health.get(upstream)?.ejectedUntil ?? 0;
   }
 
-  /** Share of recent requests that did not end whole, 0 to 1. */
+  /**
+   * Returns the share of recent requests without a complete response, 0 to 1.
+   */
   failureShare(upstream: UpstreamId): number {
     return this.#health.get(upstream)?.failureShare ?? 0;
   }
 
-  /** The ejections in force, for the peers. */
+  /** Returns the current ejections, for the peers. */
   activeEjections(now: Milliseconds): EjectionNotice[] {
     const notices: EjectionNotice[] = [];
     for (const [upstream, { ejectedUntil }] of this.#health) {
@@ -101,7 +103,7 @@
     const span = FIRST_EJECTION_MS * 2 ** health.ejections;
     health.lostAt = now;
     health.ejections++;
-    health.breaksInARow = 0;
+    health.consecutiveBreaks = 0;
     health.ejectedUntil = now + Math.min(span, MAXIMUM_EJECTION_MS);
     return true;
   }
@@ -110,7 +112,7 @@
     let health = this.#health.get(upstream);
     if (health === undefined) {
       health = {
-        breaksInARow: 0,
+        consecutiveBreaks: 0,
         ejections: 0,
         ejectedUntil: 0,
         lostAt: -Infinity,
--- a/packages/admission/src/upstreamSpeed.ts
+++ b/packages/admission/src/upstreamSpeed.ts
@@ -1,31 +1,35 @@
 import type { Milliseconds, ServiceId, UpstreamId } from "@wasabivane/common";
 
-/** Weight of the newest sample; about ten samples are remembered. */
+/** Weight of the newest sample. */
 const SAMPLE_WEIGHT = 0.1;
-/** The service's mean is remembered for longer than one upstream's. */
+/**
+ * Weight of the newest sample in the service's mean, which changes more slowly.
+ */
 const SERVICE_WEIGHT = 0.02;
-const LEAST_RATIO = 0.4;
-const GREATEST_RATIO = 4;
+const MINIMUM_SLOWNESS = 0.4;
+const MAXIMUM_SLOWNESS = 4;
 
-/** How long one unit of work took: one event of a stream, or one whole answer. */
+/**
+ * Measured duration of one unit of work: one event of a stream, or one complete
+ * response.
+ */
 export interface SpeedSample {
   readonly service: ServiceId;
   readonly upstream: UpstreamId;
   readonly duration: Milliseconds;
 }
 
-/** A mean that its first samples move most. */
+/** A moving mean; its first samples weigh equally. */
 interface Mean {
   value: Milliseconds;
   samples: number;
 }
 
 /**
- * How slow each upstream is against the mean of its service.
+ * Measures how slow each upstream is relative to the mean of its service.
  *
- * Answers the load pattern of engines of unlike speed and of one that turns slow:
- * with equal counts the slow ones hold callers longest. Only ratios are kept, so
- * that nothing has to be known of the engines beforehand.
+ * With equal request counts, slow upstreams would hold their callers longest.
+ * Only ratios are kept, so no hardware details are needed.
  */
 export class UpstreamSpeed {
   readonly #upstreams = new Map<UpstreamId, Mean>();
@@ -36,13 +40,16 @@
     blend(this.#services, service, { duration, weight: SERVICE_WEIGHT });
   }
 
-  /** 1 for the mean of the service, 2 for one that takes twice as long. */
+  /**
+   * Returns 1 for the mean of the service, 2 for an upstream that takes twice
+   * as long.
+   */
   slowness(service: ServiceId, upstream: UpstreamId): number {
     const known = this.#upstreams.get(upstream);
     const mean = this.#services.get(service);
     if (known === undefined || mean === undefined || mean.value <= 0) return 1;
     const ratio = known.value / mean.value;
-    return Math.min(GREATEST_RATIO, Math.max(LEAST_RATIO, ratio));
+    return Math.min(MAXIMUM_SLOWNESS, Math.max(MINIMUM_SLOWNESS, ratio));
   }
 
   forget(upstream: UpstreamId): void {
@@ -50,7 +57,7 @@
   }
 }
 
-/** Blends a sample in; as long as there are few, all weigh alike. */
+/** Adds a sample to a mean. */
 function blend<Key>(
   means: Map<Key, Mean>,
   key: Key,
--- a/packages/admission/src/upstreamStats.ts
+++ b/packages/admission/src/upstreamStats.ts
@@ -8,35 +8,38 @@
 import { UpstreamSpeed } from "./upstreamSpeed.ts";
 import { UpstreamWarmup } from "./upstreamWarmup.ts";
 
-/** What one attempt showed of its upstream. */
+/** What an attempt showed about its upstream. */
 export interface AttemptObservation {
   readonly upstream: UpstreamId;
   readonly service: ServiceId;
   readonly outcome: UpstreamOutcome;
-  /** Time in its place. */
+  /** Time in its slot. */
   readonly residence: Milliseconds;
-  /** Times of an answer that came whole. */
+  /** Present if the response was complete. */
   readonly times?: ResponseTimings;
 }
 
-/** How a whole answer came. */
+/** Timings of a complete response. */
 export interface ResponseTimings {
   readonly route: RouteId;
-  /** Tokens that its caller expected; 0 where it did not say. */
+  /** Response length in tokens that the caller expected; 0 if it gave none. */
   readonly expectedTokens: number;
-  /** Tokens that the upstream read before the first event, those ahead included. */
+  /**
+   * Prompt tokens processed before the first event, including those of requests
+   * ahead.
+   */
   readonly promptTokens: number;
-  /** Tokens of its own prompt. */
+  /** Prompt tokens of the request itself. */
   readonly ownTokens: number;
-  /** To the first event, or to the whole plain answer. */
+  /** Time to the first event, or to the complete response without streaming. */
   readonly latency: Milliseconds;
-  /** Events of a stream; 0 for a plain answer. */
+  /** Number of events of a stream; 0 without streaming. */
   readonly events: number;
-  /** Pauses that were longer than the route's target. */
+  /** Number of pauses longer than the route's target. */
   readonly latePauses: number;
 }
 
-/** What is known of the upstreams from how they served. */
+/** Statistics about upstreams, learned from the attempts they served. */
 export class UpstreamStats {
   readonly health = new UpstreamHealth();
   readonly speed = new UpstreamSpeed();
@@ -46,10 +49,10 @@
   readonly pauseRisks = new PauseRiskModel(this.speed);
   readonly warmup = new UpstreamWarmup();
 
-  /** Takes in what an attempt showed; true when its upstream is ejected by it. */
+  /** Records an attempt; returns whether it ejects the upstream. */
   record(observation: AttemptObservation, now: Milliseconds): boolean {
     if (observation.outcome === "whole" && observation.times !== undefined) {
-      this.#learnTimes(observation, observation.times);
+      this.#recordTimes(observation, observation.times);
     }
     const { upstream, outcome } = observation;
     const isEjected = this.health.observe(upstream, outcome, now);
@@ -59,7 +62,7 @@
     return isEjected;
   }
 
-  /** An upstream is gone for good. */
+  /** Drops the statistics of an upstream that is gone for good. */
   forget(upstream: UpstreamId): void {
     this.health.forget(upstream);
     this.speed.forget(upstream);
@@ -67,14 +70,17 @@
     this.warmup.forget(upstream);
   }
 
-  /** A stream shows its speed by its pauses, a plain answer by its whole time. */
-  #learnTimes(
+  /**
+   * Records the timings of a complete response. The speed is measured by the
+   * time per event of a stream, or by the total time of other responses.
+   */
+  #recordTimes(
     { service, upstream, residence }: AttemptObservation,
-    { route, expectedTokens, promptTokens, latency, events, ...times }:
+    { route, expectedTokens, promptTokens, latency, events, ...timings }:
       ResponseTimings,
   ): void {
     const duration = residence - latency;
-    const { ownTokens, latePauses } = times;
+    const { ownTokens, latePauses } = timings;
     const expected = this.firstEvents.expected(service, {
       promptTokens: ownTokens,
     });
--- a/packages/admission/src/upstreamWarmup.ts
+++ b/packages/admission/src/upstreamWarmup.ts
@@ -1,54 +1,63 @@
 import type { Milliseconds, UpstreamId } from "@wasabivane/common";
 
 /**
- * An upstream that was lost may have started again under its name; until its entry
- * says so, it counts as cold for this long after work goes there again.
+ * Time for which an upstream counts as warming up after an ejection, as it may
+ * have restarted before its entry says so.
  */
-const RETURNED_COLD_MS: Milliseconds = 3_000;
-/** One that is new here counts as cold for a moment, whatever its entry said when it was written. */
-const NEW_COLD_MS: Milliseconds = 1_000;
+const RETURNED_WARMUP_MS: Milliseconds = 3_000;
+/**
+ * Shortest time for which a newly listed upstream counts as warming up, as its
+ * entry may be outdated.
+ */
+const NEW_WARMUP_MS: Milliseconds = 1_000;
 
-/** What an entry of the list says of an upstream's warming up. */
-interface Warmth {
-  /** As the entry had it last; an entry that says the same again is no news. */
+/** Warm-up state of an upstream. */
+interface WarmupState {
+  /** Value of the last entry; a repeated entry does not restart the warm-up. */
   coldFor: Milliseconds;
-  coldUntil: Milliseconds;
+  warmupUntil: Milliseconds;
 }
 
-/** Which upstreams are cold: they have just started and take little work yet. */
+/**
+ * Tracks which upstreams are warming up: they have just started and can take
+ * few requests yet.
+ */
 export class UpstreamWarmup {
-  readonly #warmth = new Map<UpstreamId, Warmth>();
+  readonly #states = new Map<UpstreamId, WarmupState>();
 
-  /** Takes in how much longer an upstream is cold, as its entry says. */
+  /** Applies the remaining warm-up time of an upstream's entry. */
   update(
     upstream: UpstreamId,
     { coldFor, now }: { coldFor: Milliseconds; now: Milliseconds },
   ): void {
-    const known = this.#warmth.get(upstream);
+    const known = this.#states.get(upstream);
     if (known === undefined) {
-      const coldUntil = now + Math.max(NEW_COLD_MS, coldFor);
-      this.#warmth.set(upstream, { coldFor, coldUntil });
+      const warmupUntil = now + Math.max(NEW_WARMUP_MS, coldFor);
+      this.#states.set(upstream, { coldFor, warmupUntil });
       return;
     }
     if (known.coldFor === coldFor) return;
     known.coldFor = coldFor;
-    known.coldUntil = now + coldFor;
+    known.warmupUntil = now + coldFor;
   }
 
-  /** An upstream was lost and gets work again at a time; it may be another start of it. */
+  /**
+   * Records that an upstream was lost and will be used again at the given time,
+   * possibly after a restart.
+   */
   recordLoss(upstream: UpstreamId, backAt: Milliseconds): void {
-    const known = this.#warmth.get(upstream);
-    const coldUntil = backAt + RETURNED_COLD_MS;
+    const known = this.#states.get(upstream);
+    const warmupUntil = backAt + RETURNED_WARMUP_MS;
     if (known === undefined) {
-      this.#warmth.set(upstream, { coldFor: 0, coldUntil });
-    } else known.coldUntil = Math.max(known.coldUntil, coldUntil);
+      this.#states.set(upstream, { coldFor: 0, warmupUntil });
+    } else known.warmupUntil = Math.max(known.warmupUntil, warmupUntil);
   }
 
-  isCold(upstream: UpstreamId, now: Milliseconds): boolean {
-    return (this.#warmth.get(upstream)?.coldUntil ?? 0) > now;
+  isWarmingUp(upstream: UpstreamId, now: Milliseconds): boolean {
+    return (this.#states.get(upstream)?.warmupUntil ?? 0) > now;
   }
 
   forget(upstream: UpstreamId): void {
-    this.#warmth.delete(upstream);
+    this.#states.delete(upstream);
   }
 }
--- a/packages/admission/src/usageLedger.ts
+++ b/packages/admission/src/usageLedger.ts
@@ -6,115 +6,119 @@
 } from "@wasabivane/common";
 import type { UsageReport } from "./quotaLimiter.ts";
 
-/** A host that says nothing for so long may be cut off and go on admitting. */
-const SILENCE_MS: Milliseconds = 1_500;
-/** It is taken to go on at its last rate for so long: longer than partitions usually last. */
-const PRESUMED_MS: Milliseconds = 15_000;
-/** Span over which a host's rate is measured. */
-const RATE_SPAN_MS: Milliseconds = 2_000;
+/**
+ * A host without reports for this time may be partitioned and still admit
+ * requests.
+ */
+const REPORT_TIMEOUT_MS: Milliseconds = 1_500;
+/**
+ * How long its last rate is assumed to continue; longer than most partitions.
+ */
+const PRESUMED_USAGE_MS: Milliseconds = 15_000;
+/** Window over which a host's rate is measured. */
+const RATE_WINDOW_MS: Milliseconds = 2_000;
 
-interface Reporter {
+interface HostUsage {
   incarnation: Incarnation;
-  heardAt: Milliseconds;
+  reportedAt: Milliseconds;
   sums: ReadonlyMap<ClientAccountId, number>;
   measuredAt: Milliseconds;
   measured: ReadonlyMap<ClientAccountId, number>;
-  /** Units a millisecond. */
+  /** Units per millisecond. */
   readonly rates: Map<ClientAccountId, number>;
-  /** What former incarnations admitted. */
+  /** Units admitted by former incarnations. */
   readonly before: Map<ClientAccountId, number>;
 }
 
 /**
- * Adds up what all hosts admitted for each client account, and tells each what the
- * others did.
+ * Sums up the usage of client accounts that hosts report, and tells each host
+ * what the others admitted.
  *
- * Answers the load pattern of one account that sends through hundreds of hosts. Sums
- * that every host tells every other grow with the square of the hosts; one host that
- * adds them up hears one word of each. Nothing is kept beyond its process: sums only
- * grow while it lives, and hosts charge themselves by the difference between two of
- * its words, so that a new ledger begins at nought without a second charge.
+ * With reports between all hosts, traffic would grow with the square of their
+ * number. Sums only increase while this process lives, and hosts charge the
+ * difference between two replies, so a new ledger can start at zero without
+ * charging anything twice.
  */
 export class UsageLedger {
-  readonly #reporters = new Map<HostId, Reporter>();
-  /** What all hosts admitted; kept, as adding up anew for each word takes too long. */
+  readonly #hosts = new Map<HostId, HostUsage>();
+  /** Usage of all hosts; maintained incrementally. */
   readonly #totals = new Map<ClientAccountId, number>();
 
-  /** Takes in what a host has admitted since its start. */
+  /** Applies a host's total usage since its start. */
   applyUsage(
     { host, incarnation, used }: UsageReport,
     now: Milliseconds,
   ): void {
-    const known = this.#reporters.get(host);
+    const known = this.#hosts.get(host);
     if (known === undefined) {
-      // What it admitted before this ledger began was charged by the one before.
+      // Earlier usage was charged through the previous ledger.
       const before = new Map(
         [...used].map(([account, sum]) => [account, -sum]),
       );
       this.#replace(
         host,
-        reporterOf({ incarnation, used, before, now }),
+        createHostUsage({ incarnation, used, before, now }),
         undefined,
       );
       return;
     }
-    const former = sumsOf(known);
+    const former = totalUsage(known);
     if (known.incarnation !== incarnation) {
-      const reporter = reporterOf({ incarnation, used, before: former, now });
-      return this.#replace(host, reporter, former);
+      const usage = createHostUsage({ incarnation, used, before: former, now });
+      return this.#replace(host, usage, former);
     }
     known.sums = used;
-    known.heardAt = now;
-    measure(known, now);
+    known.reportedAt = now;
+    updateRates(known, now);
     this.#replace(host, known, former);
   }
 
-  /** What all hosts but one admitted, by account. */
+  /** Returns what all hosts but one admitted, by account. */
   usageOfOthers(host: HostId, now: Milliseconds): Map<ClientAccountId, number> {
     const sums = new Map(this.#totals);
-    const own = this.#reporters.get(host);
-    if (own !== undefined) add(sums, sumsOf(own), -1);
-    for (const [other, reporter] of this.#reporters) {
-      const silence = now - reporter.heardAt;
-      if (other === host || silence < SILENCE_MS) continue;
-      add(sums, reporter.rates, Math.min(silence, PRESUMED_MS));
+    const own = this.#hosts.get(host);
+    if (own !== undefined) add(sums, totalUsage(own), -1);
+    for (const [other, usage] of this.#hosts) {
+      const timeSinceReport = now - usage.reportedAt;
+      if (other === host || timeSinceReport < REPORT_TIMEOUT_MS) continue;
+      add(sums, usage.rates, Math.min(timeSinceReport, PRESUMED_USAGE_MS));
     }
     return sums;
   }
 
   #replace(
     host: HostId,
-    reporter: Reporter,
+    usage: HostUsage,
     former: ReadonlyMap<ClientAccountId, number> | undefined,
   ): void {
     if (former !== undefined) add(this.#totals, former, -1);
-    add(this.#totals, sumsOf(reporter), 1);
-    this.#reporters.set(host, reporter);
+    add(this.#totals, totalUsage(usage), 1);
+    this.#hosts.set(host, usage);
   }
 }
 
-/** Adds other sums, each so many times. */
+/** Adds other sums, multiplied by `factor`. */
 function add(
   sums: Map<ClientAccountId, number>,
   others: ReadonlyMap<ClientAccountId, number>,
-  times: number,
+  factor: number,
 ): void {
   for (const [account, sum] of others) {
-    sums.set(account, (sums.get(account) ?? 0) + times * sum);
+    sums.set(account, (sums.get(account) ?? 0) + factor * sum);
   }
 }
 
-function reporterOf(
+function createHostUsage(
   { incarnation, used, before, now }: {
     incarnation: Incarnation;
     used: ReadonlyMap<ClientAccountId, number>;
     before: Map<ClientAccountId, number>;
     now: Milliseconds;
   },
-): Reporter {
+): HostUsage {
   return {
     incarnation,
-    heardAt: now,
+    reportedAt: now,
     sums: used,
     measuredAt: now,
     measured: used,
@@ -123,8 +127,11 @@
   };
 }
 
-/** What a host admitted since the ledger first heard of it, over all its incarnations. */
-function sumsOf({ before, sums }: Reporter): Map<ClientAccountId, number> {
+/**
+ * Returns a host's usage over all incarnations since this ledger first heard of
+ * it.
+ */
+function totalUsage({ before, sums }: HostUsage): Map<ClientAccountId, number> {
   const total = new Map(before);
   for (const [account, sum] of sums) {
     total.set(account, (total.get(account) ?? 0) + sum);
@@ -132,13 +139,13 @@
   return total;
 }
 
-function measure(reporter: Reporter, now: Milliseconds): void {
-  const span = now - reporter.measuredAt;
-  if (span < RATE_SPAN_MS) return;
-  for (const [account, sum] of reporter.sums) {
-    const rate = (sum - (reporter.measured.get(account) ?? 0)) / span;
-    reporter.rates.set(account, Math.max(0, rate));
+function updateRates(usage: HostUsage, now: Milliseconds): void {
+  const span = now - usage.measuredAt;
+  if (span < RATE_WINDOW_MS) return;
+  for (const [account, sum] of usage.sums) {
+    const rate = (sum - (usage.measured.get(account) ?? 0)) / span;
+    usage.rates.set(account, Math.max(0, rate));
   }
-  reporter.measuredAt = now;
-  reporter.measured = reporter.sums;
+  usage.measuredAt = now;
+  usage.measured = usage.sums;
 }
--- a/packages/admission/tests/coldUpstreams.test.ts
+++ b/packages/admission/tests/coldUpstreams.test.ts
@@ -10,29 +10,34 @@
 import { type Replay, replayLoad } from "./helpers/loadReplay.ts";
 import type { VirtualFleet } from "./helpers/virtualFleet.ts";
 
-/** Starts in one second that a cold upstream bears over all hosts. */
-const BOUND = 30;
-const BACK_AT: Milliseconds = 1_000;
+/**
+ * Starts per second over all hosts that an upstream can take while warming up.
+ */
+const START_RATE_LIMIT = 30;
+const RETURNED_AT: Milliseconds = 1_000;
 const COLD_FOR: Milliseconds = 3_000;
 
-/** Short answers in a burst: an engine of 8 places could start 160 a second. */
+/**
+ * A burst of short requests: an upstream with 8 slots could start 160 per
+ * second.
+ */
 const BURST: Replay = {
   hosts: 20,
-  engines: 6,
+  upstreams: 6,
   slots: 8,
   speeds: [1],
   duration: 4_000,
   seed: 3,
-  areKeeping: true,
+  isCoordinated: true,
   failureDomains: [WEST],
-  coldStarts: BOUND,
+  coldStarts: START_RATE_LIMIT,
   seedStep: 0x9e3779b1,
   tiers: [
-    { tier: 1, rateAt: () => 400, work: 50, target: 400, patience: 2_000 },
+    { tier: 1, rateAt: () => 400, work: 50, target: 400, usefulWithin: 2_000 },
   ],
 };
 
-/** The most starts at one upstream in any second. */
+/** Returns the largest number of starts at one upstream within a second. */
 function busiestSecond(
   sends: ReadonlyMap<UpstreamId, readonly Milliseconds[]>,
 ): number {
@@ -46,7 +51,7 @@
   return most;
 }
 
-/** Replays the burst; all engines return cold at {@link BACK_AT}, as each host has heard. */
+/** Replays the burst; all upstreams restart at {@link RETURNED_AT}. */
 function replayReturn(
   changes: Partial<Replay> = {},
   onReturn: (fleet: VirtualFleet) => void = () => {},
@@ -55,19 +60,19 @@
   replayLoad({
     ...BURST,
     onStart: (fleet, timer) => {
-      timer.after(BACK_AT, () => {
+      timer.after(RETURNED_AT, () => {
         onReturn(fleet);
-        for (const { knowledge, directory } of fleet.hosts) {
+        for (const { stats, directory } of fleet.hosts) {
           for (const { upstream } of directory.all()) {
             const now = timer.now();
-            knowledge.warmup.update(upstream, { coldFor: COLD_FOR, now });
+            stats.warmup.update(upstream, { coldFor: COLD_FOR, now });
           }
         }
       });
     },
     onSend: ({ upstream }, at) => {
-      const isCold = at >= BACK_AT && at < BACK_AT + COLD_FOR;
-      if (!isCold) return;
+      const isWarmingUp = at >= RETURNED_AT && at < RETURNED_AT + COLD_FOR;
+      if (!isWarmingUp) return;
       sends.set(upstream, [...sends.get(upstream) ?? [], at]);
     },
     ...changes,
@@ -75,13 +80,14 @@
   return busiestSecond(sends);
 }
 
-test("a burst does not bring down upstreams that have just come back", (t) => {
-  // Guards against cold engines that get all that waits and crash again.
-  t.true(replayReturn() <= BOUND);
+test("a burst does not exceed the start rate of upstreams that have just returned", (t) => {
+  // Guards against restarted upstreams that get all waiting requests and crash
+  // again.
+  t.true(replayReturn() <= START_RATE_LIMIT);
 });
 
-/** Cuts every two hosts from each other that do not belong together. */
-function cut(
+/** Partitions all pairs of hosts that are not together. */
+function partition(
   { hosts, cuts }: VirtualFleet,
   isTogether: (index: number, other: number) => boolean,
 ): void {
@@ -92,67 +98,71 @@
   }
 }
 
-test("two keepers of one cell do not give a cold upstream too much together", (t) => {
-  // Guards against hosts that disagree on who keeps the cell while they are cut off.
+test("two coordinators of one cell together respect the start rate of an upstream that is warming up", (t) => {
+  // Guards against two coordinators of one cell that both grant the full rate
+  // during a partition.
   const starts = replayReturn(
     {},
-    (fleet) => cut(fleet, (index, other) => (index < 10) === (other < 10)),
+    (fleet) =>
+      partition(fleet, (index, other) => (index < 10) === (other < 10)),
   );
-  t.true(starts <= BOUND);
+  t.true(starts <= START_RATE_LIMIT);
 });
 
-test("hosts that decide alone leave a cold upstream nearly in peace", (t) => {
-  // Guards against many hosts that each send a little to the same engine.
+test("hosts that schedule locally together respect the start rate of an upstream that is warming up", (t) => {
+  // Guards against many hosts that each start a few requests at the same
+  // upstream.
   const starts = replayReturn(
     { hosts: 60 },
-    (fleet) => cut(fleet, (index, other) => index === other),
+    (fleet) => partition(fleet, (index, other) => index === other),
   );
-  t.true(starts <= BOUND);
+  t.true(starts <= START_RATE_LIMIT);
 });
 
-test("a warm upstream never gets more than it would bear if it turned cold unheard", (t) => {
-  // Guards against an engine that turns cold before its entry says so.
+test("any upstream gets no more starts than it could take while warming up", (t) => {
+  // Guards against an upstream that restarts before its entry says so.
   const sends = new Map<UpstreamId, Milliseconds[]>();
   replayLoad({
     ...BURST,
     onSend: ({ upstream }, at) =>
       sends.set(upstream, [...sends.get(upstream) ?? [], at]),
   });
-  t.true(busiestSecond(sends) <= BOUND);
+  t.true(busiestSecond(sends) <= START_RATE_LIMIT);
 });
 
-test("an upstream that was lost counts as cold when it gets work again", (t) => {
-  // Guards against a restart under the same name that the list has yet to tell of.
-  const warmth = new UpstreamWarmup();
+test("an upstream that was lost counts as warming up when it is used again", (t) => {
+  // Guards against a restart under the same name that is not listed yet.
+  const warmup = new UpstreamWarmup();
   const { upstream } = buildUpstream(0);
-  warmth.update(upstream, { coldFor: 0, now: 0 });
-  t.true(warmth.isCold(upstream, 500));
-  t.false(warmth.isCold(upstream, 1_500));
-  warmth.recordLoss(upstream, 2_400);
-  t.true(warmth.isCold(upstream, 5_000));
-  t.false(warmth.isCold(upstream, 5_500));
+  warmup.update(upstream, { coldFor: 0, now: 0 });
+  t.true(warmup.isWarmingUp(upstream, 500));
+  t.false(warmup.isWarmingUp(upstream, 1_500));
+  warmup.recordLoss(upstream, 2_400);
+  t.true(warmup.isWarmingUp(upstream, 5_000));
+  t.false(warmup.isWarmingUp(upstream, 5_500));
 });
 
-test("an entry that says the same again does not make an upstream cold anew", (t) => {
-  // Guards against lists that are fetched again and again and keep an engine cold.
-  const warmth = new UpstreamWarmup();
+test("a repeated entry does not restart the warm-up", (t) => {
+  // Guards against an upstream that keeps warming up because its entry is read
+  // repeatedly.
+  const warmup = new UpstreamWarmup();
   const { upstream } = buildUpstream(0);
-  warmth.update(upstream, { coldFor: 3_000, now: 0 });
-  warmth.update(upstream, { coldFor: 3_000, now: 2_000 });
-  t.false(warmth.isCold(upstream, 3_100));
-  warmth.update(upstream, { coldFor: 800, now: 3_200 });
-  t.true(warmth.isCold(upstream, 3_900));
-  warmth.update(upstream, { coldFor: 0, now: 4_000 });
-  t.false(warmth.isCold(upstream, 4_000));
+  warmup.update(upstream, { coldFor: 3_000, now: 0 });
+  warmup.update(upstream, { coldFor: 3_000, now: 2_000 });
+  t.false(warmup.isWarmingUp(upstream, 3_100));
+  warmup.update(upstream, { coldFor: 800, now: 3_200 });
+  t.true(warmup.isWarmingUp(upstream, 3_900));
+  warmup.update(upstream, { coldFor: 0, now: 4_000 });
+  t.false(warmup.isWarmingUp(upstream, 4_000));
 });
 
-test("starts at upstreams that left are forgotten", (t) => {
-  // Guards against a memory that grows with each release of a service.
-  const warmth = new UpstreamWarmup();
+test("starts at former upstreams are dropped", (t) => {
+  // Guards against memory that grows with each release of a service.
+  const warmup = new UpstreamWarmup();
   const limit = new CoordinatorStartLimit({
     coldStartsOf: () => 1,
-    warmth,
-    isCutOff: () => false,
+    warmup,
+    isPartitioned: () => false,
   });
   for (let index = 0; index < 1_000; index++) {
     limit.recordStart(buildUpstream(index), 10 * index);
@@ -162,14 +172,14 @@
   t.true(limit.size < 400);
 });
 
-test("upstreams of a service without a limit take any number of starts", (t) => {
+test("upstreams of a service without a limit get any number of starts", (t) => {
   const options = {
     coldStartsOf: () => undefined,
-    warmth: new UpstreamWarmup(),
+    warmup: new UpstreamWarmup(),
   };
   const upstream = buildUpstream(0);
   const limits = [
-    new CoordinatorStartLimit({ ...options, isCutOff: () => true }),
+    new CoordinatorStartLimit({ ...options, isPartitioned: () => true }),
     new LocalStartLimit({
       ...options,
       hosts: () => 5,
--- a/packages/admission/tests/evacuation.test.ts
+++ b/packages/admission/tests/evacuation.test.ts
@@ -4,7 +4,12 @@
   UpstreamDirectory,
 } from "@wasabivane/admission";
 import test from "ava";
-import { buildUpstream, buildWish, PLANS, WEST } from "./helpers/build.ts";
+import {
+  buildPlacementRequest,
+  buildUpstream,
+  PLANS,
+  WEST,
+} from "./helpers/build.ts";
 import { VirtualFleet } from "./helpers/virtualFleet.ts";
 
 const EAST = asId<FailureDomain>("east");
@@ -28,65 +33,66 @@
   { hosts }: VirtualFleet,
   { domains, now }: { domains: readonly FailureDomain[]; now: number },
 ): void {
-  for (const { directory, keepers, seeker } of hosts) {
+  for (const { directory, coordinators, client } of hosts) {
     directory.evacuate(new Set(domains));
-    for (const keeper of keepers.values()) keeper.review(now);
-    seeker.review(now);
+    for (const coordinator of coordinators.values()) coordinator.review(now);
+    client.review(now);
   }
 }
 
-/** Seeks places for some requests; gives where they went, by name. */
-function seekAll(
+/** Submits some requests; returns the decisions by request name. */
+function submitAll(
   { hosts }: VirtualFleet,
   { count, timer }: { count: number; timer: VirtualTimer },
 ): Map<string, PlacementDecision> {
-  const verdicts = new Map<string, PlacementDecision>();
+  const decisions = new Map<string, PlacementDecision>();
   for (let index = 0; index < count; index++) {
-    const { seeker } = hosts[index % hosts.length]!;
+    const { client } = hosts[index % hosts.length]!;
     const name = `${timer.now()}-${index}`;
-    const wish = buildWish(name, {
+    const placementRequest = buildPlacementRequest(name, {
       arrivedAt: timer.now(),
       firstByteTimeout: 20_000,
     });
-    seeker.submit(wish, (verdict) => {
-      verdicts.set(name, verdict);
-      if (verdict.kind === "place") {
-        seeker.begin(verdict.upstream.upstream, 0);
+    client.submit(placementRequest, (decision) => {
+      decisions.set(name, decision);
+      if (decision.kind === "place") {
+        client.begin(decision.upstream.upstream, 0);
       }
     }, timer.now());
   }
-  return verdicts;
+  return decisions;
 }
 
-test("an evacuated failure domain gets nothing new, and works again when it is taken back", (t) => {
-  // Guards against work that is sent on to a domain which operators empty.
+test("an evacuated failure domain gets no new requests until the evacuation ends", (t) => {
+  // Guards against requests that are sent to a domain under evacuation.
   const { timer, fleet } = createFleet();
   evacuate(fleet, { domains: [EAST], now: 0 });
-  const first = seekAll(fleet, { count: 4, timer });
+  const first = submitAll(fleet, { count: 4, timer });
   timer.advance(300);
-  const places = [...first.values()].filter(({ kind }) => kind === "place");
-  t.is(places.length, 1);
-  for (const verdict of places) {
+  const placed = [...first.values()].filter(({ kind }) => kind === "place");
+  t.is(placed.length, 1);
+  for (const decision of placed) {
     t.true(
-      verdict.kind === "place" && verdict.upstream.failureDomain === WEST,
+      decision.kind === "place" && decision.upstream.failureDomain === WEST,
     );
   }
   evacuate(fleet, { domains: [], now: timer.now() });
   timer.advance(300);
-  const used = [...first.values()].flatMap((verdict) =>
-    verdict.kind === "place" ? [verdict.upstream.failureDomain] : []
+  const used = [...first.values()].flatMap((decision) =>
+    decision.kind === "place" ? [decision.upstream.failureDomain] : []
   );
   t.deepEqual(used.sort(), [EAST, WEST]);
 });
 
-test("a place that was granted before its domain was evacuated is given back", (t) => {
-  // Guards against a keeper that hears of the evacuation later than the asking host.
+test("a slot granted before its failure domain was evacuated is returned", (t) => {
+  // Guards against a coordinator that learns of the evacuation later than the
+  // requesting host.
   const { timer, fleet } = createFleet();
-  const { seeker, directory } = fleet.hosts[0]!;
+  const { client, directory } = fleet.hosts[0]!;
   let seen: PlacementDecision | undefined;
-  seeker.submit(
-    buildWish("asked", { firstByteTimeout: 20_000 }),
-    (verdict) => seen = verdict,
+  client.submit(
+    buildPlacementRequest("asked", { firstByteTimeout: 20_000 }),
+    (decision) => seen = decision,
     0,
   );
   directory.evacuate(new Set([WEST, EAST]));
@@ -94,21 +100,22 @@
   t.not(seen?.kind, "place");
 });
 
-test("with all domains evacuated requests are refused at once, also those that wait", (t) => {
-  // Guards against callers that are held until their time is over for nothing.
+test("with all failure domains evacuated, new and waiting requests are refused at once", (t) => {
+  // Guards against callers that wait in vain until their deadline.
   const { timer, fleet } = createFleet();
-  const waiting = seekAll(fleet, { count: 4, timer });
+  const waiting = submitAll(fleet, { count: 4, timer });
   timer.advance(200);
   evacuate(fleet, { domains: [WEST, EAST], now: timer.now() });
-  const asked = seekAll(fleet, { count: 2, timer });
-  const refused = [...waiting.values(), ...asked.values()].filter(
-    (verdict) => verdict.kind === "refuse" && verdict.reason === "evacuated",
+  const submitted = submitAll(fleet, { count: 2, timer });
+  const refused = [...waiting.values(), ...submitted.values()].filter(
+    (decision) => decision.kind === "refuse" && decision.reason === "evacuated",
   );
   t.is(refused.length, 4);
 });
 
-test("an upstream that leaves while its domain is evacuated has left for good", (t) => {
-  // Guards against a leaving that is not noted since the upstream gets no work anyway.
+test("an upstream that leaves during an evacuation is not used afterwards", (t) => {
+  // Guards against ignoring the announcement of an upstream that receives no
+  // requests anyway.
   const directory = new UpstreamDirectory();
   const upstream = buildUpstream(0);
   directory.set(upstream);
--- a/packages/admission/tests/helpers/build.ts
+++ b/packages/admission/tests/helpers/build.ts
@@ -24,7 +24,7 @@
 export const PLANS = asId<ServiceId>("plans");
 export const WEST = asId<FailureDomain>("west");
 
-/** An upstream `u<index>` of the tests' service. */
+/** Builds an upstream `u<index>` of the service used in tests. */
 export function buildUpstream(
   index: number,
   changes: Partial<Upstream> = {},
@@ -43,8 +43,8 @@
   };
 }
 
-/** A candidate that records its verdict. */
-export function buildCandidate(
+/** Builds a pending request that records its decision. */
+export function buildPendingRequest(
   name: string,
   {
     tier = 1,
@@ -55,7 +55,7 @@
     promptTokens = 0,
     parts = [],
     isContinuation = false,
-    hold = 300,
+    slotTime = 300,
     deadline = 60_000,
     responseDuration: duration = 0,
     pauseTarget = 0,
@@ -68,13 +68,13 @@
     promptTokens?: number;
     parts?: readonly PromptPart[];
     isContinuation?: boolean;
-    hold?: Milliseconds;
+    slotTime?: Milliseconds;
     deadline?: Milliseconds;
     responseDuration?: Milliseconds;
     pauseTarget?: Milliseconds;
   } = {},
-): PendingRequest & { verdict: PlacementDecision | undefined } {
-  const candidate = {
+): PendingRequest & { decision: PlacementDecision | undefined } {
+  const pending = {
     request: asId<RequestId>(name),
     service: PLANS,
     failureDomain: WEST,
@@ -90,48 +90,48 @@
     onTimeUntil,
     usefulUntil,
     isContinuation,
-    hold,
+    slotTime,
     excluded: new Set(excluded.map((id) => asId<UpstreamId>(id))),
-    verdict: undefined as PlacementDecision | undefined,
-    decide: (verdict: PlacementDecision): void => {
-      candidate.verdict = verdict;
+    decision: undefined as PlacementDecision | undefined,
+    decide: (decision: PlacementDecision): void => {
+      pending.decision = decision;
     },
   };
-  return candidate;
+  return pending;
 }
 
-/** A scheduler before some upstreams, and the work that they do. */
-export interface SchedulerBench {
+/** A scheduler for some upstreams, with methods to simulate load. */
+export interface SchedulerHarness {
   readonly scheduler: RequestScheduler;
-  readonly knowledge: UpstreamStats;
+  readonly stats: UpstreamStats;
   readonly directory: UpstreamDirectory;
-  /** A request begins at an upstream. */
+  /** Starts a request at an upstream. */
   readonly begin: (upstream: UpstreamId, promptTokens?: number) => void;
-  /** One ends there, and the line is looked at. */
+  /** Ends a request at an upstream and re-evaluates the queue. */
   readonly end: (upstream: UpstreamId, now: Milliseconds) => void;
 }
 
-/** Builds a {@link SchedulerBench}. */
+/** Builds a {@link SchedulerHarness}. */
 export function buildScheduler(
   upstreams: readonly Upstream[],
   { seed = 1 }: { seed?: number } = {},
-): SchedulerBench {
+): SchedulerHarness {
   const directory = new UpstreamDirectory();
   for (const upstream of upstreams) directory.set(upstream);
-  const knowledge = new UpstreamStats();
+  const stats = new UpstreamStats();
   const scheduler = new RequestScheduler({
     upstreams: directory,
-    stats: knowledge,
+    stats,
     random: new SeededRandom(seed),
     starts: new CoordinatorStartLimit({
       coldStartsOf: () => undefined,
-      warmth: knowledge.warmup,
-      isCutOff: () => false,
+      warmup: stats.warmup,
+      isPartitioned: () => false,
     }),
   });
   return {
     scheduler,
-    knowledge,
+    stats,
     directory,
     begin: (upstream, promptTokens = 0) =>
       scheduler.load.begin(upstream, promptTokens),
@@ -142,8 +142,8 @@
   };
 }
 
-/** A request that seeks a place. */
-export function buildWish(
+/** Builds a placement request. */
+export function buildPlacementRequest(
   name: string,
   changes: Partial<PlacementRequest> = {},
 ): PlacementRequest {
--- a/packages/admission/tests/helpers/loadReplay.ts
+++ b/packages/admission/tests/helpers/loadReplay.ts
@@ -12,89 +12,114 @@
 import { buildUpstream, PLANS, WEST } from "./build.ts";
 import { VirtualFleet, type VirtualHost } from "./virtualFleet.ts";
 
-/** Requests of one tier. */
+/** The requests of one tier. */
 export interface ReplayedTier {
   readonly tier: number;
-  /** Arrivals a second over all hosts, by time. */
+  /** Arrivals per second over all hosts at a given time. */
   readonly rateAt: (at: Milliseconds) => number;
-  /** Time at an engine that runs at speed 1, the same for all or drawn. */
+  /** Time at an upstream of speed 1; constant or drawn. */
   readonly work: Milliseconds | ((random: Random) => Milliseconds);
-  /** Told of each request's work, and whether it was served at all. */
-  readonly noteEnding?: (work: Milliseconds, isServed: boolean) => void;
+  /** Called at the end of each request. */
+  readonly onEnd?: (work: Milliseconds, isServed: boolean) => void;
   readonly target: Milliseconds;
-  readonly patience: Milliseconds;
-  /** Draws the length of a prompt; without it there is nothing to read. */
+  readonly usefulWithin: Milliseconds;
+  /** Draws the length of a prompt; 0 if absent. */
   readonly promptTokens?: (random: Random) => number;
-  /** Draws the shared parts that a prompt begins with; engines keep what they read. */
+  /**
+   * Draws the shared parts that a prompt begins with, which upstreams cache.
+   */
   readonly sharedParts?: (random: Random) => readonly PromptPart[];
 }
 
-/** A load before a fleet of hosts and engines. */
+/** A simulated load on a fleet of hosts and upstreams. */
 export interface Replay {
   readonly hosts: number;
-  readonly engines: number;
+  readonly upstreams: number;
   readonly slots: number;
   readonly speeds: readonly number[];
   readonly tiers: readonly ReplayedTier[];
   readonly duration: Milliseconds;
   readonly seed: number;
-  /** Whether one host keeps the places for all; otherwise each decides alone. */
-  readonly areKeeping: boolean;
-  /** Failure domains of hosts and engines, in turn; all are in one without it. */
+  /**
+   * Whether cells have a coordinator; otherwise each host schedules locally.
+   */
+  readonly isCoordinated: boolean;
+  /**
+   * Failure domains, assigned to hosts and upstreams in turn; a single one if
+   * absent.
+   */
   readonly failureDomains?: readonly FailureDomain[];
-  /** Share of datagrams that get lost. */
+  /** Share of datagrams that are lost. */
   readonly loss?: number;
-  /** One way between two hosts. */
+  /** One-way delay between two hosts. */
   readonly delay?: Milliseconds;
-  /** Draws the failure domain's number to whose hosts a request comes; any host without it. */
+  /**
+   * Draws the index of the failure domain whose hosts get a request; any host
+   * if absent.
+   */
   readonly hostOf?: (random: Random) => number;
-  /** Told of the fleet before anything happens. */
+  /** Called before the replay starts. */
   readonly onStart?: (fleet: VirtualFleet, timer: VirtualTimer) => void;
-  /** Time that an engine of speed 1 reads a prompt token; prompts are read in turn. */
-  readonly tokenTime?: Milliseconds;
-  /** Whether engines say in their answers how many requests they have. */
-  readonly areReporting?: boolean;
-  /** Between the seeds of two hosts; near seeds begin with like numbers. */
+  /**
+   * Prefill time per prompt token at an upstream of speed 1; prompts are
+   * processed one after another.
+   */
+  readonly prefillTimePerToken?: Milliseconds;
+  /** Whether upstreams report their number of requests. */
+  readonly isReportingLoad?: boolean;
+  /**
+   * Difference between the seeds of two hosts; close seeds start with similar
+   * numbers.
+   */
   readonly seedStep?: number;
-  /** Starts in one second that a cold engine bears. */
+  /** Starts per second that an upstream can take while warming up. */
   readonly coldStarts?: number;
-  /** Told of each request that is sent. */
+  /** Called for each request that is sent. */
   readonly onSend?: (upstream: Upstream, at: Milliseconds) => void;
-  /** Whether hosts learn when first events come; otherwise they expect a constant. */
-  readonly areLearning?: boolean;
+  /**
+   * Whether hosts learn the time to the first event; otherwise they assume a
+   * constant.
+   */
+  readonly isLearningLatency?: boolean;
 }
 
-/** What callers of one tier saw. */
+/** Results of one tier. */
 export interface TierResult {
-  asked: number;
+  submitted: number;
   onTime: number;
   late: number;
   refused: number;
-  /** Tokens of shared parts of the prompts that were placed, */
+  /** Tokens of shared prompt parts in all placed requests. */
   sharedTokens: number;
-  /** and of those that some engine had read, but not the one that got them. */
-  readAgain: number;
+  /**
+   * Shared tokens that were processed although another upstream had cached
+   * them.
+   */
+  recomputedTokens: number;
 }
 
-interface Engine {
+interface SimulatedUpstream {
   readonly upstream: Upstream;
   readonly speed: number;
   running: number;
-  readonly held: Set<string>;
-  /** When all prompts that were sent are read. */
-  readUntil: Milliseconds;
+  readonly cachedParts: Set<string>;
+  /** When all prompts sent to it are processed. */
+  prefillUntil: Milliseconds;
   readonly waiting: (() => void)[];
 }
 
-/** Plays a load in virtual time: engines admit in order of arrival and know no tiers. */
+/**
+ * Simulates a load in virtual time, with upstreams that start requests in order
+ * of arrival.
+ */
 export function replayLoad(replay: Replay): Map<number, TierResult> {
   const timer = new VirtualTimer();
   const random = new SeededRandom(replay.seed);
-  const engines = createEngines(replay);
+  const simulatedUpstreams = createSimulatedUpstreams(replay);
   const fleet = new VirtualFleet({
     timer,
     hosts: replay.hosts,
-    upstreams: engines.map(({ upstream }) => upstream),
+    upstreams: simulatedUpstreams.map(({ upstream }) => upstream),
     failureDomains: replay.failureDomains ?? [WEST],
     seed: replay.seed,
     loss: replay.loss ?? 0,
@@ -102,38 +127,45 @@
     ...replay.seedStep !== undefined && { seedStep: replay.seedStep },
     ...replay.coldStarts !== undefined && { coldStarts: replay.coldStarts },
   });
-  if (!replay.areKeeping) fleet.candidates = [];
+  if (!replay.isCoordinated) fleet.candidates = [];
   replay.onStart?.(fleet, timer);
   const results = new Map<number, TierResult>();
   for (const { tier } of replay.tiers) {
     results.set(tier, {
-      asked: 0,
+      submitted: 0,
       onTime: 0,
       late: 0,
       refused: 0,
       sharedTokens: 0,
-      readAgain: 0,
+      recomputedTokens: 0,
     });
   }
   for (const tier of replay.tiers) {
-    scheduleArrivals(tier, { replay, timer, random, fleet, engines, results });
+    scheduleArrivals(tier, {
+      replay,
+      timer,
+      random,
+      fleet,
+      simulatedUpstreams,
+      results,
+    });
   }
   timer.runUntil(replay.duration + 20_000);
   return results;
 }
 
-function createEngines(
-  { engines, slots, speeds, failureDomains = [WEST] }: Replay,
-): Engine[] {
-  return Array.from({ length: engines }, (_, index) => ({
+function createSimulatedUpstreams(
+  { upstreams, slots, speeds, failureDomains = [WEST] }: Replay,
+): SimulatedUpstream[] {
+  return Array.from({ length: upstreams }, (_, index) => ({
     upstream: buildUpstream(index, {
       slots,
       failureDomain: failureDomains[index % failureDomains.length]!,
     }),
     speed: speeds[index % speeds.length]!,
     running: 0,
-    held: new Set(),
-    readUntil: 0,
+    cachedParts: new Set(),
+    prefillUntil: 0,
     waiting: [],
   }));
 }
@@ -145,7 +177,7 @@
     timer: VirtualTimer;
     random: SeededRandom;
     fleet: VirtualFleet;
-    engines: readonly Engine[];
+    simulatedUpstreams: readonly SimulatedUpstream[];
     results: Map<number, TierResult>;
   },
 ): void {
@@ -172,18 +204,18 @@
   {
     tier,
     work: drawWork,
-    noteEnding,
+    onEnd,
     target,
-    patience,
+    usefulWithin,
     promptTokens: drawTokens,
     sharedParts: drawParts,
   }: ReplayedTier,
-  { replay, random, timer, host, engines, results }: {
+  { replay, random, timer, host, simulatedUpstreams, results }: {
     replay: Replay;
     random: SeededRandom;
     timer: VirtualTimer;
     host: VirtualHost;
-    engines: readonly Engine[];
+    simulatedUpstreams: readonly SimulatedUpstream[];
     results: Map<number, TierResult>;
   },
 ): void {
@@ -193,9 +225,9 @@
   const ownTokens = drawTokens?.(random) ?? 0;
   const sharedParts = drawParts?.(random) ?? [];
   const promptTokens = ownTokens + tokensOf(sharedParts);
-  const { seeker, knowledge } = host;
-  result.asked++;
-  seeker.submit(
+  const { client, stats } = host;
+  result.submitted++;
+  client.submit(
     {
       request: asId<RequestId>(name),
       service: PLANS,
@@ -205,8 +237,8 @@
       arrivedAt: since,
       target,
       deadline: since + target + 60_000,
-      // A start is of use for three quarters of the patience that a caller has.
-      firstByteTimeout: patience / 0.75,
+      // A start is useful within three quarters of the first-byte timeout.
+      firstByteTimeout: usefulWithin / 0.75,
       promptTokens,
       expectedTokens: Math.round(work),
       pauseTarget: 0,
@@ -216,43 +248,48 @@
       excluded: new Set(),
       isContinuation: false,
     },
-    (verdict) => {
-      if (verdict.kind === "refuse") {
+    (decision) => {
+      if (decision.kind === "refuse") {
         result.refused++;
-        noteEnding?.(work, false);
+        onEnd?.(work, false);
         return;
       }
-      const { upstream, pendingPrefillTokens: unreadTokens } = verdict;
-      const engine = engines.find((item) => item.upstream === upstream)!;
-      seeker.begin(upstream.upstream, promptTokens);
+      const { upstream, pendingPrefillTokens } = decision;
+      const simulated = simulatedUpstreams.find((item) =>
+        item.upstream === upstream
+      )!;
+      client.begin(upstream.upstream, promptTokens);
       const sentAt = timer.now();
       replay.onSend?.(upstream, sentAt);
       let latency = 0;
-      const unheld = sharedParts.filter(({ part }) => !engine.held.has(part));
-      const again = unheld.filter(({ part }) =>
-        engines.some(({ held }) => held.has(part))
+      const uncached = sharedParts.filter(({ part }) =>
+        !simulated.cachedParts.has(part)
+      );
+      const recomputed = uncached.filter(({ part }) =>
+        simulatedUpstreams.some(({ cachedParts }) => cachedParts.has(part))
       );
       result.sharedTokens += tokensOf(sharedParts);
-      result.readAgain += tokensOf(again);
-      for (const { part } of unheld) engine.held.add(part);
-      run(engine, {
+      result.recomputedTokens += tokensOf(recomputed);
+      for (const { part } of uncached) simulated.cachedParts.add(part);
+      run(simulated, {
         timer,
         work,
-        reading: (ownTokens + tokensOf(unheld)) * (replay.tokenTime ?? 0),
-        started: () => {
+        prefillTime: (ownTokens + tokensOf(uncached)) *
+          (replay.prefillTimePerToken ?? 0),
+        onFirstEvent: () => {
           const now = timer.now();
           latency = now - sentAt;
-          if (replay.areReporting) {
-            const requests = engine.running + engine.waiting.length;
-            seeker.recordUpstreamLoad(upstream, requests, now);
+          if (replay.isReportingLoad) {
+            const requests = simulated.running + simulated.waiting.length;
+            client.recordUpstreamLoad(upstream, requests, now);
           }
-          seeker.endPrefill(upstream, promptTokens, now);
+          client.endPrefill(upstream, promptTokens, now);
           if (now - since <= target) result.onTime++;
           else result.late++;
         },
-        ended: () => {
+        onEnd: () => {
           const now = timer.now();
-          noteEnding?.(work, true);
+          onEnd?.(work, true);
           const observation = {
             upstream: upstream.upstream,
             service: upstream.service,
@@ -261,15 +298,15 @@
             times: {
               route: asId<RouteId>(`${tier}`),
               expectedTokens: Math.round(work),
-              promptTokens: promptTokens + unreadTokens,
-              latency: replay.areLearning ? latency : 0,
+              promptTokens: promptTokens + pendingPrefillTokens,
+              latency: replay.isLearningLatency ? latency : 0,
               events: 0,
               latePauses: 0,
               ownTokens: promptTokens,
             },
           };
-          knowledge.record(observation, now);
-          seeker.end(upstream, observation, now);
+          stats.record(observation, now);
+          client.end(upstream, observation, now);
         },
       });
     },
@@ -282,28 +319,28 @@
 }
 
 function run(
-  engine: Engine,
-  { timer, work, reading, started, ended }: {
+  simulated: SimulatedUpstream,
+  { timer, work, prefillTime, onFirstEvent, onEnd }: {
     timer: VirtualTimer;
     work: Milliseconds;
-    reading: Milliseconds;
-    started: () => void;
-    ended: () => void;
+    prefillTime: Milliseconds;
+    onFirstEvent: () => void;
+    onEnd: () => void;
   },
 ): void {
   const begin = (): void => {
-    engine.running++;
-    const readFrom = Math.max(timer.now(), engine.readUntil);
-    engine.readUntil = readFrom + reading / engine.speed;
-    timer.after(engine.readUntil - timer.now(), () => {
-      started();
-      timer.after(work / engine.speed, () => {
-        engine.running--;
-        engine.waiting.shift()?.();
-        ended();
+    simulated.running++;
+    const prefillFrom = Math.max(timer.now(), simulated.prefillUntil);
+    simulated.prefillUntil = prefillFrom + prefillTime / simulated.speed;
+    timer.after(simulated.prefillUntil - timer.now(), () => {
+      onFirstEvent();
+      timer.after(work / simulated.speed, () => {
+        simulated.running--;
+        simulated.waiting.shift()?.();
+        onEnd();
       });
     });
   };
-  if (engine.running < engine.upstream.slots) begin();
-  else engine.waiting.push(begin);
+  if (simulated.running < simulated.upstream.slots) begin();
+  else simulated.waiting.push(begin);
 }
--- a/packages/admission/tests/helpers/virtualFleet.ts
+++ b/packages/admission/tests/helpers/virtualFleet.ts
@@ -23,35 +23,40 @@
 const TICK_MS: Milliseconds = 10;
 const SNAPSHOT_MS: Milliseconds = 100;
 
-/** How hosts of a {@link VirtualFleet} stand to each other. */
+/** Configuration of a {@link VirtualFleet}. */
 export interface FleetOptions {
   readonly timer: VirtualTimer;
   readonly hosts: number;
   readonly upstreams: readonly Upstream[];
-  /** Failure domains of hosts, in turn. */
+  /** Failure domains, assigned to hosts in turn. */
   readonly failureDomains: readonly FailureDomain[];
   readonly seed: number;
-  /** One way between two hosts. */
+  /** One-way delay between two hosts. */
   readonly delay?: Milliseconds;
-  /** Share of datagrams that get lost. */
+  /** Share of datagrams that are lost. */
   readonly loss?: number;
-  /** Between the seeds of two hosts; near seeds begin with like numbers. */
+  /**
+   * Difference between the seeds of two hosts; close seeds start with similar
+   * numbers.
+   */
   readonly seedStep?: number;
-  /** Starts in one second that a cold upstream bears. */
+  /** Starts per second that an upstream can take while warming up. */
   readonly coldStarts?: number;
 }
 
-/** One host with the real seeker and the real keepers. */
+/** One host with its client and the cells that it coordinates. */
 export class VirtualHost {
   readonly host: HostId;
   readonly failureDomain: FailureDomain;
-  readonly knowledge = new UpstreamStats();
-  readonly seeker: PlacementClient;
-  readonly keepers = new Map<CellKey, CellCoordinator>();
-  /** It neither sends nor takes anything in. */
+  readonly stats = new UpstreamStats();
+  readonly client: PlacementClient;
+  readonly coordinators = new Map<CellKey, CellCoordinator>();
+  /** Whether it neither sends nor receives. */
   isDead = false;
-  /** Words that came while it stood still; `undefined` while it runs. */
-  unread: (() => void)[] | undefined;
+  /**
+   * Messages that arrived while it was suspended; `undefined` while it runs.
+   */
+  pendingMessages: (() => void)[] | undefined;
   readonly #fleet: VirtualFleet;
   readonly directory: UpstreamDirectory;
   readonly #random: SeededRandom;
@@ -70,92 +75,95 @@
     this.#random = new SeededRandom(seed + Math.imul(index + 1, seedStep));
     this.directory = new UpstreamDirectory();
     for (const upstream of upstreams) this.directory.set(upstream);
-    this.seeker = new PlacementClient({
+    this.client = new PlacementClient({
       host: this.host,
       incarnation: asId<Incarnation>("1"),
       failureDomain: this.failureDomain,
       directory: this.directory,
-      stats: this.knowledge,
+      stats: this.stats,
       random: this.#random,
       candidates: () => fleet.candidates,
       coldStartsOf: () => options.coldStarts,
-      send: (keeper, ask) => {
-        fleet.described += ask.requests.length;
-        fleet.carry(this.host, keeper, (other, now) => {
-          other.keeperOf(ask.cell).receive(ask, now);
+      send: (coordinator, update) => {
+        fleet.describedRequests += update.requests.length;
+        fleet.deliver(this.host, coordinator, (other, now) => {
+          other.coordinatorOf(update.cell).receive(update, now);
         });
       },
       onSendScheduled: () => {},
-      onCoordinatorChange: () => fleet.changes++,
+      onCoordinatorChange: () => fleet.coordinatorChanges++,
     });
   }
 
-  keeperOf(cell: Cell): CellCoordinator {
+  coordinatorOf(cell: Cell): CellCoordinator {
     const key = cellKeyOf(cell);
-    let keeper = this.keepers.get(key);
-    if (keeper === undefined) {
-      keeper = this.#begin(cell);
-      this.keepers.set(key, keeper);
-      this.#fleet.callAll(this.host, cell);
+    let coordinator = this.coordinators.get(key);
+    if (coordinator === undefined) {
+      coordinator = this.#createCoordinator(cell);
+      this.coordinators.set(key, coordinator);
+      this.#fleet.announce(this.host, cell);
     }
-    return keeper;
+    return coordinator;
   }
 
-  /** Stands still for a while; what comes meanwhile is read when it runs again. */
-  standStill(span: Milliseconds, timer: VirtualTimer): void {
-    this.unread = [];
+  /** Suspends the host; messages that arrive meanwhile are read afterwards. */
+  suspend(span: Milliseconds, timer: VirtualTimer): void {
+    this.pendingMessages = [];
     timer.after(span, () => {
-      const unread = this.unread ?? [];
-      this.unread = undefined;
-      // Timers that are due run before what came over the network is read.
-      this.seeker.tick(timer.now());
-      for (const read of unread) read();
+      const pendingMessages = this.pendingMessages ?? [];
+      this.pendingMessages = undefined;
+      // Due timers run before messages from the network are read.
+      this.client.tick(timer.now());
+      for (const read of pendingMessages) read();
     });
   }
 
-  /** Forgets everything, as after a restart. */
+  /** Drops all state, as a restart does. */
   restart(): void {
-    this.keepers.clear();
+    this.coordinators.clear();
     this.isDead = false;
   }
 
-  #begin(cell: Cell): CellCoordinator {
+  #createCoordinator(cell: Cell): CellCoordinator {
     return new CellCoordinator({
       host: this.host,
       incarnation: asId<Incarnation>("1"),
       cell,
       upstreams: this.directory,
-      stats: this.knowledge,
+      stats: this.stats,
       random: this.#random,
       coldStartsOf: () => this.#coldStarts,
       hostCount: () => this.#fleet.candidates.length,
-      send: (to, answer) =>
-        this.#fleet.carry(
+      send: (to, reply) =>
+        this.#fleet.deliver(
           this.host,
           to,
-          (other, now) => other.seeker.receive(answer, now),
+          (other, now) => other.client.receive(reply, now),
         ),
       after: (span, callback) => this.#fleet.after(span, callback),
       now: () => this.#fleet.now(),
-      otherSnapshots: () => this.#fleet.snapshotsBeside(cell),
+      otherSnapshots: () => this.#fleet.snapshotsOfOthers(cell),
       isLeaving: () => false,
     }, this.#fleet.now());
   }
 }
 
-/** Hosts over a network in virtual time, which may lose, cut and kill. */
+/**
+ * Hosts on a simulated network in virtual time, with message loss, partitions
+ * and crashes.
+ */
 export class VirtualFleet {
   readonly hosts: readonly VirtualHost[];
   candidates: readonly CoordinatorCandidate[];
-  /** One way between two hosts. */
+  /** One-way delay between two hosts. */
   delay: Milliseconds;
-  /** Keepers passed over. */
-  changes = 0;
-  /** Requests that asks described. */
-  described = 0;
-  /** Datagrams that were sent. */
+  /** Number of changes of a coordinator. */
+  coordinatorChanges = 0;
+  /** Number of requests described in updates. */
+  describedRequests = 0;
+  /** Number of datagrams sent. */
   sent = 0;
-  /** Pairs `from>to` whose datagrams vanish. */
+  /** Pairs `from>to` between which datagrams are dropped. */
   readonly cuts = new Set<string>();
   readonly #options: FleetOptions;
   readonly #random: SeededRandom;
@@ -189,51 +197,55 @@
     this.#options.timer.after(span, callback);
   }
 
-  named(host: HostId): VirtualHost {
+  findHost(host: HostId): VirtualHost {
     return this.#byName.get(host)!;
   }
 
-  /** Brings a datagram to a host, if nothing is in the way. */
-  carry(
+  /** Delivers a datagram to a host unless it is lost. */
+  deliver(
     from: HostId,
     to: HostId,
-    take: (host: VirtualHost, now: Milliseconds) => void,
+    receive: (host: VirtualHost, now: Milliseconds) => void,
   ): void {
     const { timer, loss = 0 } = this.#options;
     const { delay } = this;
-    if (this.named(from).isDead) return;
-    const isOwn = from === to;
-    if (!isOwn) this.sent++;
-    if (!isOwn && this.#random.float() < loss) return;
-    timer.after(isOwn ? 0 : delay, () => {
-      const host = this.named(to);
+    if (this.findHost(from).isDead) return;
+    const isLocal = from === to;
+    if (!isLocal) this.sent++;
+    if (!isLocal && this.#random.float() < loss) return;
+    timer.after(isLocal ? 0 : delay, () => {
+      const host = this.findHost(to);
       if (host.isDead || this.cuts.has(`${from}>${to}`)) return;
-      if (host.unread === undefined) take(host, timer.now());
-      else host.unread.push(() => take(host, timer.now()));
+      if (host.pendingMessages === undefined) receive(host, timer.now());
+      else host.pendingMessages.push(() => receive(host, timer.now()));
     });
   }
 
-  callAll(host: HostId, cell: Cell): void {
+  announce(host: HostId, cell: Cell): void {
     for (const other of this.hosts) {
       if (other.host === host) continue;
-      this.carry(
+      this.deliver(
         host,
         other.host,
-        ({ seeker }, now) =>
-          seeker.coordinators.coordinatorOf(cell, now) === host &&
-          seeker.resync(cell, now),
+        ({ client }, now) =>
+          client.coordinators.coordinatorOf(cell, now) === host &&
+          client.resync(cell, now),
       );
     }
   }
 
-  /** What live keepers of the other cells saw a moment ago. */
-  snapshotsBeside(cell: Cell): CellSnapshot[] {
+  /** Returns recent snapshots of the other cells from live coordinators. */
+  snapshotsOfOthers(cell: Cell): CellSnapshot[] {
     const now = this.now();
     if (now - this.#snapshotsAt >= SNAPSHOT_MS) {
       this.#snapshotsAt = now;
       this.#snapshots = this.hosts.filter(({ isDead }) => !isDead).flatMap((
-        { keepers },
-      ) => [...keepers.values()].map((keeper) => keeper.snapshot(now)));
+        { coordinators },
+      ) =>
+        [...coordinators.values()].map((coordinator) =>
+          coordinator.snapshot(now)
+        )
+      );
     }
     const key = cellKeyOf(cell);
     return this.#snapshots.filter((snapshot) =>
@@ -244,9 +256,11 @@
   #tick(): void {
     const now = this.now();
     for (const host of this.hosts) {
-      if (host.isDead || host.unread !== undefined) continue;
-      for (const keeper of host.keepers.values()) keeper.review(now);
-      host.seeker.tick(now);
+      if (host.isDead || host.pendingMessages !== undefined) continue;
+      for (const coordinator of host.coordinators.values()) {
+        coordinator.review(now);
+      }
+      host.client.tick(now);
     }
   }
 }
--- a/packages/admission/tests/loadShedding.test.ts
+++ b/packages/admission/tests/loadShedding.test.ts
@@ -12,14 +12,16 @@
 } from "@wasabivane/admission";
 import test from "ava";
 
-/** Processor time of a request in each of its steps, and of one that is refused at once. */
+/**
+ * Processor time of a request per step, and of a request refused on arrival.
+ */
 const STEP_MS: Milliseconds = 2;
 const STEPS = 4;
 const REFUSAL_MS: Milliseconds = 0.1;
 /** Time at the upstream between the steps. */
 const UPSTREAM_MS: Milliseconds = 50;
 const TARGET_MS: Milliseconds = 200;
-const LOOK_MS: Milliseconds = 10;
+const TICK_MS: Milliseconds = 10;
 const DURATION_MS: Milliseconds = 20_000;
 const FIRST = asTier(1);
 const LAST = asTier(3);
@@ -29,7 +31,10 @@
   readonly first: number;
 }
 
-/** A processor that does one thing after the other, in the order in which it became due. */
+/**
+ * A processor that runs tasks one after another in the order in which they
+ * become due.
+ */
 class Processor {
   readonly #timer: VirtualTimer;
   #freeAt: Milliseconds = 0;
@@ -45,23 +50,26 @@
   }
 }
 
-/** Good answers a second of one host that is offered so many times what it can take. */
+/**
+ * Returns the responses per second that are on time when a host is offered a
+ * multiple of its capacity.
+ */
 function goodputAt(load: number, { isShedding = true } = {}): Goodput {
   const timer = new VirtualTimer();
   const random = new SeededRandom(7);
   const processor = new Processor(timer);
   const lag = new EventLoopLag();
-  const shedding = new LoadShedder({ lag, random });
+  const shedder = new LoadShedder({ lag, random });
   const good = new Map<Tier, number>([[FIRST, 0], [LAST, 0]]);
-  const look = (): void => {
-    const dueAt = timer.now() + LOOK_MS;
-    timer.after(LOOK_MS, () =>
+  const scheduleTick = (): void => {
+    const dueAt = timer.now() + TICK_MS;
+    timer.after(TICK_MS, () =>
       processor.run(0, () => {
         lag.observe(timer.now() - dueAt, timer.now());
-        look();
+        scheduleTick();
       }));
   };
-  look();
+  scheduleTick();
   const serve = (tier: Tier, since: Milliseconds): void => {
     const step = (left: number): void =>
       processor.run(STEP_MS, () => {
@@ -78,7 +86,7 @@
     const tier = random.float() < 0.2 ? FIRST : LAST;
     const since = timer.now();
     processor.run(0, () => {
-      if (isShedding && shedding.shouldShed(tier, timer.now())) {
+      if (isShedding && shedder.shouldShed(tier, timer.now())) {
         return processor.run(REFUSAL_MS, () => {});
       }
       serve(tier, since);
@@ -92,8 +100,8 @@
   return { all: first + perSecond(good.get(LAST)!), first };
 }
 
-test("a host serves as much at five times its load as at its load, the first tier before all", (t) => {
-  // Guards against a host that takes everything, is late with everything and serves nothing.
+test("at several times its capacity a host serves as much as at its capacity, the first tier above all", (t) => {
+  // Guards against a host that admits everything and serves nothing in time.
   const capacity = 1_000 / (STEP_MS * STEPS);
   t.true(goodputAt(2, { isShedding: false }).all < 0.1 * capacity);
   const atOne = goodputAt(1);
@@ -104,14 +112,14 @@
   }
 });
 
-test("below its load a host refuses nothing", (t) => {
+test("below its capacity a host refuses nothing", (t) => {
   const { all } = goodputAt(0.5);
   const { all: unshed } = goodputAt(0.5, { isShedding: false });
   t.is(all, unshed);
 });
 
-test("a single stall is no backlog", (t) => {
-  // Guards against refusals by a machine whose share of a tenth of a second was used up.
+test("a single stall is no sustained lag", (t) => {
+  // Guards against refusals after the process was suspended by its CPU quota.
   const lag = new EventLoopLag();
   for (let at = 0; at < 2_000; at += 100) {
     lag.observe(80, at);
@@ -119,36 +127,38 @@
   }
   t.is(lag.sustained, 0);
   t.true(lag.peak(1_930) > 60);
-  // Code that is loaded at a start, before anything else runs.
+  // Loading code at startup blocks the event loop as well.
   const starting = new EventLoopLag();
   for (const at of [400, 410]) starting.observe(300, at);
   t.is(starting.sustained, 0);
 });
 
-test("a host that has been idle since takes what comes", (t) => {
-  // Guards against a share that only arrivals let shrink: the first after a pause was refused.
+test("a host that has been idle admits requests again", (t) => {
+  // Guards against a share that shrinks only when requests arrive, so that the
+  // first one after a pause is refused.
   const lag = new EventLoopLag();
-  const shedding = new LoadShedder({ lag, random: new SeededRandom(1) });
+  const shedder = new LoadShedder({ lag, random: new SeededRandom(1) });
   for (let at = 0; at < 2_000; at += 50) {
     lag.observe(200, at);
-    shedding.shouldShed(LAST, at);
+    shedder.shouldShed(LAST, at);
   }
-  t.true(shedding.share > 0.9);
+  t.true(shedder.share > 0.9);
   for (let at = 7_000; at < 7_200; at += 20) lag.observe(0, at);
-  t.false(shedding.shouldShed(LAST, 7_200));
-  t.is(shedding.share, 0);
+  t.false(shedder.shouldShed(LAST, 7_200));
+  t.is(shedder.share, 0);
 });
 
-test("connections that are taken in turn after turn have waited", (t) => {
-  // Guards against requests that lay unread for seconds and are sent on for callers who left.
+test("connections accepted in consecutive iterations have waited", (t) => {
+  // Guards against forwarding requests of callers that left while their
+  // connection was not accepted.
   const backlog = new ConnectionBacklog();
-  const standing = [1, 2, 3, 4, 5].map(() => {
+  const hasWaited = [1, 2, 3, 4, 5].map(() => {
     backlog.recordAccept();
-    const { hasBacklog: isStanding } = backlog;
+    const { hasBacklog } = backlog;
     backlog.endIteration();
-    return isStanding;
+    return hasBacklog;
   });
-  t.deepEqual(standing, [false, false, false, true, true]);
+  t.deepEqual(hasWaited, [false, false, false, true, true]);
   t.false(backlog.endIteration());
   backlog.recordAccept();
   t.false(backlog.hasBacklog);
--- a/packages/admission/tests/policyAndUpstreams.test.ts
+++ b/packages/admission/tests/policyAndUpstreams.test.ts
@@ -13,9 +13,9 @@
 
 const U0 = asId<UpstreamId>("u0");
 
-test("keys stop serving before the revocation bound, denials earlier still", (t) => {
-  // A host that is cut off cannot know that a key was withdrawn. Requests with keys
-  // must end before the bound, with a margin for a store whose watch heard nothing.
+test("keys are rejected before the revocation bound, and denials stop even earlier", (t) => {
+  // Guards against a host that is cut off from the store and accepts revoked
+  // keys.
   const freshness = new PolicyFreshness({
     revocationBound: 5_000,
     applyBound: 2_000,
@@ -30,7 +30,7 @@
   t.is(freshness.age(1_000), 0);
 });
 
-test("an upstream that announced its leaving does not come back by an older page", (t) => {
+test("an upstream that announced that it leaves is not listed again by outdated data", (t) => {
   const directory = new UpstreamDirectory();
   directory.set(buildUpstream(0));
   directory.set(buildUpstream(0, { isLeaving: true }));
@@ -38,10 +38,9 @@
   t.is(directory.of(PLANS).length, 0);
 });
 
-test("entries that lapse with the store are kept until it had time to list them again", (t) => {
-  // The store was away and every lease ran out. Taking the empty list at its word
-  // would leave no upstream; those that are alive are written again within two
-  // seconds, and one that is not is gone.
+test("entries that lapse in an outage of the store are used until they can be listed again", (t) => {
+  // Guards against losing every upstream when all leases lapse in an outage of
+  // the store.
   const directory = new UpstreamDirectory();
   directory.set(buildUpstream(0));
   directory.set(buildUpstream(1));
@@ -53,14 +52,14 @@
   t.deepEqual(directory.of(PLANS).map(({ upstream }) => upstream), [U0]);
 });
 
-test("with a calm store a removed upstream is gone at once", (t) => {
+test("without an outage a removed upstream is dropped at once", (t) => {
   const directory = new UpstreamDirectory();
   directory.set(buildUpstream(0));
   t.true(directory.remove(U0));
   t.is(directory.size, 0);
 });
 
-test("an upstream that cannot be reached is left out for a while, longer each time", (t) => {
+test("an unreachable upstream is ejected, for longer each time", (t) => {
   const health = new UpstreamHealth();
   t.true(health.observe(U0, "unreachable", 0));
   t.true(health.isEjected(U0, 399));
@@ -70,7 +69,7 @@
   t.false(health.isEjected(U0, 1_400));
 });
 
-test("one broken answer may be the request's fault, two in a row are the upstream's", (t) => {
+test("two broken responses in a row eject an upstream, a single one does not", (t) => {
   const health = new UpstreamHealth();
   t.false(health.observe(U0, "broken", 0));
   t.false(health.observe(U0, "whole", 10));
@@ -78,9 +77,9 @@
   t.true(health.observe(U0, "broken", 30));
 });
 
-test("a request that crashed three upstreams on any hosts is convicted", (t) => {
-  // Each upstream that runs the request dies; the caller sends it again to another
-  // host. A break alone proves nothing; the upstream must be found down right after.
+test("a request that crashed three upstreams through any hosts is quarantined", (t) => {
+  // Guards against a poison request that callers repeat until every upstream is
+  // down.
   const book = new PoisonRequestDetector();
   const fingerprint = asId<Digest>("f");
   for (const [index, name] of ["u0", "u1"].entries()) {
@@ -99,7 +98,7 @@
   t.false(book.isQuarantined(fingerprint, 100_000));
 });
 
-test("an upstream that is found down long after is no crash of the request", (t) => {
+test("an upstream found down long after a broken response is no confirmed crash", (t) => {
   const book = new PoisonRequestDetector();
   book.recordBrokenResponse({
     fingerprint: asId<Digest>("f"),
@@ -109,7 +108,7 @@
   t.deepEqual(book.confirmCrashes(U0, 2_000), []);
 });
 
-test("the longest prefix of the host's routes wins", (t) => {
+test("the route with the longest matching prefix of the host is selected", (t) => {
   const index = new PolicyIndex(policyOf([
     routeOf("short", "/a/"),
     routeOf("long", "/a/b/"),
--- a/packages/admission/tests/quotasAndRetries.test.ts
+++ b/packages/admission/tests/quotasAndRetries.test.ts
@@ -22,16 +22,21 @@
   plainTokens: 200,
 };
 
-/** Operators count over eight seconds and tolerate a quarter above. */
+/**
+ * Usage is counted over eight seconds; a quarter above the quota is tolerated.
+ */
 const TOLERANCE = { overrun: 0.25, slack: 0, span: 8_000 };
 const NONE = { overrun: 0, slack: 0, span: 0 };
 
-/** Plays one account that asks for far more than its quota at every host. */
+/**
+ * Returns the units admitted by a fleet for one account that exceeds its quota
+ * at every host.
+ */
 function admittedByFleet(
-  { hosts, seconds, areTelling }: {
+  { hosts, seconds, isSharingReports }: {
     hosts: number;
     seconds: number;
-    areTelling: boolean;
+    isSharingReports: boolean;
   },
 ): number {
   const books = Array.from(
@@ -47,7 +52,7 @@
       );
       if (taken.isOk()) admitted += 500;
     }
-    if (!areTelling) continue;
+    if (!isSharingReports) continue;
     for (const [index, book] of books.entries()) {
       const report = {
         host: asId<HostId>(`h${index}`),
@@ -62,16 +67,22 @@
   return admitted;
 }
 
-test("hosts that tell each other keep an account within its quota", (t) => {
-  // One account sends many times its usual through all hosts at once. Each host has
-  // the whole quota in its bucket; what the others admitted has to come out of it.
-  const admitted = admittedByFleet({ hosts: 8, seconds: 8, areTelling: true });
+test("hosts that share reports keep an account within its quota", (t) => {
+  // Guards against every host admitting the whole quota.
+  const admitted = admittedByFleet({
+    hosts: 8,
+    seconds: 8,
+    isSharingReports: true,
+  });
   t.true(admitted <= (10_000 * 8 + 10_000) * 1.25);
   t.true(admitted >= 10_000 * 8);
 });
 
-/** Units that one host admits in `seconds` of an account that asks without end. */
-function admittedAlone(
+/**
+ * Returns the units that one host admits within `seconds` for an account that
+ * sends without pause.
+ */
+function admittedByOneHost(
   { seconds, slack, isIdle }: {
     seconds: number;
     slack: number;
@@ -92,26 +103,28 @@
   return admitted;
 }
 
-test("what operators tolerate above a quota is used only where nobody else wants it", (t) => {
-  // One account asks for all it can get. While places are free and nobody waits, it
-  // gets what operators tolerate; when others wait, its quota and no more.
+test("the tolerance above a quota is used only while slots are idle", (t) => {
+  // Guards against tolerated usage that takes capacity from other accounts.
   const most = (10_000 * 8 + 10_000) * 1.25 + 20_000;
-  const idle = admittedAlone({ seconds: 8, slack: 20_000, isIdle: true });
+  const idle = admittedByOneHost({ seconds: 8, slack: 20_000, isIdle: true });
   t.true(idle > most * 0.8);
   t.true(idle <= most);
-  const busy = admittedAlone({ seconds: 8, slack: 20_000, isIdle: false });
+  const busy = admittedByOneHost({ seconds: 8, slack: 20_000, isIdle: false });
   t.true(busy <= 10_000 * 8 + 10_000);
   t.true(busy >= 10_000 * 8);
 });
 
-test("an account that one host serves alone gets its whole quota", (t) => {
-  const admitted = admittedByFleet({ hosts: 1, seconds: 8, areTelling: true });
+test("an account served by a single host gets its whole quota", (t) => {
+  const admitted = admittedByFleet({
+    hosts: 1,
+    seconds: 8,
+    isSharingReports: true,
+  });
   t.true(admitted >= 10_000 * 8);
 });
 
-test("a peer that falls silent stays charged with its last rate", (t) => {
-  // A partition parts two hosts that each admit half of a quota. Both go on
-  // serving their callers; without the charge both would admit all of it.
+test("a silent peer stays charged at its last rate", (t) => {
+  // Guards against partitioned hosts that each admit the whole quota.
   const book = new QuotaLimiter(NONE);
   const peer = {
     host: asId<HostId>("peer"),
@@ -141,7 +154,7 @@
   t.true(admitted > 10_000 * 8 * 0.3);
 });
 
-test("what did not run is given back", (t) => {
+test("units of a request that did not run are refunded", (t) => {
   const book = new QuotaLimiter(NONE);
   t.true(
     book.take({ account: FAMILY, quota: QUOTA, units: 9_000, isIdle: true }, 0)
@@ -158,7 +171,7 @@
   );
 });
 
-test("an account over its quota is told when there is room again", (t) => {
+test("an account over its quota learns when its quota is available again", (t) => {
   const book = new QuotaLimiter(NONE);
   book.take({ account: FAMILY, quota: QUOTA, units: 15_000, isIdle: true }, 0);
   const refused = book.take({
@@ -170,21 +183,20 @@
   t.true(refused.isErr() && refused.error.retryAfter === 1_000);
 });
 
-test("further sends stay within the shared budget", (t) => {
-  // A service fails half of its requests. Every failed one is sent again, unless
-  // the budget over all hosts is spent; more load on what is left fails more.
+test("retries stay within the shared budget", (t) => {
+  // Guards against retries that overload a failing service.
   const budget = new RetryBudget({ ratio: 0.2, slack: 40, window: 10_000 });
-  let further = 0;
+  let retries = 0;
   for (let index = 0; index < 1_000; index++) {
     const now = index * 10;
     budget.countInitial(PLANS, now);
-    if (budget.takeRetry(PLANS, { hosts: 8, now })) further++;
+    if (budget.takeRetry(PLANS, { hosts: 8, now })) retries++;
   }
-  t.true(further <= 0.2 * 1_000 + 40 / 8);
-  t.true(further >= 0.1 * 1_000);
+  t.true(retries <= 0.2 * 1_000 + 40 / 8);
+  t.true(retries >= 0.1 * 1_000);
 });
 
-test("refused callers come back spread, and within what they will wait", (t) => {
+test("retry delays are spread and within the time that callers have left", (t) => {
   const random = new SeededRandom(3);
   const waits = Array.from(
     { length: 50 },
--- a/packages/admission/tests/requestScheduler.test.ts
+++ b/packages/admission/tests/requestScheduler.test.ts
@@ -1,14 +1,14 @@
 import { asId, type FailureDomain, type HostId } from "@wasabivane/common";
 import test from "ava";
 import {
-  buildCandidate,
+  buildPendingRequest,
   buildScheduler,
   buildUpstream,
   PLANS,
-  type SchedulerBench,
+  type SchedulerHarness,
 } from "./helpers/build.ts";
 
-function createScheduler({ upstreams = 2, slots = 1 } = {}): SchedulerBench {
+function createScheduler({ upstreams = 2, slots = 1 } = {}): SchedulerHarness {
   return buildScheduler(
     Array.from(
       { length: upstreams },
@@ -19,28 +19,28 @@
 
 test("a request gets a free upstream at once", (t) => {
   const { scheduler } = createScheduler();
-  const candidate = buildCandidate("a");
-  scheduler.submit(candidate, 0);
-  t.is(candidate.verdict?.kind, "place");
+  const pending = buildPendingRequest("a");
+  scheduler.submit(pending, 0);
+  t.is(pending.decision?.kind, "place");
 });
 
-test("the most urgent request gets the place that comes free", (t) => {
+test("the most urgent request gets the slot that becomes free", (t) => {
   const { scheduler, begin, end } = createScheduler({ upstreams: 1 });
-  const first = buildCandidate("first");
+  const first = buildPendingRequest("first");
   scheduler.submit(first, 0);
-  if (first.verdict?.kind !== "place") return t.fail();
-  begin(first.verdict.upstream.upstream);
-  const later = buildCandidate("later", { tier: 3 });
-  const urgent = buildCandidate("urgent", { tier: 1 });
+  if (first.decision?.kind !== "place") return t.fail();
+  begin(first.decision.upstream.upstream);
+  const later = buildPendingRequest("later", { tier: 3 });
+  const urgent = buildPendingRequest("urgent", { tier: 1 });
   scheduler.submit(later, 1);
   scheduler.submit(urgent, 2);
-  t.is(later.verdict, undefined);
-  end(first.verdict.upstream.upstream, 100);
-  t.is(urgent.verdict?.kind, "place");
-  t.is(later.verdict, undefined);
+  t.is(later.decision, undefined);
+  end(first.decision.upstream.upstream, 100);
+  t.is(urgent.decision?.kind, "place");
+  t.is(later.decision, undefined);
 });
 
-test("work of peers counts toward what an upstream runs", (t) => {
+test("the load of peers counts at an upstream", (t) => {
   const { scheduler, directory } = createScheduler({ upstreams: 1 });
   const [only] = directory.of(PLANS);
   scheduler.load.setPeerLoad(asId<HostId>("peer"), {
@@ -49,18 +49,17 @@
       pendingPrefillTokens: 0,
     }]]),
   }, 0);
-  const candidate = buildCandidate("a");
-  scheduler.submit(candidate, 0);
-  t.is(candidate.verdict, undefined);
+  const pending = buildPendingRequest("a");
+  scheduler.submit(pending, 0);
+  t.is(pending.decision, undefined);
   t.true(scheduler.load.expirePeers(3_000));
   scheduler.review(3_000 - 1_500);
-  t.is(candidate.verdict?.kind, "place");
+  t.is(pending.decision?.kind, "place");
 });
 
-test("a request is placed once, also when a verdict before it ends at once", (t) => {
-  // Two requests wait and two places come free. The first one's connection fails in
-  // the moment it is placed, which frees its place and fills places again from
-  // within: the second request is placed there, and must not be placed a second time.
+test("a request is placed once even if an earlier decision re-enters the scheduler", (t) => {
+  // Guards against placing a request twice when a decision before it frees its
+  // slot at once and re-enters the scheduler.
   const { scheduler, directory, begin, end } = createScheduler({
     upstreams: 1,
     slots: 2,
@@ -75,7 +74,7 @@
   }, 0);
   const placed: string[] = [];
   const failing = {
-    ...buildCandidate("failing"),
+    ...buildPendingRequest("failing"),
     decide: () => {
       placed.push("failing");
       begin(only!.upstream);
@@ -83,7 +82,7 @@
     },
   };
   const second = {
-    ...buildCandidate("second", { since: 1 }),
+    ...buildPendingRequest("second", { since: 1 }),
     decide: () => {
       placed.push("second");
       begin(only!.upstream);
@@ -96,32 +95,32 @@
   t.deepEqual(placed, ["failing", "second"]);
 });
 
-test("a request that waited until it is of no use is refused", (t) => {
+test("a request is refused when its response is no longer useful", (t) => {
   const { scheduler } = createScheduler({ upstreams: 0 });
-  const candidate = buildCandidate("a", { usefulUntil: 1_000 });
-  scheduler.submit(candidate, 0);
+  const pending = buildPendingRequest("a", { usefulUntil: 1_000 });
+  scheduler.submit(pending, 0);
   scheduler.review(999);
-  t.is(candidate.verdict, undefined);
+  t.is(pending.decision, undefined);
   scheduler.review(1_000);
-  t.like(candidate.verdict, { kind: "refuse", reason: "waited-out" });
+  t.like(pending.decision, { kind: "refuse", reason: "waited-out" });
 });
 
-test("a request that every upstream got already is refused at once", (t) => {
+test("a request that was sent to every upstream is refused at once", (t) => {
   const { scheduler } = createScheduler({ upstreams: 2 });
-  const candidate = buildCandidate("a", { excluded: ["u0", "u1"] });
-  scheduler.submit(candidate, 0);
-  t.like(candidate.verdict, { kind: "refuse", reason: "no-other-upstream" });
+  const pending = buildPendingRequest("a", { excluded: ["u0", "u1"] });
+  scheduler.submit(pending, 0);
+  t.like(pending.decision, { kind: "refuse", reason: "no-other-upstream" });
 });
 
-/** Lets urgent requests start one after the other, every 50 ms, from 0 to `until`. */
+/** Starts urgent requests one after another, every 50 ms, from 0 to `until`. */
 function keepBusy(
-  { scheduler, directory, begin, end }: SchedulerBench,
+  { scheduler, directory, begin, end }: SchedulerHarness,
   { until, onStep }: { until: number; onStep: (now: number) => void },
 ): void {
   const [only] = directory.of(PLANS);
   begin(only!.upstream);
   for (let now = 0; now <= until; now += 50) {
-    const urgent = buildCandidate(`urgent-${now}`, {
+    const urgent = buildPendingRequest(`urgent-${now}`, {
       since: now,
       onTimeUntil: now + 400,
       usefulUntil: now + 2_000,
@@ -134,95 +133,96 @@
   }
 }
 
-test("a lower tier that never starts is told so early, but for its next one", (t) => {
-  // Urgent requests take every place for seconds. Ten of a lower tier wait behind
-  // them and become late after 0.5 s. Held until they are of no use, their callers
-  // would learn after 3 s what the pace of the line shows after one.
-  const bench = createScheduler({ upstreams: 1 });
+test("requests of a tier that does not start are refused early, except the next one", (t) => {
+  // Guards against holding requests until their deadline although the start
+  // rates show early that they cannot start.
+  const harness = createScheduler({ upstreams: 1 });
   const lower = Array.from(
     { length: 10 },
     (_, index) =>
-      buildCandidate(`lower-${index}`, {
+      buildPendingRequest(`lower-${index}`, {
         tier: 3,
         since: index,
         usefulUntil: 3_000,
       }),
   );
-  keepBusy(bench, {
+  keepBusy(harness, {
     until: 1_500,
     onStep: (now) => {
       if (now > 0) return;
-      for (const candidate of lower) bench.scheduler.submit(candidate, 0);
+      for (const pending of lower) harness.scheduler.submit(pending, 0);
     },
   });
-  const refused = lower.filter(({ verdict }) => verdict?.kind === "refuse");
+  const refused = lower.filter(({ decision }) => decision?.kind === "refuse");
   t.true(refused.length >= 5);
-  t.is(lower[0]!.verdict, undefined);
+  t.is(lower[0]!.decision, undefined);
 });
 
-test("a fresh request is taken in though many late ones wait", (t) => {
-  // Forty requests are late and wait for what is left over. One that comes now can
-  // be on time and starts before them; it must not be refused for their number.
-  const bench = createScheduler({ upstreams: 1 });
-  const fresh = buildCandidate("fresh", {
+test("a new request is queued although many late ones wait", (t) => {
+  // Guards against refusing a request because of late requests that start after
+  // it.
+  const harness = createScheduler({ upstreams: 1 });
+  const newer = buildPendingRequest("newer", {
     since: 1_500,
     onTimeUntil: 1_900,
     usefulUntil: 3_000,
   });
-  keepBusy(bench, {
+  keepBusy(harness, {
     until: 1_450,
     onStep: (now) => {
       if (now > 0) return;
       for (let index = 0; index < 40; index++) {
-        const late = buildCandidate(`late-${index}`, {
+        const late = buildPendingRequest(`late-${index}`, {
           onTimeUntil: 0,
           usefulUntil: 60_000,
         });
-        bench.scheduler.submit(late, 0);
+        harness.scheduler.submit(late, 0);
       }
     },
   });
-  bench.scheduler.submit(fresh, 1_500);
-  t.not(fresh.verdict?.kind, "refuse");
+  harness.scheduler.submit(newer, 1_500);
+  t.not(newer.decision?.kind, "refuse");
 });
 
-test("begun work goes on first in its tier and is never refused for the line", (t) => {
-  // A stream broke off after seconds and waits for another upstream. Counted from
-  // its arrival it would be late and of no use; refused, the half that its caller
-  // has would break off. It goes before new work, but not before a higher tier.
+test("continuations start first in their tier and are never refused because of the queue", (t) => {
+  // Guards against ending a stream that could be continued: by its arrival time
+  // it would count as late.
   const { scheduler, begin, end } = createScheduler({ upstreams: 1 });
-  const running = buildCandidate("running");
+  const running = buildPendingRequest("running");
   scheduler.submit(running, 0);
-  if (running.verdict?.kind !== "place") return t.fail();
-  const { upstream } = running.verdict.upstream;
+  if (running.decision?.kind !== "place") return t.fail();
+  const { upstream } = running.decision.upstream;
   begin(upstream);
-  const fresh = buildCandidate("fresh", {
+  const newer = buildPendingRequest("newer", {
     tier: 2,
     since: 8_000,
     onTimeUntil: 8_500,
     usefulUntil: 11_000,
   });
-  const begun = buildCandidate("begun", { tier: 2, isContinuation: true });
-  const urgent = buildCandidate("urgent", {
+  const continuation = buildPendingRequest("continuation", {
+    tier: 2,
+    isContinuation: true,
+  });
+  const urgent = buildPendingRequest("urgent", {
     since: 8_000,
     onTimeUntil: 8_500,
     usefulUntil: 11_000,
   });
-  scheduler.submit(fresh, 8_000);
-  scheduler.submit(begun, 8_010);
+  scheduler.submit(newer, 8_000);
+  scheduler.submit(continuation, 8_010);
   scheduler.submit(urgent, 8_020);
   scheduler.review(8_100);
-  t.is(begun.verdict, undefined);
-  for (const expected of [urgent, begun, fresh]) {
+  t.is(continuation.decision, undefined);
+  for (const expected of [urgent, continuation, newer]) {
     end(upstream, 8_200);
-    t.is(expected.verdict?.kind, "place");
+    t.is(expected.decision?.kind, "place");
     begin(upstream);
   }
 });
 
-test("a keeper places a request near the host that sends it, not near itself", (t) => {
-  // One host keeps the places of three failure domains. Callers of another domain than
-  // its own have their answers cross domains unless their own host counts.
+test("a coordinator places a request in the failure domain of the sending host", (t) => {
+  // Guards against placement by the failure domain of the coordinator instead
+  // of the sending host.
   const domains = ["north", "south"].map((name) => asId<FailureDomain>(name));
   const { scheduler } = buildScheduler(
     domains.map((failureDomain, index) =>
@@ -230,10 +230,10 @@
     ),
   );
   for (const [index, failureDomain] of domains.entries()) {
-    const candidate = Object.assign(buildCandidate(`q${index}`), {
+    const pending = Object.assign(buildPendingRequest(`q${index}`), {
       failureDomain,
     });
-    scheduler.submit(candidate, 0);
-    t.like(candidate.verdict, { upstream: { failureDomain } });
+    scheduler.submit(pending, 0);
+    t.like(pending.decision, { upstream: { failureDomain } });
   }
 });
--- a/packages/admission/tests/upstreamSuitability.test.ts
+++ b/packages/admission/tests/upstreamSuitability.test.ts
@@ -2,19 +2,19 @@
 import { asId, type UpstreamId } from "@wasabivane/common";
 import { PauseRiskModel, UpstreamSpeed } from "@wasabivane/admission";
 import {
-  buildCandidate,
+  buildPendingRequest,
   buildScheduler,
   buildUpstream,
   PLANS,
-  type SchedulerBench,
+  type SchedulerHarness,
 } from "./helpers/build.ts";
 
 const [FAST, SLOW] = [asId<UpstreamId>("u0"), asId<UpstreamId>("u1")];
 
-/** Two upstreams of two places; the first works four times as fast. */
-function createScheduler(): SchedulerBench {
-  const bench = buildScheduler([buildUpstream(0), buildUpstream(1)]);
-  const { speed, firstEvents } = bench.knowledge;
+/** Two upstreams with two slots each; the first is four times as fast. */
+function createScheduler(): SchedulerHarness {
+  const harness = buildScheduler([buildUpstream(0), buildUpstream(1)]);
+  const { speed, firstEvents } = harness.stats;
   for (let index = 0; index < 20; index++) {
     speed.observe({ service: PLANS, upstream: FAST, duration: 10 });
     speed.observe({ service: PLANS, upstream: SLOW, duration: 40 });
@@ -29,52 +29,52 @@
       }
     }
   }
-  return bench;
+  return harness;
 }
 
-/** Fills both places of an upstream. */
-function fill({ begin }: SchedulerBench, upstream: UpstreamId): void {
+/** Occupies both slots of an upstream. */
+function fill({ begin }: SchedulerHarness, upstream: UpstreamId): void {
   begin(upstream);
   begin(upstream);
 }
 
-test("a long answer leaves the slow engine to short ones while it can wait", (t) => {
-  // The fast engine is full. At the slow one the long answer would still run at its
-  // deadline, and its caller get half of it; the short one is done in time there.
-  const bench = createScheduler();
-  const { scheduler } = bench;
-  fill(bench, FAST);
-  const long = buildCandidate("long", {
+test("a long response leaves a slow upstream to short ones while it can wait", (t) => {
+  // Guards against a long response at a slow upstream, where it would miss its
+  // deadline.
+  const harness = createScheduler();
+  const { scheduler } = harness;
+  fill(harness, FAST);
+  const long = buildPendingRequest("long", {
     responseDuration: 4_000,
     deadline: 6_000,
   });
-  const short = buildCandidate("short", {
+  const short = buildPendingRequest("short", {
     responseDuration: 100,
     deadline: 6_000,
   });
   scheduler.submit(long, 0);
   scheduler.submit(short, 0);
-  t.is(long.verdict, undefined);
-  t.like(short.verdict, { kind: "place", upstream: { upstream: SLOW } });
+  t.is(long.decision, undefined);
+  t.like(short.decision, { kind: "place", upstream: { upstream: SLOW } });
 });
 
-test("a long prompt is not read beside streams that it would make late", (t) => {
-  // Reading 10,000 tokens takes the slow engine longer than the pause that its streams
-  // may make. While the fast engine is only full for now, the prompt waits for it.
-  const bench = createScheduler();
-  const { scheduler, begin } = bench;
-  fill(bench, FAST);
+test("a long prompt is not placed beside streams that it would make late", (t) => {
+  // Guards against a long prefill that pauses other streams of a slow upstream
+  // for too long.
+  const harness = createScheduler();
+  const { scheduler, begin } = harness;
+  fill(harness, FAST);
   begin(SLOW);
   const prompt = { promptTokens: 10_000, pauseTarget: 300 };
-  const long = buildCandidate("long", { ...prompt, onTimeUntil: 2_000 });
+  const long = buildPendingRequest("long", { ...prompt, onTimeUntil: 2_000 });
   scheduler.submit(long, 0);
-  t.is(long.verdict, undefined);
-  const late = buildCandidate("late", { ...prompt, onTimeUntil: 10 });
+  t.is(long.decision, undefined);
+  const late = buildPendingRequest("late", { ...prompt, onTimeUntil: 10 });
   scheduler.submit(late, 0);
-  t.like(late.verdict, { kind: "place", upstream: { upstream: SLOW } });
+  t.like(late.decision, { kind: "place", upstream: { upstream: SLOW } });
 });
 
-test("the longer a stream runs at an engine that pauses, the likelier it is late", (t) => {
+test("the risk of a late pause grows with the duration of a stream", (t) => {
   const speed = new UpstreamSpeed();
   const pauses = new PauseRiskModel(speed);
   for (let index = 0; index < 50; index++) {
--- a/packages/admission/tests/upstreamTimeouts.test.ts
+++ b/packages/admission/tests/upstreamTimeouts.test.ts
@@ -37,54 +37,53 @@
   };
 }
 
-test("an engine that reads long prompts may pause for as long as that takes", (t) => {
-  // A slow engine was given two prompts of ten thousand tokens. All its streams
-  // pause for more than a second, then go on; cut as silent, each would begin anew
-  // elsewhere or break off, with most of its answer delivered.
+test("an upstream that processes long prompts may pause for as long as that takes", (t) => {
+  // Guards against restarting streams that pause only because their upstream
+  // processes long prompts.
   const route = streamRoute();
   t.is(pauseTimeout(route, IDLE), 1_000);
   t.is(pauseTimeout(route, { ...IDLE, prefillTime: 300 }), 1_600);
 });
 
-test("no reading is an excuse for longer than callers bear", (t) => {
-  // Callers of this route leave after a gap of 4 s; there must be time for another
-  // upstream to go on before.
+test("the pause timeout is bounded by the idle timeout of the caller", (t) => {
+  // Guards against a timeout that leaves no time for another upstream before
+  // the caller leaves.
   const route = streamRoute();
   t.is(pauseTimeout(route, { ...IDLE, prefillTime: 60_000 }), 2_000);
   const short = streamRoute({ pauseTarget: 100, target: 100 });
   t.is(pauseTimeout(short, { ...IDLE, prefillTime: 60_000 }), 1_000);
 });
 
-test("an engine that hangs on one request is left at the usual time", (t) => {
-  // The other streams there go on while this one stands still: it is not the
-  // reading of prompts that keeps it.
+test("an upstream that hangs on one request gets no extra time", (t) => {
+  // Guards against granting extra time to an upstream that hangs on one request
+  // but continues others.
   const route = streamRoute();
-  const reading = 5_000;
+  const prefillTime = 5_000;
   t.is(
     pauseTimeout(route, {
       ...IDLE,
-      prefillTime: reading,
+      prefillTime,
       otherProgressTime: 800,
     }),
     1_000,
   );
   t.is(
-    pauseTimeout(route, { ...IDLE, prefillTime: reading, isEjected: true }),
+    pauseTimeout(route, { ...IDLE, prefillTime, isEjected: true }),
     1_000,
   );
   t.is(pauseTimeout(streamRoute({ pauseTarget: 0 }), IDLE), undefined);
 });
 
-test("signs of life of a request are told from those of the others", (t) => {
-  const signs = new UpstreamActivity();
+test("events of a request are distinguished from those of others", (t) => {
+  const activity = new UpstreamActivity();
   const [own, other] = [asId<RequestId>("q1"), asId<RequestId>("q2")];
-  signs.recordEvent(U0, own, 100);
-  t.is(signs.lastEventOfOthers(U0, own), undefined);
-  signs.recordEvent(U0, other, 110);
-  signs.recordEvent(U0, own, 120);
-  signs.recordEvent(U0, own, 130);
-  t.is(signs.lastEventOfOthers(U0, own), 110);
-  t.is(signs.lastEventOfOthers(U0, other), 130);
-  signs.forget(U0);
-  t.is(signs.lastEventOfOthers(U0, other), undefined);
+  activity.recordEvent(U0, own, 100);
+  t.is(activity.lastEventOfOthers(U0, own), undefined);
+  activity.recordEvent(U0, other, 110);
+  activity.recordEvent(U0, own, 120);
+  activity.recordEvent(U0, own, 130);
+  t.is(activity.lastEventOfOthers(U0, own), 110);
+  t.is(activity.lastEventOfOthers(U0, other), 130);
+  activity.forget(U0);
+  t.is(activity.lastEventOfOthers(U0, other), undefined);
 });
