--- a/apps/entry/tests/bufferedResponse.test.ts
+++ b/apps/entry/tests/bufferedResponse.test.ts
@@ -4,74 +4,72 @@
 
 const HEAD = { status: 200, headers: {} };
 
-function partOf(text: string): Buffer {
+function bytesOf(text: string): Buffer {
   return Buffer.from(text);
 }
 
-test("a second reader of a replayable answer gets it from the first byte", (t) => {
-  const record = new BufferedResponse({ isReplayable: true });
-  record.writeHead(HEAD);
-  record.append(partOf("one"));
-  const first = record.openReader()!;
+test("a second reader of a replayable response starts at the first byte", (t) => {
+  const response = new BufferedResponse({ isReplayable: true });
+  response.writeHead(HEAD);
+  response.append(bytesOf("one"));
+  const first = response.openReader()!;
   first.poll();
   first.poll();
-  record.append(partOf("two"));
-  record.finish({ kind: "whole" });
-  const second = record.openReader()!;
+  response.append(bytesOf("two"));
+  response.finish({ kind: "whole" });
+  const second = response.openReader()!;
   const kinds = [second.poll(), second.poll(), second.poll(), second.poll()];
-  t.deepEqual(kinds.map((step) => step?.kind), ["head", "part", "part", "end"]);
+  t.deepEqual(kinds.map((item) => item?.kind), ["head", "part", "part", "end"]);
 });
 
-// The caller reads slowly while the upstream is fast. Without a bound the host
-// would hold the rest of every answer in memory; the writer is told to wait
-// until the slowest reader has caught up.
+// Guards against buffering a response without limit for a slow caller.
 test("a slow reader makes the writer wait", async (t) => {
-  const record = new BufferedResponse({ highWaterBytes: 4 });
-  const reader = record.openReader()!;
-  record.writeHead(HEAD);
-  record.append(partOf("12345"));
-  t.true(record.isFull);
-  const room = record.whenWritable();
+  const response = new BufferedResponse({ highWaterBytes: 4 });
+  const reader = response.openReader()!;
+  response.writeHead(HEAD);
+  response.append(bytesOf("12345"));
+  t.true(response.isFull);
+  const room = response.whenWritable();
   reader.poll();
   reader.poll();
   await room;
-  t.false(record.isFull);
+  t.false(response.isFull);
 });
 
-test("a reader that leaves no longer holds the writer up", async (t) => {
-  const record = new BufferedResponse({ highWaterBytes: 4 });
-  const reader = record.openReader()!;
-  record.append(partOf("12345"));
-  const room = record.whenWritable();
+test("a closed reader no longer blocks the writer", async (t) => {
+  const response = new BufferedResponse({ highWaterBytes: 4 });
+  const reader = response.openReader()!;
+  response.append(bytesOf("12345"));
+  const room = response.whenWritable();
   reader.close();
   await room;
   t.pass();
 });
 
-test("an answer too large to keep cannot be replayed, and its reader still gets all of it", (t) => {
-  const record = new BufferedResponse({
+test("a response above the replay limit cannot be replayed but is read completely", (t) => {
+  const response = new BufferedResponse({
     isReplayable: true,
     maximumReplayBytes: 4,
   });
-  const reader = record.openReader()!;
-  record.writeHead(HEAD);
+  const reader = response.openReader()!;
+  response.writeHead(HEAD);
   const seen: string[] = [];
   for (const text of ["abc", "def", "ghi"]) {
-    record.append(partOf(text));
-    for (let step = reader.poll(); step !== undefined; step = reader.poll()) {
-      if (step.kind === "part") seen.push(Buffer.from(step.part).toString());
+    response.append(bytesOf(text));
+    for (let item = reader.poll(); item !== undefined; item = reader.poll()) {
+      if (item.kind === "part") seen.push(Buffer.from(item.part).toString());
     }
   }
   t.deepEqual(seen, ["abc", "def", "ghi"]);
-  t.is(record.openReader(), undefined);
+  t.is(response.openReader(), undefined);
 });
 
-test("nothing follows the first end", (t) => {
-  const record = new BufferedResponse();
-  const reader = record.openReader()!;
-  record.finish({ kind: "failed", problem: problemOf("answer-late") });
-  record.append(partOf("late"));
-  record.finish({ kind: "whole" });
-  const step = reader.poll();
-  t.is(step?.kind === "end" ? step.end.kind : undefined, "failed");
+test("nothing is read after the first end", (t) => {
+  const response = new BufferedResponse();
+  const reader = response.openReader()!;
+  response.finish({ kind: "failed", problem: problemOf("answer-late") });
+  response.append(bytesOf("late"));
+  response.finish({ kind: "whole" });
+  const item = reader.poll();
+  t.is(item?.kind === "end" ? item.end.kind : undefined, "failed");
 });
--- a/apps/entry/tests/callerConnection.test.ts
+++ b/apps/entry/tests/callerConnection.test.ts
@@ -12,19 +12,19 @@
 import { startScriptedUpstream } from "./helpers/scriptedUpstream.ts";
 
 const TOKENS = 20;
-const ENDLESS = `Draft ${markTokens(500_000)}`;
+const LONG_PROMPT = `Draft ${markTokens(500_000)}`;
 const KIBIBYTE = 1_024;
 
-async function withBench(
+async function createFixture(
   t: ExecutionContext,
   options: EntryFixtureOptions = {},
 ): Promise<EntryFixture> {
-  const bench = await startEntryFixture(options);
-  t.teardown(() => bench.stop());
-  return bench;
+  const fixture = await startEntryFixture(options);
+  t.teardown(() => fixture.stop());
+  return fixture;
 }
 
-function states({ engines }: EntryFixture): string[] {
+function runStates({ engines }: EntryFixture): string[] {
   return engines.flatMap(({ state }) =>
     Object.values(state.runs).map(({ state }) => state)
   );
@@ -32,79 +32,78 @@
 
 async function assertCancelled(
   t: ExecutionContext,
-  bench: EntryFixture,
+  fixture: EntryFixture,
 ): Promise<void> {
-  await until(() => states(bench)[0] === "cancelled");
-  await until(() => bench.status().openExchanges === 0);
-  t.deepEqual(states(bench), ["cancelled"]);
+  await until(() => runStates(fixture)[0] === "cancelled");
+  await until(() => fixture.status().openExchanges === 0);
+  t.deepEqual(runStates(fixture), ["cancelled"]);
 }
 
-test("a caller that hangs up within a stream cancels the engine's work", async (t) => {
-  const bench = await withBench(t);
+test("a disconnect during a stream cancels the engine's run", async (t) => {
+  const fixture = await createFixture(t);
   const abort = new AbortController();
-  const answer = await openChat(bench, {
-    prompt: ENDLESS,
+  const response = await openChat(fixture, {
+    prompt: LONG_PROMPT,
     signal: abort.signal,
   });
-  await answer.body!.getReader().read();
+  await response.body!.getReader().read();
   abort.abort();
-  await assertCancelled(t, bench);
+  await assertCancelled(t, fixture);
 });
 
-test("a caller that hangs up before a whole answer cancels the engine's work", async (t) => {
-  const bench = await withBench(t);
+test("a disconnect before a non-streamed response cancels the engine's run", async (t) => {
+  const fixture = await createFixture(t);
   const abort = new AbortController();
-  const answer = openChat(bench, {
-    prompt: ENDLESS,
+  const response = openChat(fixture, {
+    prompt: LONG_PROMPT,
     stream: false,
     signal: abort.signal,
   });
-  await until(() => states(bench).length === 1);
+  await until(() => runStates(fixture).length === 1);
   abort.abort();
-  await t.throwsAsync(answer, { any: true });
-  await assertCancelled(t, bench);
+  await t.throwsAsync(response, { any: true });
+  await assertCancelled(t, fixture);
 });
 
-// A client that closes its connection sends the same segment as one that only
-// closes its sending half, so the two cannot be told apart until it is too late.
-test("a caller that closes its half after a request has hung up", async (t) => {
-  const bench = await withBench(t);
-  const socket = await openSocket(bench.callerPort);
-  const answer = readRawResponse(socket);
-  socket.write(chatBytes(ENDLESS));
-  await until(() => states(bench).length === 1);
+// A half-close cannot be distinguished from a full close, so both must cancel.
+test("a half-close after the request counts as a disconnect", async (t) => {
+  const fixture = await createFixture(t);
+  const socket = await openSocket(fixture.callerPort);
+  const response = readRawResponse(socket);
+  socket.write(chatBytes(LONG_PROMPT));
+  await until(() => runStates(fixture).length === 1);
   socket.end();
-  t.false((await answer)?.body.includes("[DONE]") ?? false);
-  await assertCancelled(t, bench);
+  t.false((await response)?.body.includes("[DONE]") ?? false);
+  await assertCancelled(t, fixture);
 });
 
-// Garbage behind a request that runs must not be answered: the caller would
-// take that document, which says "not-run", for the answer of the request.
-test("garbage behind a running request breaks the connection without a document", async (t) => {
-  const bench = await withBench(t);
-  const socket = await openSocket(bench.callerPort);
-  const answer = readRawResponse(socket);
-  socket.write(chatBytes(ENDLESS, { stream: false }));
-  await until(() => states(bench).length === 1);
+// Guards against a problem document that the caller would take for the response
+// of the running request.
+test("garbage after a running request breaks the connection without a document", async (t) => {
+  const fixture = await createFixture(t);
+  const socket = await openSocket(fixture.callerPort);
+  const response = readRawResponse(socket);
+  socket.write(chatBytes(LONG_PROMPT, { stream: false }));
+  await until(() => runStates(fixture).length === 1);
   socket.write("garbage\r\n\r\n");
-  t.is(await answer, undefined);
-  await assertCancelled(t, bench);
+  t.is(await response, undefined);
+  await assertCancelled(t, fixture);
 });
 
-// The second request is broken, but the first one runs, and the document of
-// the second would be taken for the answer of the first.
-test("a broken request behind a running one breaks the connection without a document", async (t) => {
-  const bench = await withBench(t);
-  const socket = await openSocket(bench.callerPort);
-  const answer = readRawResponse(socket);
-  socket.write(chatBytes(ENDLESS, { stream: false }));
-  await until(() => states(bench).length === 1);
+// Guards against a problem document for the second request that the caller
+// would take for the response of the first.
+test("a malformed request after a running one breaks the connection without a document", async (t) => {
+  const fixture = await createFixture(t);
+  const socket = await openSocket(fixture.callerPort);
+  const response = readRawResponse(socket);
+  socket.write(chatBytes(LONG_PROMPT, { stream: false }));
+  await until(() => runStates(fixture).length === 1);
   socket.write(
     "POST /casefile HTTP/1.1\r\nHost: entry\r\nTransfer-Encoding: chunked\r\n\r\n",
   );
   socket.write("zz\r\n");
-  t.is(await answer, undefined);
-  await assertCancelled(t, bench);
+  t.is(await response, undefined);
+  await assertCancelled(t, fixture);
 });
 
 function chatBytes(prompt: string, { stream = true } = {}): string {
@@ -120,10 +119,8 @@
   ].join("\r\n");
 }
 
-// The upstream has far more to send than the sockets between hold. When the
-// caller does not read, the upstream must come to stand; if this host read on,
-// its memory would take the whole answer.
-test("a caller that does not read holds the upstream, not this host's memory", async (t) => {
+// Guards against buffering a complete response while the caller does not read.
+test("a caller that does not read blocks the upstream", async (t) => {
   const eventBytes = 32 * KIBIBYTE;
   const events = 4 * KIBIBYTE;
   let sent = 0;
@@ -146,98 +143,99 @@
     }
   });
   t.teardown(() => engine.stop());
-  const bench = await withBench(t, {
+  const fixture = await createFixture(t, {
     upstreamUrls: { "drafter-01": engine.url },
   });
-  const socket = await openSocket(bench.callerPort);
+  const socket = await openSocket(fixture.callerPort);
   socket.pause();
   socket.write(chatBytes("Draft"));
   await until(() => sent > 0);
-  const standsStill = 200;
-  await until(() => sent === events || ++polls > standsStill);
+  const maximumIdlePolls = 200;
+  await until(() => sent === events || ++polls > maximumIdlePolls);
   t.true(sent < events / 2, `${sent} of ${events} events left the upstream`);
   socket.destroy();
   await until(() => isClosed);
-  await until(() => bench.status().openExchanges === 0);
+  await until(() => fixture.status().openExchanges === 0);
 });
 
-test("methods, queries and absolute targets reach a plain service as they are", async (t) => {
-  const bench = await withBench(t);
+test("methods, queries and absolute targets reach a plain service unchanged", async (t) => {
+  const fixture = await createFixture(t);
   for (const method of ["GET", "PUT", "PATCH", "DELETE", "OPTIONS", "POST"]) {
     const path = `/casefile/caf%C3%A9/100%25?q=a%20b&r=../x`;
-    const answer = await fetch(`${bench.callerUrl}${path}`, {
+    const response = await fetch(`${fixture.callerUrl}${path}`, {
       method,
       headers: { authorization: bearer() },
     });
-    const echo = await answer.json() as { method: string; path: string };
+    const echo = await response.json() as { method: string; path: string };
     t.is(echo.method, method);
     t.is(echo.path, path);
   }
-  const head = await fetch(`${bench.callerUrl}/casefile`, {
+  const head = await fetch(`${fixture.callerUrl}/casefile`, {
     method: "HEAD",
     headers: { authorization: bearer() },
   });
   t.is(head.status, 200);
   t.is(await head.text(), "");
-  const socket = await openSocket(bench.callerPort);
-  const answer = readRawResponse(socket);
+  const socket = await openSocket(fixture.callerPort);
+  const response = readRawResponse(socket);
   socket.write(
     `GET http://elsewhere/casefile/a?b HTTP/1.1\r\nHost: entry\r\nAuthorization: ${bearer()}\r\nConnection: close\r\n\r\n`,
   );
-  t.regex((await answer)!.body, /"path":"\/casefile\/a\?b"/);
+  t.regex((await response)!.body, /"path":"\/casefile\/a\?b"/);
 });
 
-let keys = 0;
+let keyCount = 0;
 
 function bareKey(): string {
   const time = Date.now().toString(16).padStart(12, "0");
-  const last = String(keys++).padStart(12, "0");
+  const last = String(keyCount++).padStart(12, "0");
   return `${time.slice(0, 8)}-${time.slice(8)}-7000-8000-${last}`;
 }
 
-test("the same key of two accounts is two keys", async (t) => {
-  const bench = await withBench(t);
+test("equal keys of two accounts are independent", async (t) => {
+  const fixture = await createFixture(t);
   const prompt = `Draft ${markTokens(TOKENS)}`;
   let key = bareKey();
-  let first = await sendChat(bench, { prompt, headers: keyed(key) });
-  // A key's home answers for no key older than its own tenure, which has just begun.
+  let first = await sendChat(fixture, { prompt, headers: keyHeaders(key) });
+  // A key's home refuses keys that are older than its tenure, which has just
+  // begun.
   while (first.problem?.detail === "older-than-tenure") {
     key = bareKey();
-    first = await sendChat(bench, { prompt, headers: keyed(key) });
+    first = await sendChat(fixture, { prompt, headers: keyHeaders(key) });
   }
   t.is(first.content, expectedAnswer(prompt, TOKENS));
   const account = "tenjin-family-law";
-  const second = await sendChat(bench, {
+  const second = await sendChat(fixture, {
     prompt,
     account,
-    headers: keyed(key),
+    headers: keyHeaders(key),
   });
   t.is(second.content, expectedAnswer(prompt, TOKENS));
-  t.deepEqual(states(bench), ["finished", "finished"]);
-  t.is(bench.counter("key.joined"), 0);
-  const again = await sendChat(bench, { prompt, headers: keyed(key) });
+  t.deepEqual(runStates(fixture), ["finished", "finished"]);
+  t.is(fixture.counter("key.joined"), 0);
+  const again = await sendChat(fixture, { prompt, headers: keyHeaders(key) });
   t.is(again.content, first.content);
-  t.is(states(bench).length, 2);
+  t.is(runStates(fixture).length, 2);
 });
 
-function keyed(key: string): Record<string, string> {
+function keyHeaders(key: string): Record<string, string> {
   return { "idempotency-key": key };
 }
 
-test("a ticket of another account starts nothing and tells nothing of it", async (t) => {
-  const bench = await withBench(t);
-  const minted = await fetch(`${bench.callerUrl}/v1/tickets`, {
+test("a ticket of another account runs nothing and reveals nothing", async (t) => {
+  const fixture = await createFixture(t);
+  const minted = await fetch(`${fixture.callerUrl}/v1/tickets`, {
     method: "POST",
     headers: { authorization: bearer() },
   });
   const { key } = await minted.json() as { key: string };
   const headers = { "idempotency-key": key };
   const prompt = `Draft ${markTokens(TOKENS)}`;
-  const own = await sendChat(bench, { prompt, headers });
+  const own = await sendChat(fixture, { prompt, headers });
   t.true(own.isComplete);
   const account = "tenjin-family-law";
-  const other = await sendChat(bench, { prompt, account, headers });
+  const other = await sendChat(fixture, { prompt, account, headers });
   t.false(other.isComplete);
   t.false(other.text.includes("hakata"));
-  t.deepEqual(states(bench), ["finished"]);
+  t.deepEqual(runStates(fixture), ["finished"]);
 });
--- a/apps/entry/tests/completionStream.test.ts
+++ b/apps/entry/tests/completionStream.test.ts
@@ -30,13 +30,13 @@
   return { stream, events };
 }
 
-test("a stream is whole after its finish reason and its end mark", (t) => {
+test("a stream is complete after its finish reason and end marker", (t) => {
   const { stream } = read(WHOLE);
   t.true(stream.isComplete);
   t.is(stream.tokenCount, 2);
 });
 
-test("any cut of the bytes gives the same events", (t) => {
+test("any split of the bytes yields the same events", (t) => {
   fc.assert(
     fc.property(fc.array(fc.integer({ min: 0, max: WHOLE.length })), (cuts) => {
       const places = [
@@ -54,9 +54,8 @@
   t.pass();
 });
 
-// An engine mixes two answers up. The caller must never see the other's text:
-// the event is not passed on and the dispatch ends as another's answer.
-test("an event of another dispatch is not passed on", (t) => {
+// Guards against relaying text of another response that the engine mixed in.
+test("an event of another dispatch is not emitted", (t) => {
   const { stream, events } = read(
     chunk("a"),
     chunk("secret", { id: "chatcmpl-n2" }),
@@ -66,21 +65,19 @@
   t.is(events.length, 1);
 });
 
-// The engine repeats its answer after the end mark. The caller has the whole
-// answer already; the rest is counted and dropped.
-test("nothing after the end mark is passed on", (t) => {
+test("events after the end marker are not emitted", (t) => {
   const { stream, events } = read(WHOLE, WHOLE);
   t.true(stream.hasTrailingEvents);
   t.is(events.length, 4);
 });
 
-test("an end mark without a finish reason is no end", (t) => {
+test("an end marker without a finish reason is malformed", (t) => {
   const { stream } = read(chunk("a"), "data: [DONE]\n\n");
   t.false(stream.isComplete);
   t.is(stream.error?.kind, "malformed");
 });
 
-test("any bytes end without a throw", (t) => {
+test("arbitrary bytes neither throw nor complete the stream", (t) => {
   fc.assert(fc.property(fc.array(fc.uint8Array({ maxLength: 64 })), (parts) => {
     const stream = new CompletionStream(NONCE, () => {});
     for (const part of parts) stream.feed(part);
--- a/apps/entry/tests/helpers/certificates.ts
+++ b/apps/entry/tests/helpers/certificates.ts
@@ -13,7 +13,7 @@
   readonly key: string;
 }
 
-/** Makes an authority that can sign certificates. */
+/** Creates a certificate authority. */
 export async function createAuthority(name: string): Promise<Certificate> {
   const made = await generate([{ name: "commonName", value: name }], {
     extensions: [
@@ -24,7 +24,7 @@
   return { key: made.private, cert: made.cert };
 }
 
-/** Makes a certificate for this machine's loopback address. */
+/** Creates a certificate for the loopback address. */
 export async function createCertificate(
   ca: Certificate,
 ): Promise<Certificate> {
@@ -38,7 +38,7 @@
   return { key: made.private, cert: made.cert };
 }
 
-/** A folder with certificate files, as settings name them. */
+/** A temporary folder with the certificate files that settings name. */
 export class CertificateFolder {
   readonly #folder = mkdtempSync(join(tmpdir(), "wasabivane-"));
   readonly certificateFile = join(this.#folder, "certificate.pem");
@@ -55,14 +55,14 @@
     if (key !== undefined) writeFileSync(this.keyFile, key);
   }
 
-  /** Settings without the authority: client certificates are not asked for. */
+  /** Certificate settings that do not request client certificates. */
   get files(): { certificateFile: string; keyFile: string } {
     const { certificateFile, keyFile } = this;
     return { certificateFile, keyFile };
   }
 }
 
-/** The certificate that a port shows in its handshake, as PEM. */
+/** Returns the PEM certificate that a port presents in its handshake. */
 export function presentedCertificate(
   port: number,
   options: ConnectionOptions,
@@ -77,7 +77,7 @@
   });
 }
 
-/** Whether a peer port takes a connection from a client with this certificate. */
+/** Whether a peer port accepts a client with the certificate of the options. */
 export function canOpenWebSocket(
   port: number,
   options: ConnectionOptions,
@@ -92,7 +92,7 @@
   });
 }
 
-/** Speaks TLS for an HTTP port that does not; gives the https url. */
+/** Starts a TLS proxy in front of an HTTP port and returns its `https` URL. */
 export async function startTlsProxy(
   t: ExecutionContext,
   { url, certificate }: { url: string; certificate: Certificate },
--- a/apps/entry/tests/helpers/chatClient.ts
+++ b/apps/entry/tests/helpers/chatClient.ts
@@ -10,18 +10,18 @@
   readonly signal?: AbortSignal;
 }
 
-/** A completion as its caller has it. */
+/** A completion as its caller received it. */
 export interface ChatResponse {
   readonly status: number;
   readonly text: string;
   readonly content: string;
-  /** Whether the end mark came. */
+  /** Whether a completion was received to its end. */
   readonly isComplete: boolean;
-  /** The problem document, of the whole answer or of the stream's error event. */
+  /** The problem document of the response or of the stream's error event. */
   readonly problem: Readonly<Record<string, unknown>> | undefined;
 }
 
-/** Asks for a completion; resolves at the head of the answer. */
+/** Requests a completion; resolves at the head of the response. */
 export function openChat(
   { callerUrl }: Pick<EntryFixture, "callerUrl">,
   { prompt, stream = true, account, headers, signal }: ChatOptions,
@@ -35,27 +35,27 @@
   });
 }
 
-/** Asks for a completion and reads the answer to its end. */
+/** Requests a completion and reads the response to its end. */
 export async function sendChat(
-  bench: Pick<EntryFixture, "callerUrl">,
+  fixture: Pick<EntryFixture, "callerUrl">,
   options: ChatOptions,
 ): Promise<ChatResponse> {
-  const answer = await openChat(bench, options);
-  return parseChatResponse(answer.status, await answer.text());
+  const response = await openChat(fixture, options);
+  return parseChatResponse(response.status, await response.text());
 }
 
-/** Reads what a caller got. */
+/** Parses the response to a chat request, streamed or not. */
 export function parseChatResponse(status: number, text: string): ChatResponse {
   if (!text.startsWith("data: ")) {
     const body = JSON.parse(text);
     const content = body.choices?.[0].message.content ?? "";
-    const isWhole = body.choices !== undefined;
+    const isComplete = body.choices !== undefined;
     return {
       status,
       text,
       content,
-      isComplete: isWhole,
-      problem: isWhole ? undefined : body,
+      isComplete,
+      problem: isComplete ? undefined : body,
     };
   }
   const blocks = text.split("\n\n").filter((block) => block !== "");
--- a/apps/entry/tests/helpers/createChatRequest.ts
+++ b/apps/entry/tests/helpers/createChatRequest.ts
@@ -3,7 +3,7 @@
 import { asId } from "@wasabivane/common";
 import type { IncomingRequest } from "@wasabivane/entry";
 
-/** A chat request of the bundle's first account, as it comes in. */
+/** Creates a chat request of the bundle's first account. */
 export function createChatRequest(
   bundle: Bundle,
   overrides: Partial<IncomingRequest> = {},
--- a/apps/entry/tests/helpers/entryFixture.ts
+++ b/apps/entry/tests/helpers/entryFixture.ts
@@ -24,17 +24,19 @@
   readonly engines?: number;
   readonly plainServices?: number;
   readonly engineOptions?: EngineStandInOptions;
-  /** Settings beside or in place of the bench's own. */
+  /** Settings that extend or override those of the fixture. */
   readonly settings?: Readonly<Record<string, unknown>>;
-  /** Settings of the platform beside its urls. */
+  /** Settings of the platform that extend its URLs. */
   readonly platform?: Readonly<Record<string, unknown>>;
-  /** Urls in place of those of stand-ins, by upstream. */
+  /** URLs that replace those of stand-ins, by upstream. */
   readonly upstreamUrls?: Readonly<Record<string, string>>;
-  /** Puts something before a stand-in; gives the url to use in its place. */
+  /** Starts a proxy in front of a stand-in and returns the proxy's URL. */
   readonly createProxy?: (url: string) => Promise<string>;
 }
 
-/** One entry host over stand-ins, all in this process. */
+/**
+ * An entry host with stand-ins for its upstreams and platform, in one process.
+ */
 export interface EntryFixture {
   readonly callerPort: number;
   readonly operatorPort: number;
@@ -44,14 +46,14 @@
   readonly engines: readonly EngineStandIn[];
   readonly plainServices: readonly PlainStandIn[];
   readonly platform: PlatformStandIn;
-  /** What the operator port would tell. */
+  /** The status document of the operator port. */
   status(): { openExchanges: number; counters: Record<string, number> };
   /** The sum of a counter over all its tags. */
   counter(name: string): number;
   stop(): Promise<void>;
 }
 
-/** Resolves once a condition holds; the test's own timeout is the only bound. */
+/** Resolves once a condition holds; limited by the test's timeout only. */
 export async function until(condition: () => boolean): Promise<void> {
   while (!condition()) await pause(POLL_MS);
 }
@@ -74,7 +76,7 @@
   };
 }
 
-/** Starts an entry host in front of stand-ins and waits until it is ready. */
+/** Starts an entry host with stand-ins and waits until it is ready. */
 export async function startEntryFixture(
   options: EntryFixtureOptions = {},
 ): Promise<EntryFixture> {
@@ -82,12 +84,12 @@
     { length: options.engines ?? 1 },
     () => new EngineStandIn({ timeScale: 50, ...options.engineOptions }),
   );
-  const plains = Array.from(
+  const plainServices = Array.from(
     { length: options.plainServices ?? 1 },
     () => new PlainStandIn(),
   );
   const platform = new PlatformStandIn();
-  const bundle = await bundleOver({ engines, plainServices: plains }, options);
+  const bundle = await createBundle({ engines, plainServices }, options);
   platform.setBundle(signBundle(bundle, exampleSigningKey())._unsafeUnwrap());
   platform.setHosts({
     version: 1,
@@ -121,24 +123,24 @@
     callerUrl: `http://${ADDRESS}:${started.ports.callerPort}`,
     bundle,
     engines,
-    plainServices: plains,
+    plainServices,
     platform,
     status,
     counter: (name) => sumOf(status().counters, name),
     async stop(): Promise<void> {
       await started.stop();
-      const standIns = [...engines, ...plains, platform];
+      const standIns = [...engines, ...plainServices, platform];
       await Promise.all(standIns.map((standIn) => standIn.stop()));
     },
   };
 }
 
-async function bundleOver(
-  { engines, plainServices: plains }: Pick<
+async function createBundle(
+  { engines, plainServices }: Pick<
     EntryFixture,
     "engines" | "plainServices"
   >,
-  { upstreamUrls = {}, createProxy: proxied = Promise.resolve.bind(Promise) }:
+  { upstreamUrls = {}, createProxy = Promise.resolve.bind(Promise) }:
     EntryFixtureOptions,
 ): Promise<Bundle> {
   const example = exampleBundle("fukuoka");
@@ -146,7 +148,7 @@
   for (
     const [service, standIns] of [["drafter", engines], [
       "casefile",
-      plains,
+      plainServices,
     ]] as const
   ) {
     const upstreams = example.upstreams.filter((upstream) =>
@@ -155,7 +157,7 @@
     for (const [index, standIn] of standIns.entries()) {
       const { upstream } = upstreams[index]!;
       urls[upstream] = upstreamUrls[upstream] ??
-        await proxied((await standIn.start()).url);
+        await createProxy((await standIn.start()).url);
     }
   }
   const bundle = exampleBundle("fukuoka", { upstreamUrls: urls });
@@ -169,7 +171,7 @@
     .reduce((sum, [, value]) => sum + value, 0);
 }
 
-/** The `Authorization` value of an example account. */
+/** The `Authorization` header value of an example account. */
 export function bearer(account = "hakata-mediation"): string {
   return `Bearer ${demoApiKey(account)}`;
 }
--- a/apps/entry/tests/helpers/rawHttp.ts
+++ b/apps/entry/tests/helpers/rawHttp.ts
@@ -2,7 +2,7 @@
 import { once } from "node:events";
 import { connect, type Socket } from "node:net";
 
-/** An answer as it stood on the connection. */
+/** An HTTP response as received on the connection. */
 export interface RawResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
@@ -12,11 +12,11 @@
 /** Options of {@link sendRawRequest}. */
 export interface RawRequestOptions {
   readonly port: number;
-  /** Whether this side closes its half after what it sent. */
+  /** Whether to close the sending half of the connection after the request. */
   readonly shouldHalfClose?: boolean;
 }
 
-/** Opens a connection to a port of this machine. */
+/** Opens a connection to a port of the loopback address. */
 export async function openSocket(port: number): Promise<Socket> {
   const socket = connect({ port, host: "127.0.0.1" });
   socket.on("error", () => {});
@@ -24,19 +24,19 @@
   return socket;
 }
 
-/** Sends bytes as they are and reads until the other side closes. */
+/** Sends raw bytes and reads until the other side closes the connection. */
 export async function sendRawRequest(
   bytes: string | Buffer,
-  { port, shouldHalfClose: endsAfter = false }: RawRequestOptions,
+  { port, shouldHalfClose = false }: RawRequestOptions,
 ): Promise<RawResponse | undefined> {
   const socket = await openSocket(port);
-  const answer = readRawResponse(socket);
-  if (endsAfter) socket.end(bytes);
+  const response = readRawResponse(socket);
+  if (shouldHalfClose) socket.end(bytes);
   else socket.write(bytes);
-  return await answer;
+  return await response;
 }
 
-/** What a connection gives until it closes; `undefined` when that is nothing. */
+/** Reads a connection until it closes; `undefined` if it carried nothing. */
 export async function readRawResponse(
   socket: Socket,
 ): Promise<RawResponse | undefined> {
@@ -44,12 +44,12 @@
   socket.on("data", (part: Buffer) => parts.push(part));
   await once(socket, "close");
   const text = Buffer.concat(parts).toString("utf8");
-  return text === "" ? undefined : parseAnswer(text);
+  return text === "" ? undefined : parseResponse(text);
 }
 
-function parseAnswer(text: string): RawResponse {
-  const split = text.indexOf("\r\n\r\n");
-  const [statusLine, ...lines] = text.slice(0, split).split("\r\n");
+function parseResponse(text: string): RawResponse {
+  const headEnd = text.indexOf("\r\n\r\n");
+  const [statusLine, ...lines] = text.slice(0, headEnd).split("\r\n");
   const headers = Object.fromEntries(lines.map((line) => {
     const colon = line.indexOf(":");
     return [
@@ -58,5 +58,5 @@
     ];
   }));
   const status = Number(statusLine!.split(" ")[1]);
-  return { status, headers, body: text.slice(split + 4) };
+  return { status, headers, body: text.slice(headEnd + 4) };
 }
--- a/apps/entry/tests/helpers/scriptedUpstream.ts
+++ b/apps/entry/tests/helpers/scriptedUpstream.ts
@@ -6,7 +6,7 @@
 } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** One call as a scripted upstream sees it. */
+/** One request that a scripted upstream received. */
 export interface ScriptedCall {
   readonly incoming: IncomingMessage;
   readonly outgoing: ServerResponse;
@@ -14,15 +14,15 @@
   readonly body: string;
 }
 
-/** An upstream whose every answer a test writes itself. */
+/** An upstream whose responses are written by the test. */
 export interface ScriptedUpstream {
   readonly url: string;
-  /** Paths of the calls that reached it, without load reports and cache events. */
+  /** Methods and paths of its calls, except load reports and cache events. */
   readonly calls: readonly string[];
   stop(): Promise<void>;
 }
 
-/** Starts an upstream that answers each call as the script does. */
+/** Starts an upstream that handles each request with the script. */
 export async function startScriptedUpstream(
   script: (call: ScriptedCall) => void,
 ): Promise<ScriptedUpstream> {
--- a/apps/entry/tests/metrics.test.ts
+++ b/apps/entry/tests/metrics.test.ts
@@ -41,7 +41,7 @@
   t.is(memory.counter("request.ended", { ending: "whole", tier: 1 }), 2);
 });
 
-test("so many accounts as there are send a bounded number of names", async (t) => {
+test("the number of distinct account tags is limited", async (t) => {
   const { port, lines } = await listenUdp(t);
   const timer = new VirtualTimer();
   const metrics = new StatsdMetrics(new MemoryMetrics(), {
@@ -59,7 +59,7 @@
   t.true(names.has(OTHER_TAG_VALUE));
 });
 
-test("names of a tag are given anew in each interval", (t) => {
+test("the reported values of a tag are chosen anew in each interval", (t) => {
   const timer = new VirtualTimer();
   const tag = new BoundedTag({ timer, maximumValues: 1, intervalMs: 1_000 });
   t.deepEqual(["a", "b", "a"].map((value) => tag.boundedValue(value)), [
@@ -84,7 +84,7 @@
   }
 }
 
-test("a streamed answer tells the mean and the longest time between its tokens", (t) => {
+test("a streamed response reports the mean and the longest gap between tokens", (t) => {
   const timer = new VirtualTimer();
   const metrics = new ObservedMetrics();
   const bundle = exampleBundle("fukuoka");
@@ -103,7 +103,7 @@
   ]);
 });
 
-/** Lines that come by UDP; `more` waits for the next datagram. */
+/** Lines received over UDP; `more` waits for the next datagram. */
 class Lines extends Array<string> {
   more: () => Promise<unknown> = () => Promise.resolve();
 }
--- a/apps/entry/tests/program.test.ts
+++ b/apps/entry/tests/program.test.ts
@@ -47,7 +47,7 @@
   const folder = join(EXAMPLES, deployment);
   const files = readdirSync(folder).filter((name) => name.startsWith("entry-"));
   for (const name of files) {
-    test(`check finds the example ${deployment}/${name} in order`, async (t) => {
+    test(`check accepts the example ${deployment}/${name}`, async (t) => {
       const file = join(folder, name);
       const { exitCode, stdout, stderr } = await run([
         "check",
@@ -78,14 +78,14 @@
     edit: (text) => text.replace(/"host": "entry-1",/, ""),
     says: /entry\.jsonc:\d+:\d+: .*host: Missing value; allowed: /,
   },
-  "a brace too few": {
+  "a missing closing brace": {
     edit: (text) => text.slice(0, text.lastIndexOf("}")),
     says: /entry\.jsonc:\d+:\d+: .*; allowed: /,
   },
 };
 
 for (const [name, { edit, says }] of Object.entries(BROKEN)) {
-  test(`settings with ${name} are named by file, line, path and what is allowed`, async (t) => {
+  test(`settings with ${name} are reported with file, line, path and allowed values`, async (t) => {
     const text = JSON.stringify(fixtureSettings(NO_PLATFORM), undefined, 2);
     const file = settingsFile(t, edit(text));
     const checked = await run(["check", "--settings", file]);
@@ -101,13 +101,13 @@
   });
 }
 
-test("a file that is not there is named", async (t) => {
+test("a missing settings file is reported", async (t) => {
   const { exitCode, stdout } = await run(["check", "--settings", "none.jsonc"]);
   t.is(exitCode, 1);
   t.regex(stdout, /none\.jsonc: Cannot read the file \(ENOENT\)/);
 });
 
-test("a wrong command line gets the exit code of usage", async (t) => {
+test("an invalid command line exits with the usage code", async (t) => {
   for (const args of [[], ["check"], ["chekc"], ["--setings", "a"]]) {
     const { exitCode, stderr } = await run(args);
     t.is(exitCode, 2, args.join(" "));
@@ -119,7 +119,7 @@
   t.is((await run(["--version"])).exitCode, 0);
 });
 
-test("a host that starts says its ports, and ends in order when it is stopped", async (t) => {
+test("a started host prints its ports and exits with 0 when stopped", async (t) => {
   const text = JSON.stringify(fixtureSettings(NO_PLATFORM));
   const { exitCode, stdout, stderr } = await run([
     "--settings",
@@ -132,7 +132,7 @@
   t.true(started.callerPort > 0 && started.operatorPort > 0);
 });
 
-test("a host whose port is taken says so, and ends", async (t) => {
+test("a host whose port is in use reports it and exits", async (t) => {
   const holder = createServer();
   holder.listen(0, "127.0.0.1");
   await once(holder, "listening");
@@ -152,7 +152,7 @@
   }
 });
 
-test("a certificate that cannot be read is named", async (t) => {
+test("an unreadable certificate is reported", async (t) => {
   const tls = { certificateFile: "none.pem", keyFile: "none.pem" };
   for (const name of ["callers", "peers"]) {
     const settings = fixtureSettings(NO_PLATFORM, {
--- a/apps/entry/tests/requestHead.test.ts
+++ b/apps/entry/tests/requestHead.test.ts
@@ -20,7 +20,7 @@
   "%c3%a9",
 ];
 
-/** As an upstream that decodes once more than it should would resolve a path. */
+/** Resolves a path like an upstream that decodes it twice. */
 function resolvedTwice(path: string): string {
   const once = new URL(`http://upstream${path}`).pathname;
   const decoded = once.replace(
@@ -35,7 +35,7 @@
   return parts.join("/");
 }
 
-test("a path that is taken stays below its prefix, however it is resolved", (t) => {
+test("an accepted path stays below its prefix even when decoded twice", (t) => {
   const tails = fc.array(fc.constantFrom(...PIECES), { maxLength: 12 });
   fc.assert(
     fc.property(tails, (tail) => {
@@ -47,7 +47,7 @@
   t.pass();
 });
 
-test("ordinary escapes are taken", (t) => {
+test("paths with ordinary escapes are accepted", (t) => {
   for (
     const path of ["/a", "/a%20b", "/caf%C3%A9", "/100%25", "/a.b/..c", "*"]
   ) {
--- a/apps/entry/tests/responseIntegrity.test.ts
+++ b/apps/entry/tests/responseIntegrity.test.ts
@@ -22,121 +22,120 @@
 const TOKENS = 40;
 const PROMPT = `Draft a visiting calendar ${markTokens(TOKENS)}`;
 
-async function withBench(
+async function createFixture(
   t: ExecutionContext,
   options: EntryFixtureOptions = {},
 ): Promise<EntryFixture> {
-  const bench = await startEntryFixture(options);
-  t.teardown(() => bench.stop());
-  return bench;
+  const fixture = await startEntryFixture(options);
+  t.teardown(() => fixture.stop());
+  return fixture;
 }
 
-function assertWhole(t: ExecutionContext, answer: ChatResponse): void {
-  t.is(answer.status, 200);
-  t.is(answer.content, expectedAnswer(PROMPT, TOKENS));
-  t.true(answer.isComplete);
-  t.is(answer.problem, undefined);
+function assertComplete(t: ExecutionContext, response: ChatResponse): void {
+  t.is(response.status, 200);
+  t.is(response.content, expectedAnswer(PROMPT, TOKENS));
+  t.true(response.isComplete);
+  t.is(response.problem, undefined);
 }
 
 function assertFailed(
   t: ExecutionContext,
-  { isComplete: isWhole, problem }: ChatResponse,
+  { isComplete, problem }: ChatResponse,
   { name, ending = "unknown" }: { name: string; ending?: string },
 ): void {
-  t.false(isWhole);
+  t.false(isComplete);
   t.is(problem?.type, `urn:wasabivane:problem:${name}`);
   t.is(problem?.ending, ending);
 }
 
-function starts({ engines }: EntryFixture): number[] {
+function startCounts({ engines }: EntryFixture): number[] {
   return engines.flatMap(({ state }) =>
     Object.values(state.runs).map(({ starts }) => starts)
   );
 }
 
 for (const stream of [true, false]) {
-  const form = stream ? "streamed" : "whole";
+  const form = stream ? "streamed" : "complete";
 
-  test(`a ${form} answer with another's nonce reaches no caller and its run is cancelled`, async (t) => {
-    const bench = await withBench(t);
-    bench.engines[0]!.control("wrong-nonce");
+  test(`a ${form} response with another nonce is not relayed and its run is cancelled`, async (t) => {
+    const fixture = await createFixture(t);
+    fixture.engines[0]!.control("wrong-nonce");
     const prompt = `Draft ${markTokens(50_000)}`;
-    const answer = await sendChat(bench, {
+    const response = await sendChat(fixture, {
       prompt: stream ? prompt : PROMPT,
       stream,
     });
-    assertFailed(t, answer, { name: "answer-not-own" });
-    t.is(answer.status, 502);
-    t.is(answer.content, "");
-    t.is(bench.counter("safeguard.answer_not_own"), 1);
-    t.is(bench.status().openExchanges, 0);
+    assertFailed(t, response, { name: "answer-not-own" });
+    t.is(response.status, 502);
+    t.is(response.content, "");
+    t.is(fixture.counter("safeguard.answer_not_own"), 1);
+    t.is(fixture.status().openExchanges, 0);
     await until(() =>
-      Object.values(bench.engines[0]!.state.runs)
+      Object.values(fixture.engines[0]!.state.runs)
         .every(({ state }) => state !== "running")
     );
-    t.deepEqual(starts(bench), [1]);
+    t.deepEqual(startCounts(fixture), [1]);
   });
 
-  test(`a truncated ${form} answer is resumed without a gap or a double`, async (t) => {
-    const bench = await withBench(t);
-    bench.engines[0]!.control("truncate", { count: 2, afterTokens: 7 });
-    assertWhole(t, await sendChat(bench, { prompt: PROMPT, stream }));
-    t.is(bench.counter("safeguard.resume"), 2);
-    t.deepEqual(starts(bench), [1]);
+  test(`a truncated ${form} response is resumed without gaps or duplicates`, async (t) => {
+    const fixture = await createFixture(t);
+    fixture.engines[0]!.control("truncate", { count: 2, afterTokens: 7 });
+    assertComplete(t, await sendChat(fixture, { prompt: PROMPT, stream }));
+    t.is(fixture.counter("safeguard.resume"), 2);
+    t.deepEqual(startCounts(fixture), [1]);
   });
 
-  test(`a broken ${form} answer is resumed without a gap or a double`, async (t) => {
-    const bench = await withBench(t);
-    bench.engines[0]!.control("break-streams", { count: 2, afterTokens: 7 });
-    assertWhole(t, await sendChat(bench, { prompt: PROMPT, stream }));
-    t.is(bench.counter("safeguard.resume"), 2);
-    t.deepEqual(starts(bench), [1]);
+  test(`a broken ${form} response is resumed without gaps or duplicates`, async (t) => {
+    const fixture = await createFixture(t);
+    fixture.engines[0]!.control("break-streams", { count: 2, afterTokens: 7 });
+    assertComplete(t, await sendChat(fixture, { prompt: PROMPT, stream }));
+    t.is(fixture.counter("safeguard.resume"), 2);
+    t.deepEqual(startCounts(fixture), [1]);
   });
 
-  // The engine sends another answer behind the first on the same connection.
-  // The caller of the first must get the first alone, and the next caller,
-  // whose request may go over that connection, its own.
-  test(`a second answer behind a ${form} one reaches nobody`, async (t) => {
-    const bench = await withBench(t);
-    bench.engines[0]!.control("second-answer");
-    assertWhole(t, await sendChat(bench, { prompt: PROMPT, stream }));
+  // Guards against relaying a second response, which the engine sends on the
+  // same connection, to the caller of the first or of the next request.
+  test(`a second response after a ${form} one reaches no caller`, async (t) => {
+    const fixture = await createFixture(t);
+    fixture.engines[0]!.control("second-answer");
+    assertComplete(t, await sendChat(fixture, { prompt: PROMPT, stream }));
     const next = `Another ${markTokens(TOKENS)}`;
-    const answer = await sendChat(bench, { prompt: next, stream });
-    const isTruthful = answer.isComplete
-      ? answer.content === expectedAnswer(next, TOKENS)
-      : answer.problem?.ending === "unknown" && answer.content === "";
-    t.true(isTruthful, answer.text);
-    if (stream) t.is(bench.counter("safeguard.excess_answer"), 1);
+    const response = await sendChat(fixture, { prompt: next, stream });
+    const isOwnResponse = response.isComplete
+      ? response.content === expectedAnswer(next, TOKENS)
+      : response.problem?.ending === "unknown" && response.content === "";
+    t.true(isOwnResponse, response.text);
+    if (stream) t.is(fixture.counter("safeguard.excess_answer"), 1);
   });
 }
 
-test("an engine that crashes within a stream ends it with an error event", async (t) => {
-  const bench = await withBench(t);
-  const answer = await openChat(bench, { prompt: markTokens(100_000) });
+test("an engine crash during a stream ends it with an error event", async (t) => {
+  const fixture = await createFixture(t);
+  const response = await openChat(fixture, { prompt: markTokens(100_000) });
   let text = "";
   const decoder = new TextDecoder();
-  for await (const part of answer.body!) {
-    if (text === "") bench.engines[0]!.control("crash");
+  for await (const part of response.body!) {
+    if (text === "") fixture.engines[0]!.control("crash");
     text += decoder.decode(part as Uint8Array, { stream: true });
   }
-  assertFailed(t, parseChatResponse(answer.status, text), {
+  assertFailed(t, parseChatResponse(response.status, text), {
     name: "answer-broken",
   });
   t.false(text.includes("[DONE]"));
-  t.deepEqual(starts(bench), [1]);
-  t.is(bench.status().openExchanges, 0);
+  t.deepEqual(startCounts(fixture), [1]);
+  t.is(fixture.status().openExchanges, 0);
 });
 
-test("an engine that answers 5xx may have run the request, so it ends as unknown", async (t) => {
-  const bench = await withBench(t, { engines: 2 });
-  for (const engine of bench.engines) engine.control("refuse");
-  const answer = await sendChat(bench, { prompt: PROMPT });
-  assertFailed(t, answer, { name: "upstream-refused" });
-  t.is(answer.status, 502);
+test("an engine's 5xx status ends the request as unknown", async (t) => {
+  const fixture = await createFixture(t, { engines: 2 });
+  for (const engine of fixture.engines) engine.control("refuse");
+  const response = await sendChat(fixture, { prompt: PROMPT });
+  assertFailed(t, response, { name: "upstream-refused" });
+  t.is(response.status, 502);
 });
 
-// Every header is right, but the engine mixes another answer's chunk in.
-test("a chunk with another's id ends the stream with an error event", async (t) => {
+// Guards against relaying a chunk of another response under a correct header.
+test("a chunk with another id ends the stream with an error event", async (t) => {
   const engine = await startScriptedUpstream(({ outgoing, nonce }) => {
     outgoing.writeHead(200, { "x-request-nonce": nonce });
     for (const id of [nonce, "another"]) {
@@ -147,13 +146,13 @@
     }
   });
   t.teardown(() => engine.stop());
-  const bench = await withBench(t, {
+  const fixture = await createFixture(t, {
     upstreamUrls: { "drafter-01": engine.url },
   });
-  const answer = await sendChat(bench, { prompt: PROMPT });
-  assertFailed(t, answer, { name: "answer-not-own" });
-  t.false(answer.text.includes("another"));
-  t.is(bench.counter("safeguard.answer_not_own"), 1);
+  const response = await sendChat(fixture, { prompt: PROMPT });
+  assertFailed(t, response, { name: "answer-not-own" });
+  t.false(response.text.includes("another"));
+  t.is(fixture.counter("safeguard.answer_not_own"), 1);
   await until(() => engine.calls.some((call) => call.startsWith("DELETE ")));
   t.is(engine.calls.filter((call) => call.endsWith("/completions")).length, 1);
 });
@@ -164,83 +163,88 @@
   readonly ending?: string;
 }
 
-async function callPlain(
+async function callPlainService(
   { callerUrl }: EntryFixture,
   { method = "POST", path = "/casefile/a" } = {},
 ): Promise<PlainProblem> {
   const headers = { authorization: bearer() };
-  const answer = await fetch(`${callerUrl}${path}`, { method, headers });
-  const body = answer.status === 204 ? "" : await answer.text();
-  return { ...JSON.parse(body || "{}"), status: answer.status };
+  const response = await fetch(`${callerUrl}${path}`, { method, headers });
+  const body = response.status === 204 ? "" : await response.text();
+  return { ...JSON.parse(body || "{}"), status: response.status };
 }
 
-test("a plain service that breaks off after it ran is called once, with an unknown ending", async (t) => {
-  const bench = await withBench(t, { plainServices: 3 });
-  for (const plain of bench.plainServices) plain.control("reset-after-run");
-  const answer = await callPlain(bench);
-  t.like(answer, {
+test("a plain service that breaks off its response is called once and ends as unknown", async (t) => {
+  const fixture = await createFixture(t, { plainServices: 3 });
+  for (const plainService of fixture.plainServices) {
+    plainService.control("reset-after-run");
+  }
+  const response = await callPlainService(fixture);
+  t.like(response, {
     status: 502,
     type: "urn:wasabivane:problem:answer-broken",
     ending: "unknown",
   });
-  t.is(bench.plainServices.reduce((sum, { runs }) => sum + runs.total, 0), 1);
-  t.is(bench.status().openExchanges, 0);
+  t.is(fixture.plainServices.reduce((sum, { runs }) => sum + runs.total, 0), 1);
+  t.is(fixture.status().openExchanges, 0);
 });
 
-test("a plain service's answer with another's nonce reaches no caller", async (t) => {
-  const bench = await withBench(t);
-  bench.plainServices[0]!.control("wrong-nonce");
-  t.like(await callPlain(bench), {
+test("a plain service's response with another nonce reaches no caller", async (t) => {
+  const fixture = await createFixture(t);
+  fixture.plainServices[0]!.control("wrong-nonce");
+  t.like(await callPlainService(fixture), {
     status: 502,
     type: "urn:wasabivane:problem:answer-not-own",
     ending: "unknown",
   });
-  t.is(bench.counter("safeguard.answer_not_own"), 1);
+  t.is(fixture.counter("safeguard.answer_not_own"), 1);
 });
 
-test("a plain service that refuses the connection gives way to another, with one run", async (t) => {
-  const bench = await withBench(t, { plainServices: 3 });
-  await bench.plainServices[0]!.stop();
+test("a request refused by one plain service runs once at another", async (t) => {
+  const fixture = await createFixture(t, { plainServices: 3 });
+  await fixture.plainServices[0]!.stop();
   let calls = 0;
-  while (bench.counter("safeguard.connection_refused") === 0) {
-    t.is((await callPlain(bench)).status, 200);
+  while (fixture.counter("safeguard.connection_refused") === 0) {
+    t.is((await callPlainService(fixture)).status, 200);
     calls++;
   }
   t.is(
-    bench.plainServices.reduce((sum, { runs }) => sum + runs.total, 0),
+    fixture.plainServices.reduce((sum, { runs }) => sum + runs.total, 0),
     calls,
   );
 });
 
 const MEBIBYTE = 1024 * 1024;
 
-// Large answers are relayed before they are whole. What was sent of a broken
-// one must not look like a whole answer: the caller's connection breaks.
-for (const isWhole of [true, false]) {
-  const ending = isWhole ? "arrives whole" : "that breaks is cut visibly";
-  test(`a large answer of a plain service ${ending}`, async (t) => {
-    const plain = await startScriptedUpstream(({ outgoing, nonce }) => {
+// Guards against a truncated large response that looks complete to its caller.
+for (const isComplete of [true, false]) {
+  const ending = isComplete
+    ? "arrives completely"
+    : "that is truncated breaks the connection";
+  test(`a large response of a plain service ${ending}`, async (t) => {
+    const plainService = await startScriptedUpstream(({ outgoing, nonce }) => {
       outgoing.writeHead(200, { "x-request-nonce": nonce });
       const sent = outgoing.write(Buffer.alloc(8 * MEBIBYTE, "x"), () => {
-        if (isWhole) outgoing.end();
+        if (isComplete) outgoing.end();
         else outgoing.destroy();
       });
       t.false(sent);
     });
-    t.teardown(() => plain.stop());
-    const bench = await withBench(t, {
-      upstreamUrls: { "casefile-1": plain.url },
+    t.teardown(() => plainService.stop());
+    const fixture = await createFixture(t, {
+      upstreamUrls: { "casefile-1": plainService.url },
     });
     const headers = { authorization: bearer() };
-    const answer = await fetch(`${bench.callerUrl}/casefile/a`, { headers });
-    t.is(answer.status, 200);
-    if (isWhole) t.is((await answer.text()).length, 8 * MEBIBYTE);
-    else await t.throwsAsync(answer.text());
-    await until(() => bench.status().openExchanges === 0);
+    const response = await fetch(`${fixture.callerUrl}/casefile/a`, {
+      headers,
+    });
+    t.is(response.status, 200);
+    if (isComplete) t.is((await response.text()).length, 8 * MEBIBYTE);
+    else await t.throwsAsync(response.text());
+    await until(() => fixture.status().openExchanges === 0);
   });
 }
 
-test("an engine's whole answer without end is given up", async (t) => {
+test("an endless response of an engine is aborted", async (t) => {
   let isClosed = false;
   const engine = await startScriptedUpstream(
     ({ incoming, outgoing, nonce }) => {
@@ -254,43 +258,44 @@
     },
   );
   t.teardown(() => engine.stop());
-  const bench = await withBench(t, {
+  const fixture = await createFixture(t, {
     upstreamUrls: { "drafter-01": engine.url },
   });
-  const answer = await sendChat(bench, { prompt: PROMPT, stream: false });
-  assertFailed(t, answer, { name: "answer-broken" });
+  const response = await sendChat(fixture, { prompt: PROMPT, stream: false });
+  assertFailed(t, response, { name: "answer-broken" });
   await until(() => isClosed);
 });
 
-test("when every plain service refuses the connection, nothing has run", async (t) => {
-  const bench = await withBench(t);
-  await bench.plainServices[0]!.stop();
-  t.like(await callPlain(bench), { status: 503, ending: "not-run" });
-  t.is(bench.status().openExchanges, 0);
+test("a request that every plain service refuses to connect ends as not run", async (t) => {
+  const fixture = await createFixture(t);
+  await fixture.plainServices[0]!.stop();
+  t.like(await callPlainService(fixture), { status: 503, ending: "not-run" });
+  t.is(fixture.status().openExchanges, 0);
 });
 
-// An upstream may close an idle connection in the very moment in which a call
-// is sent on it. The call is then lost without anyone knowing whether it ran,
-// so what may not run twice goes over a connection of its own.
-test("a call that may not run twice never goes over a used connection", async (t) => {
+// Guards against sending a non-idempotent request on an idle connection that
+// the upstream is closing, which leaves unknown whether the request ran.
+test("a non-idempotent request never uses an existing connection", async (t) => {
   const seen = new Set<unknown>();
   const closeUsed = ({ incoming, outgoing, nonce }: ScriptedCall): void => {
     if (seen.has(incoming.socket)) return void incoming.socket.destroy();
     seen.add(incoming.socket);
     outgoing.writeHead(200, { "x-request-nonce": nonce }).end("{}");
   };
-  const plain = await startScriptedUpstream(closeUsed);
-  t.teardown(() => plain.stop());
-  const bench = await withBench(t, {
-    upstreamUrls: { "casefile-1": plain.url },
+  const plainService = await startScriptedUpstream(closeUsed);
+  t.teardown(() => plainService.stop());
+  const fixture = await createFixture(t, {
+    upstreamUrls: { "casefile-1": plainService.url },
   });
   for (let call = 0; call < 4; call++) {
     t.is(
-      (await callPlain(bench, { method: call % 2 === 0 ? "GET" : "POST" }))
+      (await callPlainService(fixture, {
+        method: call % 2 === 0 ? "GET" : "POST",
+      }))
         .status,
       200,
     );
     if (call === 1) seen.clear();
   }
-  t.is(plain.calls.length, 4);
+  t.is(plainService.calls.length, 4);
 });
--- a/apps/entry/tests/responseRelay.test.ts
+++ b/apps/entry/tests/responseRelay.test.ts
@@ -18,7 +18,7 @@
 interface RelayPair {
   readonly timer: VirtualTimer;
   readonly network: MemoryNetwork;
-  readonly answer: BufferedResponse;
+  readonly ownedResponse: BufferedResponse;
   join(): BufferedResponse;
 }
 
@@ -29,44 +29,42 @@
     random: new SeededRandom(1),
     duplicateShare,
   });
-  const answer = new BufferedResponse({ isReplayable: true });
+  const ownedResponse = new BufferedResponse({ isReplayable: true });
   const relays = [OWNER, READER].map((host) =>
     new ResponseRelay({
       link: network.join(host),
       timer,
       metrics: new MemoryMetrics(),
-      findResponse: () => host === OWNER ? answer : undefined,
+      findResponse: () => host === OWNER ? ownedResponse : undefined,
     })
   );
   for (const relay of relays) relay.start();
   const join = (): BufferedResponse => {
-    const record = new BufferedResponse({ isReplayable: true });
-    void relays[1]!.copyResponse({ owner: OWNER, request: REQUEST, record });
-    return record;
+    const response = new BufferedResponse({ isReplayable: true });
+    void relays[1]!.copyResponse({ owner: OWNER, request: REQUEST, response });
+    return response;
   };
-  return { timer, network, answer, join };
+  return { timer, network, ownedResponse, join };
 }
 
-/** Lets promises settle between the steps of virtual time. */
-async function pass(timer: VirtualTimer, span: number): Promise<void> {
-  for (let at = 0; at < span; at += 10) {
+/** Advances virtual time in steps, between which promises settle. */
+async function advance(timer: VirtualTimer, span: number): Promise<void> {
+  for (let elapsed = 0; elapsed < span; elapsed += 10) {
     timer.advance(10);
     await new Promise((resolve) => setImmediate(resolve));
   }
 }
 
-// A caller sends the same request three times through one host while it waits
-// at another. Each of the three takes only the pieces that answer its own reads;
-// before, the reads doubled with every piece and the host ran out of memory
-// (faults, seed 11, schedule 2771).
-test("several resends through one host do not multiply their reads", async (t) => {
-  const { timer, network, answer, join } = startPair(0.1);
-  const records = [join(), join(), join()];
-  await pass(timer, 10_000);
+// Guards against relays of one request that consume each other's chunks, which
+// multiplies their reads.
+test("resends of one request through one host do not multiply reads", async (t) => {
+  const { timer, network, ownedResponse, join } = startPair(0.1);
+  const copies = [join(), join(), join()];
+  await advance(timer, 10_000);
   t.true(network.sentMessages < 200, `${network.sentMessages} messages`);
-  answer.writeHead({ status: 200, headers: {} });
-  answer.append(Buffer.from("whole"));
-  answer.finish({ kind: "whole" });
-  await pass(timer, 1_000);
-  t.deepEqual(records.map(({ end }) => end?.kind), ["whole", "whole", "whole"]);
+  ownedResponse.writeHead({ status: 200, headers: {} });
+  ownedResponse.append(Buffer.from("whole"));
+  ownedResponse.finish({ kind: "whole" });
+  await advance(timer, 1_000);
+  t.deepEqual(copies.map(({ end }) => end?.kind), ["whole", "whole", "whole"]);
 });
--- a/apps/entry/tests/retainedResponses.test.ts
+++ b/apps/entry/tests/retainedResponses.test.ts
@@ -3,21 +3,21 @@
 import { asId, type RequestId } from "@wasabivane/common";
 import { BufferedResponse, RetainedResponses } from "@wasabivane/entry";
 
-function answerOf(bytes: number): BufferedResponse {
-  const record = new BufferedResponse({ isReplayable: true });
-  record.append(Buffer.alloc(bytes));
-  return record;
+function createResponse(bytes: number): BufferedResponse {
+  const response = new BufferedResponse({ isReplayable: true });
+  response.append(Buffer.alloc(bytes));
+  return response;
 }
 
-test("ended answers leave oldest first, running ones stay", (t) => {
-  const kept = new RetainedResponses(20_000);
+test("ended responses are evicted oldest first and running ones stay", (t) => {
+  const retained = new RetainedResponses(20_000);
   const names = ["r1", "r2", "r3"].map((name) => asId<RequestId>(name));
-  for (const name of names) kept.add(name, answerOf(7_000));
-  kept.recordEnd(names[0]!);
-  kept.recordEnd(names[1]!);
-  t.truthy(kept.find(names[0]!));
-  kept.recordEnd(names[2]!);
-  t.deepEqual(names.map((name) => kept.find(name) !== undefined), [
+  for (const name of names) retained.add(name, createResponse(7_000));
+  retained.recordEnd(names[0]!);
+  retained.recordEnd(names[1]!);
+  t.truthy(retained.find(names[0]!));
+  retained.recordEnd(names[2]!);
+  t.deepEqual(names.map((name) => retained.find(name) !== undefined), [
     false,
     true,
     true,
--- a/apps/entry/tests/tls.test.ts
+++ b/apps/entry/tests/tls.test.ts
@@ -34,13 +34,15 @@
 const SECRET = "secret-of-the-bench";
 const ENTRY = asId<HostId>("entry-1");
 
-interface Issued {
+interface IssuedCertificates {
   readonly authority: Certificate;
   readonly first: Certificate;
   readonly folder: CertificateFolder;
 }
 
-async function issue(t: ExecutionContext): Promise<Issued> {
+async function issueCertificates(
+  t: ExecutionContext,
+): Promise<IssuedCertificates> {
   const authority = await createAuthority("authority");
   const first = await createCertificate(authority);
   const folder = new CertificateFolder(t, authority);
@@ -48,16 +50,16 @@
   return { authority, first, folder };
 }
 
-async function withBench(
+async function createFixture(
   t: ExecutionContext,
   options: EntryFixtureOptions,
 ): Promise<EntryFixture> {
-  const bench = await startEntryFixture(options);
-  t.teardown(() => bench.stop());
-  return bench;
+  const fixture = await startEntryFixture(options);
+  t.teardown(() => fixture.stop());
+  return fixture;
 }
 
-async function untilShown(
+async function waitForCertificate(
   port: number,
   { ca, expected, client = {} }: {
     ca: string;
@@ -70,88 +72,89 @@
   );
 }
 
-test("callers and operators speak TLS", async (t) => {
-  const { authority, folder } = await issue(t);
+test("caller and operator ports serve TLS", async (t) => {
+  const { authority, folder } = await issueCertificates(t);
   const tls = folder.files;
-  const bench = await withBench(t, {
+  const fixture = await createFixture(t, {
     settings: { callers: { port: 0, tls }, operators: { port: 0, tls } },
   });
   const agent = new Agent({ connect: { ca: authority.cert } });
   t.teardown(() => agent.destroy());
-  const answer = await fetchOver(
-    `https://127.0.0.1:${bench.callerPort}/casefile/a`,
+  const response = await fetchOver(
+    `https://127.0.0.1:${fixture.callerPort}/casefile/a`,
     { headers: { authorization: bearer() }, dispatcher: agent },
   );
-  t.is(answer.status, 200);
-  await answer.text();
+  t.is(response.status, 200);
+  await response.text();
   const health = await fetchOver(
-    `https://127.0.0.1:${bench.operatorPort}/health`,
+    `https://127.0.0.1:${fixture.operatorPort}/health`,
     { dispatcher: agent },
   );
   t.deepEqual(await health.json(), { status: "ok" });
 });
 
-// The two files of a renewed pair are never written at one moment. Between the
-// writes they do not fit together, and a host that took them would refuse all.
-test("a renewed certificate is taken without a restart, once its key fits", async (t) => {
-  const { authority, first, folder } = await issue(t);
-  const bench = await withBench(t, {
+// Guards against loading a certificate whose key file was not written yet.
+test("a renewed certificate is loaded without a restart once its key matches", async (t) => {
+  const { authority, first, folder } = await issueCertificates(t);
+  const fixture = await createFixture(t, {
     settings: { callers: { port: 0, tls: folder.files } },
   });
   const renewed = await createCertificate(authority);
   const ca = authority.cert;
   folder.write({ cert: renewed.cert });
-  await until(() => bench.counter("certificate.not_taken") > 0);
-  await untilShown(bench.callerPort, { ca, expected: first.cert });
+  await until(() => fixture.counter("certificate.not_taken") > 0);
+  await waitForCertificate(fixture.callerPort, { ca, expected: first.cert });
   folder.write({ key: renewed.key });
-  await untilShown(bench.callerPort, { ca, expected: renewed.cert });
-  t.true(bench.counter("certificate.renewed") > 0);
+  await waitForCertificate(fixture.callerPort, { ca, expected: renewed.cert });
+  t.true(fixture.counter("certificate.renewed") > 0);
 });
 
 test("an operator port with an authority refuses clients without a certificate", async (t) => {
-  const { authority, first, folder } = await issue(t);
+  const { authority, first, folder } = await issueCertificates(t);
   const tls = { ...folder.files, authorityFile: folder.authorityFile };
-  const bench = await withBench(t, {
+  const fixture = await createFixture(t, {
     settings: { operators: { port: 0, tls } },
   });
   const ca = authority.cert;
-  const url = `https://127.0.0.1:${bench.operatorPort}/health`;
+  const url = `https://127.0.0.1:${fixture.operatorPort}/health`;
   for (const client of [{}, first]) {
     const agent = new Agent({ connect: { ca, ...client } });
-    const answer = fetchOver(url, { dispatcher: agent });
-    if (client === first) t.is((await answer).status, 200);
-    else await t.throwsAsync(answer);
+    const response = fetchOver(url, { dispatcher: agent });
+    if (client === first) t.is((await response).status, 200);
+    else await t.throwsAsync(response);
     await agent.destroy();
   }
 });
 
-test("a peer with a wrong secret or a foreign certificate is refused, a renewed certificate taken", async (t) => {
-  const { authority, first, folder } = await issue(t);
+test("a peer with a wrong secret or certificate is refused and a renewed certificate is loaded", async (t) => {
+  const { authority, first, folder } = await issueCertificates(t);
   const tls = { ...folder.files, authorityFile: folder.authorityFile };
-  const bench = await withBench(t, {
+  const fixture = await createFixture(t, {
     settings: { peers: { port: 0, tls, secrets: [SECRET] } },
   });
   const ca = authority.cert;
-  openLink(t, bench, { certificate: { ...first, ca } });
-  await until(() => bench.counter("answer.piece_sent") > 0);
-  t.is(bench.counter("peer_rejected"), 0);
-  openLink(t, bench, {
+  openLink(t, fixture, { certificate: { ...first, ca } });
+  await until(() => fixture.counter("answer.piece_sent") > 0);
+  t.is(fixture.counter("peer_rejected"), 0);
+  openLink(t, fixture, {
     certificate: { ...first, ca },
     secret: "another secret",
   });
-  await until(() => bench.counter("peer_rejected") > 0);
+  await until(() => fixture.counter("peer_rejected") > 0);
   const foreign = await createCertificate(await createAuthority("other"));
-  const port = bench.peerPort;
+  const port = fixture.peerPort;
   t.true(await canOpenWebSocket(port, { ca, ...first }));
   t.false(await canOpenWebSocket(port, { ca, ...foreign }));
   t.false(await canOpenWebSocket(port, { ca }));
   const renewed = await createCertificate(authority);
   folder.write(renewed);
-  await untilShown(port, { ca, expected: renewed.cert, client: first });
-  t.true(bench.counter("certificate.renewed") > 0);
+  await waitForCertificate(port, { ca, expected: renewed.cert, client: first });
+  t.true(fixture.counter("certificate.renewed") > 0);
 });
 
-/** A peer that asks for an answer; the entry host counts its reply. */
+/**
+ * Opens a peer link and requests a response, whose reply the entry host counts.
+ */
 function openLink(
   t: ExecutionContext,
   { peerPort }: EntryFixture,
@@ -177,34 +180,34 @@
   });
 }
 
-test("upstreams and the platform are reached over https with the settings' authority", async (t) => {
-  const { first, folder } = await issue(t);
+test("upstreams and the platform are reached over https with the configured authority", async (t) => {
+  const { first, folder } = await issueCertificates(t);
   const { authorityFile } = folder;
-  const proxied = (url: string): Promise<string> =>
+  const createProxy = (url: string): Promise<string> =>
     startTlsProxy(t, { url, certificate: first });
-  const bench = await withBench(t, {
-    createProxy: proxied,
+  const fixture = await createFixture(t, {
+    createProxy,
     settings: { upstreams: { authorityFile } },
     platform: { authorityFile },
   });
-  t.true((await sendChat(bench, { prompt: "Draft" })).isComplete);
+  t.true((await sendChat(fixture, { prompt: "Draft" })).isComplete);
 });
 
-test("an upstream with a foreign certificate gets no byte, so nothing has run", async (t) => {
-  const { folder } = await issue(t);
+test("a request to an upstream with an untrusted certificate ends as not run", async (t) => {
+  const { folder } = await issueCertificates(t);
   const foreign = await createCertificate(await createAuthority("other"));
   const { authorityFile } = folder;
-  const plain = await startTlsProxy(t, {
+  const proxyUrl = await startTlsProxy(t, {
     url: "http://127.0.0.1:9",
     certificate: foreign,
   });
-  const bench = await withBench(t, {
-    upstreamUrls: { "casefile-1": plain },
+  const fixture = await createFixture(t, {
+    upstreamUrls: { "casefile-1": proxyUrl },
     settings: { upstreams: { authorityFile } },
   });
-  const answer = await fetch(`${bench.callerUrl}/casefile/a`, {
+  const response = await fetch(`${fixture.callerUrl}/casefile/a`, {
     method: "POST",
     headers: { authorization: bearer() },
   });
-  t.like(await answer.json(), { status: 503, ending: "not-run" });
+  t.like(await response.json(), { status: 503, ending: "not-run" });
 });
