--- a/apps/bundle/src/checkCommand.ts
+++ b/apps/bundle/src/checkCommand.ts
@@ -1,6 +1,6 @@
 import { type BundleFile, readBundleFile } from "@wasabivane/bundle";
 import { type CommandReport, EXIT_OK } from "@wasabivane/common";
-import { documentErrorsReport } from "./documentReport.ts";
+import { documentErrorsReport } from "./documentErrorsReport.ts";
 
 /** Says whether a bundle file is well formed and consistent. */
 export function checkCommand(file: string): CommandReport {
--- a/apps/bundle/src/bundleTemplate.ts
+++ b/apps/bundle/src/createBundleTemplate.ts
@@ -32,7 +32,7 @@
 const INDENT = "  ";
 
 /** A new bundle as JSON with comments, for operators to edit. */
-export function bundleTemplate(deployment: ExampleDeployment): string {
+export function createBundleTemplate(deployment: ExampleDeployment): string {
   const bundle = exampleBundle(deployment);
   const members = Object.entries(bundle).map(([key, value]) => {
     const comments = COMMENTS[key as keyof Bundle] ?? [];
--- a/apps/bundle/src/diffCommand.ts
+++ b/apps/bundle/src/diffCommand.ts
@@ -6,8 +6,8 @@
 } from "@wasabivane/bundle";
 import { type CommandReport, EXIT_FINDINGS, EXIT_OK } from "@wasabivane/common";
 import { Result } from "neverthrow";
-import { documentErrorsReport } from "./documentReport.ts";
-import { changeLine, changesBetween } from "./partChanges.ts";
+import { documentErrorsReport } from "./documentErrorsReport.ts";
+import { findPartChanges, formatPartChange } from "./partChanges.ts";
 
 /** Lists the parts that differ between two bundle files; as `diff`, 1 when any does. */
 export function diffCommand(from: string, to: string): CommandReport {
@@ -19,7 +19,7 @@
 
 function differenceReport(from: Bundle, to: Bundle): CommandReport {
   const comparison = compareBundleParts(from, to)._unsafeUnwrap();
-  const changes = changesBetween(from, comparison);
+  const changes = findPartChanges(from, comparison);
   return {
     exitCode: changes.length === 0 ? EXIT_OK : EXIT_FINDINGS,
     data: {
@@ -33,6 +33,6 @@
         })),
       })),
     },
-    lines: changes.flatMap(changeLine),
+    lines: changes.flatMap(formatPartChange),
   };
 }
--- a/apps/bundle/src/explainCommand.ts
+++ b/apps/bundle/src/explainCommand.ts
@@ -5,7 +5,7 @@
   EXIT_OK,
   UsageError,
 } from "@wasabivane/common";
-import { documentErrorsReport } from "./documentReport.ts";
+import { documentErrorsReport } from "./documentErrorsReport.ts";
 import {
   type ExplainedRequest,
   explainRequest,
--- a/apps/bundle/src/index.ts
+++ b/apps/bundle/src/index.ts
@@ -1,3 +1,3 @@
-export * from "./bundleTemplate.ts";
+export * from "./createBundleTemplate.ts";
 export * from "./explanation.ts";
 export * from "./program.ts";
--- a/apps/bundle/src/initCommand.ts
+++ b/apps/bundle/src/initCommand.ts
@@ -4,8 +4,8 @@
   listAllowed,
 } from "@wasabivane/bundle";
 import { type CommandReport, EXIT_OK, UsageError } from "@wasabivane/common";
-import { bundleTemplate } from "./bundleTemplate.ts";
-import { writeErrorReport, writeNewFile } from "./newFile.ts";
+import { createBundleTemplate } from "./createBundleTemplate.ts";
+import { writeErrorReport, writeNewFile } from "./writeNewFile.ts";
 
 /** Options of {@link initCommand}. */
 export interface InitOptions {
@@ -21,7 +21,7 @@
       `Unknown deployment ${JSON.stringify(deployment)}; allowed: ${allowed}`,
     );
   }
-  const text = bundleTemplate(deployment);
+  const text = createBundleTemplate(deployment);
   if (out === undefined) {
     return { exitCode: EXIT_OK, data: { text }, lines: [text.trimEnd()] };
   }
--- a/apps/bundle/src/keygenCommand.ts
+++ b/apps/bundle/src/keygenCommand.ts
@@ -1,7 +1,11 @@
 import { createHash } from "node:crypto";
 import { generateSigningKey, trustedKeyOf } from "@wasabivane/bundle";
 import { type CommandReport, EXIT_OK } from "@wasabivane/common";
-import { PRIVATE_MODE, writeErrorReport, writeNewFile } from "./newFile.ts";
+import {
+  PRIVATE_FILE_MODE,
+  writeErrorReport,
+  writeNewFile,
+} from "./writeNewFile.ts";
 
 const KEY_ID_DIGITS = 8;
 
@@ -18,7 +22,7 @@
   const file = options.out ?? `${keyId}.pem`;
   const text = privateKey.export({ type: "pkcs8", format: "pem" }).toString();
   const pinned = trustedKeyOf({ keyId, privateKey });
-  return writeNewFile(file, { text, mode: PRIVATE_MODE }).match(
+  return writeNewFile(file, { text, mode: PRIVATE_FILE_MODE }).match(
     () => ({
       exitCode: EXIT_OK,
       data: { file, trustedKey: pinned },
--- a/apps/bundle/src/partChanges.ts
+++ b/apps/bundle/src/partChanges.ts
@@ -30,7 +30,7 @@
 };
 
 /** The changes of a comparison, down to the values. */
-export function changesBetween(
+export function findPartChanges(
   from: Bundle,
   { changed, removed }: PartComparison,
 ): PartChange[] {
@@ -51,7 +51,7 @@
 }
 
 /** A change as people read it: one line, and one more for each value. */
-export function changeLine({ kind, key, values }: PartChange): string[] {
+export function formatPartChange({ kind, key, values }: PartChange): string[] {
   const details = values.map(({ path, former, later }) =>
     `    ${formatPath(path)}: ${textOf(former)} -> ${textOf(later)}`
   );
--- a/apps/bundle/src/program.ts
+++ b/apps/bundle/src/program.ts
@@ -16,7 +16,7 @@
 import { verifyCommand } from "./verifyCommand.ts";
 
 /** How to run the tool. */
-export interface BundleToolRun {
+export interface BundleToolOptions {
   readonly argv: readonly string[];
   readonly output: CommandOutput;
   readonly version: string;
@@ -24,7 +24,7 @@
 
 /** Runs `wasabivane-bundle`; gives its exit code: 0 in order, 1 findings, 2 usage. */
 export function runBundleTool(
-  { argv, output, version }: BundleToolRun,
+  { argv, output, version }: BundleToolOptions,
 ): Promise<number> {
   const cli = cac("wasabivane-bundle");
   cli.option("--json", "Print one JSON document for programs");
@@ -84,7 +84,7 @@
     .option("--out <file>", "Write there instead of printing")
     .action((file: unknown, options: ParsedOptions) =>
       signCommand(String(file), {
-        key: getRequiredTextOption(options, "key"),
+        keyFile: getRequiredTextOption(options, "key"),
         keyId: getRequiredTextOption(options, "keyId"),
         out: getTextOption(options, "out"),
       })
--- a/apps/bundle/src/keyFile.ts
+++ b/apps/bundle/src/readPrivateKey.ts
@@ -27,7 +27,7 @@
 }
 
 /** A report of a key file that cannot be used. */
-export function keyFileReport(error: KeyFileError): CommandReport {
+export function keyFileErrorReport(error: KeyFileError): CommandReport {
   return {
     exitCode: EXIT_FINDINGS,
     data: { errors: [error] },
--- a/apps/bundle/src/signCommand.ts
+++ b/apps/bundle/src/signCommand.ts
@@ -7,14 +7,14 @@
   type SigningKey,
 } from "@wasabivane/bundle";
 import { type CommandReport, EXIT_FINDINGS, EXIT_OK } from "@wasabivane/common";
-import { documentErrorsReport } from "./documentReport.ts";
-import { keyFileReport, readPrivateKey } from "./keyFile.ts";
-import { writeErrorReport, writeNewFile } from "./newFile.ts";
+import { documentErrorsReport } from "./documentErrorsReport.ts";
+import { keyFileErrorReport, readPrivateKey } from "./readPrivateKey.ts";
+import { writeErrorReport, writeNewFile } from "./writeNewFile.ts";
 
 /** Options of {@link signCommand}. */
 export interface SignOptions {
   /** File of the private key. */
-  readonly key: string;
+  readonly keyFile: string;
   readonly keyId: string;
   readonly out?: string;
 }
@@ -22,10 +22,10 @@
 /** Checks and signs a bundle; a signed one gets a further signature. */
 export function signCommand(
   file: string,
-  { key, keyId, out }: SignOptions,
+  { keyFile: key, keyId, out }: SignOptions,
 ): CommandReport {
   const privateKey = readPrivateKey(key);
-  if (privateKey.isErr()) return keyFileReport(privateKey.error);
+  if (privateKey.isErr()) return keyFileErrorReport(privateKey.error);
   const signingKey = { keyId, privateKey: privateKey.value };
   return readBundleFile(file).match(
     (bundleFile) => signReport(bundleFile, { file, signingKey, out }),
--- a/apps/bundle/src/verifyCommand.ts
+++ b/apps/bundle/src/verifyCommand.ts
@@ -6,7 +6,7 @@
   verifySignedBundle,
 } from "@wasabivane/bundle";
 import { type CommandReport, EXIT_FINDINGS, EXIT_OK } from "@wasabivane/common";
-import { documentErrorsReport } from "./documentReport.ts";
+import { documentErrorsReport } from "./documentErrorsReport.ts";
 
 /** Says whether an entry host with these pinned keys would take the bundle. */
 export function verifyCommand(
--- a/apps/bundle/src/newFile.ts
+++ b/apps/bundle/src/writeNewFile.ts
@@ -3,11 +3,11 @@
 import { type CommandReport, EXIT_FINDINGS } from "@wasabivane/common";
 
 /** Only the owner reads a private key. */
-export const PRIVATE_MODE = 0o600;
-const PUBLIC_MODE = 0o644;
+export const PRIVATE_FILE_MODE = 0o600;
+const PUBLIC_FILE_MODE = 0o644;
 
 /** A file that could not be written. */
-export interface WriteError {
+export interface FileWriteError {
   readonly kind: "not-written";
   readonly file: string;
   readonly message: string;
@@ -16,8 +16,8 @@
 /** Writes a file that must not exist yet: a typo must not cost a key or a bundle. */
 export function writeNewFile(
   file: string,
-  { text, mode = PUBLIC_MODE }: { text: string; mode?: number },
-): Result<void, WriteError> {
+  { text, mode = PUBLIC_FILE_MODE }: { text: string; mode?: number },
+): Result<void, FileWriteError> {
   try {
     writeFileSync(file, text, { flag: "wx", mode });
     return ok(undefined);
@@ -31,7 +31,7 @@
 }
 
 /** A report of a file that could not be written. */
-export function writeErrorReport(error: WriteError): CommandReport {
+export function writeErrorReport(error: FileWriteError): CommandReport {
   return {
     exitCode: EXIT_FINDINGS,
     data: { errors: [error] },
--- a/apps/bundle/tests/bundleTool.test.ts
+++ b/apps/bundle/tests/bundleTool.test.ts
@@ -1,11 +1,11 @@
 import { statSync } from "node:fs";
 import test from "ava";
-import { Workbench } from "./helpers/bundleTool.ts";
+import { BundleToolFixture } from "./helpers/bundleToolFixture.ts";
 
 const MEMBER = '"region": "kyushu"';
 
 test("a bundle goes from init over check and sign to verify", async (t) => {
-  const bench = new Workbench(t);
+  const bench = new BundleToolFixture(t);
   const bundle = bench.path("bundle.jsonc");
   const signed = bench.path("signed.json");
   const { key, trust } = await bench.makeKey("ops-1");
@@ -36,7 +36,7 @@
 });
 
 test("during a change of keys a second signature is added", async (t) => {
-  const bench = new Workbench(t);
+  const bench = new BundleToolFixture(t);
   const former = await bench.makeKey("former");
   const next = await bench.makeKey("next");
   const bundle = bench.writeBundle("bundle.jsonc");
@@ -67,7 +67,7 @@
 });
 
 test("an altered bundle is neither verified nor signed again", async (t) => {
-  const bench = new Workbench(t);
+  const bench = new BundleToolFixture(t);
   const { key, trust } = await bench.makeKey("ops-1");
   const bundle = bench.writeBundle("bundle.jsonc");
   const signed = bench.path("signed.json");
@@ -103,7 +103,7 @@
 });
 
 test("check names the place of a typo, and sign refuses it", async (t) => {
-  const bench = new Workbench(t);
+  const bench = new BundleToolFixture(t);
   const { key } = await bench.makeKey("ops-1");
   const bundle = bench.writeBundle("bundle.jsonc", {
     edit: (text) => text.replace(MEMBER, '"regoin": "kyushu"'),
@@ -127,7 +127,7 @@
 });
 
 test("diff lists changed values and exits as diff does", async (t) => {
-  const bench = new Workbench(t);
+  const bench = new BundleToolFixture(t);
   const former = bench.writeBundle("former.jsonc");
   const later = bench.writeBundle("later.jsonc", {
     edit: (text) =>
@@ -146,7 +146,7 @@
 });
 
 test("explain tells tier, limits and upstreams, or why a request is refused", async (t) => {
-  const bench = new Workbench(t);
+  const bench = new BundleToolFixture(t);
   const bundle = bench.writeBundle("bundle.jsonc");
   const ask = ["explain", bundle, "--json", "--account", "oita-law-office"];
   const granted = await bench.run(...ask, "--path", "/casefile/12");
@@ -166,7 +166,7 @@
 });
 
 test("a wrong command line is told without a stack trace", async (t) => {
-  const bench = new Workbench(t);
+  const bench = new BundleToolFixture(t);
   const bundle = bench.writeBundle("bundle.jsonc");
   const lines = [
     [],
@@ -187,7 +187,7 @@
 });
 
 test("files that are absent, no key or there already are told", async (t) => {
-  const bench = new Workbench(t);
+  const bench = new BundleToolFixture(t);
   const { key, trust } = await bench.makeKey("ops-1");
   const bundle = bench.writeBundle("bundle.jsonc");
   const runs = [
--- a/apps/bundle/tests/helpers/bundleTool.ts
+++ b/apps/bundle/tests/helpers/bundleToolFixture.ts
@@ -2,18 +2,18 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import type { ExecutionContext } from "ava";
-import { bundleTemplate, runBundleTool } from "@wasabivane/bundle-tool";
+import { createBundleTemplate, runBundleTool } from "@wasabivane/bundle-tool";
 import type { ExampleDeployment } from "@wasabivane/bundle";
 
 /** What one run of the tool left behind. */
-export interface ToolRun {
+export interface ToolResult {
   readonly exitCode: number;
   readonly stdout: string;
   readonly stderr: string;
 }
 
 /** A folder of its own with the tool at hand. */
-export class Workbench {
+export class BundleToolFixture {
   readonly #folder = mkdtempSync(join(tmpdir(), "wasabivane-"));
 
   constructor(t: ExecutionContext) {
@@ -41,11 +41,11 @@
       edit?: (text: string) => string;
     } = {},
   ): string {
-    return this.write(name, edit(bundleTemplate(deployment)));
+    return this.write(name, edit(createBundleTemplate(deployment)));
   }
 
   /** Runs the tool with arguments as a shell would pass them. */
-  async run(...args: string[]): Promise<ToolRun> {
+  async run(...args: string[]): Promise<ToolResult> {
     let stdout = "";
     let stderr = "";
     const exitCode = await runBundleTool({
--- a/apps/ctl/src/countersCommand.ts
+++ b/apps/ctl/src/countersCommand.ts
@@ -1,30 +1,35 @@
 import { type CommandReport, EXIT_FINDINGS, EXIT_OK } from "@wasabivane/common";
 import type { EntryClient } from "./entryClient.ts";
 import {
-  askFleet,
+  fetchFleetStatus,
   type FleetStatus,
-  silentData,
-  silentLines,
-} from "./fleet.ts";
-import { formatTable } from "./table.ts";
+  formatUnresponsiveHosts,
+  unresponsiveHostData,
+} from "./fleetStatus.ts";
+import { formatTable } from "./formatTable.ts";
 
 /** Tells every counter that moved, summed over all entry hosts. */
 export async function countersCommand(
   clients: readonly EntryClient[],
 ): Promise<CommandReport> {
-  const fleet = await askFleet(clients);
+  const fleet = await fetchFleetStatus(clients);
   const counters = summedCounters(fleet);
   return {
-    exitCode: fleet.silent.length === 0 ? EXIT_OK : EXIT_FINDINGS,
-    data: { counters: Object.fromEntries(counters), silent: silentData(fleet) },
+    exitCode: fleet.unresponsive.length === 0 ? EXIT_OK : EXIT_FINDINGS,
+    data: {
+      counters: Object.fromEntries(counters),
+      silent: unresponsiveHostData(fleet),
+    },
     lines: [
       ...formatTable(["COUNTER", "SUM"], counters),
-      ...silentLines(fleet),
+      ...formatUnresponsiveHosts(fleet),
     ],
   };
 }
 
-function summedCounters({ answering }: FleetStatus): [string, number][] {
+function summedCounters(
+  { responding: answering }: FleetStatus,
+): [string, number][] {
   const sums = new Map<string, number>();
   for (const { status } of answering) {
     for (const [name, value] of Object.entries(status.counters)) {
--- a/apps/ctl/src/drainCommand.ts
+++ b/apps/ctl/src/drainCommand.ts
@@ -1,7 +1,11 @@
 import { listAllowed } from "@wasabivane/bundle";
 import { type CommandReport, EXIT_FINDINGS, EXIT_OK } from "@wasabivane/common";
 import type { EntryClient } from "./entryClient.ts";
-import { askFleet, type FleetStatus, silentLines } from "./fleet.ts";
+import {
+  fetchFleetStatus,
+  type FleetStatus,
+  formatUnresponsiveHosts,
+} from "./fleetStatus.ts";
 
 /** Options of {@link drainCommand}. */
 export interface DrainOptions {
@@ -15,8 +19,8 @@
   clients: readonly EntryClient[],
   { host, stopPlan }: DrainOptions,
 ): Promise<CommandReport> {
-  const fleet = await askFleet(clients);
-  const found = fleet.answering.find(({ status }) => status.host === host);
+  const fleet = await fetchFleetStatus(clients);
+  const found = fleet.responding.find(({ status }) => status.host === host);
   if (found === undefined) return unknownHostReport(fleet, host);
   const answer = await found.client.drain(stopPlan);
   return answer.match(
@@ -38,12 +42,15 @@
 }
 
 function unknownHostReport(fleet: FleetStatus, host: string): CommandReport {
-  const hosts = fleet.answering.map(({ status }) => status.host);
+  const hosts = fleet.responding.map(({ status }) => status.host);
   const message = `No answering entry host is called ${JSON.stringify(host)}`;
   const allowed = listAllowed(hosts, { found: host });
   return {
     exitCode: EXIT_FINDINGS,
     data: { error: { kind: "unknown-host", message, allowed } },
-    lines: [`${message}; allowed: ${allowed}`, ...silentLines(fleet)],
+    lines: [
+      `${message}; allowed: ${allowed}`,
+      ...formatUnresponsiveHosts(fleet),
+    ],
   };
 }
--- a/apps/ctl/src/entryClient.ts
+++ b/apps/ctl/src/entryClient.ts
@@ -18,13 +18,13 @@
   | { readonly kind: "malformed"; readonly detail: string };
 
 /** The part of an HTTP answer that is read. */
-export interface EntryAnswer {
+export interface EntryResponse {
   readonly statusCode: number;
   readonly body: AsyncIterable<Uint8Array>;
 }
 
 /** Sends one request; as undici's `request`, which is the default. */
-export type EntryRequest = (
+export type EntryFetch = (
   url: URL,
   options: {
     readonly method: "GET" | "POST";
@@ -33,20 +33,20 @@
     readonly signal: AbortSignal;
     readonly dispatcher?: Dispatcher;
   },
-) => Promise<EntryAnswer>;
+) => Promise<EntryResponse>;
 
 /** Options of an {@link EntryClient}. */
 export interface EntryClientOptions {
   /** Base url of the operator port. */
   readonly url: string;
   readonly timeoutMs: Milliseconds;
-  readonly request?: EntryRequest;
+  readonly fetch?: EntryFetch;
   readonly timer?: Timer;
   readonly dispatcher?: Dispatcher;
 }
 
 /** How an entry host took the order to drain. */
-export type DrainAnswer = "started" | "under-way";
+export type DrainState = "started" | "under-way";
 
 interface JsonAnswer {
   readonly statusCode: number;
@@ -57,12 +57,12 @@
 export class EntryClient {
   readonly url: string;
   readonly #timeoutMs: Milliseconds;
-  readonly #request: EntryRequest;
+  readonly #request: EntryFetch;
   readonly #timer: Timer;
   readonly #dispatcher: Dispatcher | undefined;
 
   constructor(options: EntryClientOptions) {
-    const { url, timeoutMs, request = undiciRequest } = options;
+    const { url, timeoutMs, fetch: request = undiciRequest } = options;
     this.url = url;
     this.#timeoutMs = timeoutMs;
     this.#request = request;
@@ -70,7 +70,7 @@
     this.#dispatcher = options.dispatcher;
   }
 
-  async status(): Promise<Result<EntryStatus, EntryError>> {
+  async fetchStatus(): Promise<Result<EntryStatus, EntryError>> {
     const answer = await this.#ask("GET", "status");
     return answer.andThen(({ value }): Result<EntryStatus, EntryError> => {
       const parsed = entryStatusSchema.safeParse(value);
@@ -97,9 +97,9 @@
   /** Orders a planned stop, under the bundle's default stop plan or a named one. */
   async drain(
     stopPlan?: string,
-  ): Promise<Result<DrainAnswer, EntryError>> {
+  ): Promise<Result<DrainState, EntryError>> {
     const answer = await this.#ask("POST", "drain", { stopPlan });
-    return answer.andThen(({ statusCode }): Result<DrainAnswer, EntryError> => {
+    return answer.andThen(({ statusCode }): Result<DrainState, EntryError> => {
       if (statusCode === 202) return ok("started");
       if (statusCode === 409) return ok("under-way");
       const detail = `The entry host answers ${statusCode}`;
@@ -148,7 +148,7 @@
 }
 
 async function readJson(
-  { statusCode, body }: EntryAnswer,
+  { statusCode, body }: EntryResponse,
 ): Promise<Result<JsonAnswer, EntryError>> {
   const bytes = await readBoundedBody(body, MAX_ANSWER_BYTES);
   if (bytes === undefined) {
--- a/apps/ctl/src/fleet.ts
+++ b/apps/ctl/src/fleetStatus.ts
@@ -3,34 +3,34 @@
 import type { EntryClient, EntryError } from "./entryClient.ts";
 
 /** What one entry host answered. */
-export interface HostAnswer<Value> {
+export interface HostResult<Value> {
   readonly client: EntryClient;
   readonly result: Result<Value, EntryError>;
 }
 
 /** An entry host that answered its status. */
-export interface AnsweringHost {
+export interface RespondingHost {
   readonly client: EntryClient;
   readonly status: EntryStatus;
 }
 
 /** An entry host that did not. */
-export interface SilentHost {
+export interface UnresponsiveHost {
   readonly client: EntryClient;
   readonly error: EntryError;
 }
 
 /** The statuses of all entry hosts that were asked. */
 export interface FleetStatus {
-  readonly answering: readonly AnsweringHost[];
-  readonly silent: readonly SilentHost[];
+  readonly responding: readonly RespondingHost[];
+  readonly unresponsive: readonly UnresponsiveHost[];
 }
 
 /** Asks all entry hosts at once; answers come in the order of the clients. */
-export function askAll<Value>(
+export function queryAll<Value>(
   clients: readonly EntryClient[],
   ask: (client: EntryClient) => Promise<Result<Value, EntryError>>,
-): Promise<HostAnswer<Value>[]> {
+): Promise<HostResult<Value>[]> {
   return Promise.all(clients.map(async (client) => ({
     client,
     result: await ask(client),
@@ -38,29 +38,31 @@
 }
 
 /** Asks all entry hosts for their status. */
-export async function askFleet(
+export async function fetchFleetStatus(
   clients: readonly EntryClient[],
 ): Promise<FleetStatus> {
-  const answers = await askAll(clients, (client) => client.status());
-  const answering: AnsweringHost[] = [];
-  const silent: SilentHost[] = [];
+  const answers = await queryAll(clients, (client) => client.fetchStatus());
+  const answering: RespondingHost[] = [];
+  const silent: UnresponsiveHost[] = [];
   for (const { client, result } of answers) {
     if (result.isOk()) answering.push({ client, status: result.value });
     else silent.push({ client, error: result.error });
   }
-  return { answering, silent };
+  return { responding: answering, unresponsive: silent };
 }
 
 /** One line for each entry host that gave no answer. */
-export function silentLines({ silent }: FleetStatus): string[] {
+export function formatUnresponsiveHosts(
+  { unresponsive: silent }: FleetStatus,
+): string[] {
   return silent.map(({ client, error }) =>
     `${client.url}: ${error.kind} (${error.detail})`
   );
 }
 
 /** Silent hosts as programs read them. */
-export function silentData(
-  { silent }: FleetStatus,
+export function unresponsiveHostData(
+  { unresponsive: silent }: FleetStatus,
 ): { url: string; error: EntryError }[] {
   return silent.map(({ client, error }) => ({ url: client.url, error }));
 }
--- a/apps/ctl/src/healthCommand.ts
+++ b/apps/ctl/src/healthCommand.ts
@@ -1,16 +1,16 @@
 import { type CommandReport, EXIT_FINDINGS, EXIT_OK } from "@wasabivane/common";
 import type { Result } from "neverthrow";
 import type { EntryClient, EntryError } from "./entryClient.ts";
-import { askAll } from "./fleet.ts";
-import { formatTable } from "./table.ts";
+import { queryAll } from "./fleetStatus.ts";
+import { formatTable } from "./formatTable.ts";
 
 /** Tells which entry hosts are alive and which take new connections. */
 export async function healthCommand(
   clients: readonly EntryClient[],
 ): Promise<CommandReport> {
   const [healthy, ready] = await Promise.all([
-    askAll(clients, (client) => client.isHealthy()),
-    askAll(clients, (client) => client.isReady()),
+    queryAll(clients, (client) => client.isHealthy()),
+    queryAll(clients, (client) => client.isReady()),
   ]);
   const hosts = clients.map(({ url }, index) => ({
     url,
--- a/apps/ctl/src/index.ts
+++ b/apps/ctl/src/index.ts
@@ -1,5 +1,5 @@
 export * from "./entryClient.ts";
-export * from "./fleet.ts";
+export * from "./fleetStatus.ts";
 export * from "./program.ts";
 export * from "./logLines.ts";
 export * from "./requestExplanation.ts";
--- a/apps/ctl/src/operatorSettings.ts
+++ b/apps/ctl/src/operatorSettings.ts
@@ -15,7 +15,7 @@
 import { Agent, type Dispatcher } from "undici";
 
 /** The settings that a command line names: a file, or urls of entry hosts. */
-export function settingsOf(options: ParsedOptions): OperatorSettings {
+export function readOperatorSettings(options: ParsedOptions): OperatorSettings {
   const file = getTextOption(options, "settings");
   const entries = getTextOption(options, "entries");
   if ((file === undefined) === (entries === undefined)) {
@@ -29,7 +29,7 @@
 }
 
 /** Trusts the settings' authority for TLS; undici's own trust without one. */
-export function dispatcherOf(
+export function createDispatcher(
   { authorityFile }: OperatorSettings,
 ): Dispatcher | undefined {
   if (authorityFile === undefined) return undefined;
--- a/apps/ctl/src/program.ts
+++ b/apps/ctl/src/program.ts
@@ -12,19 +12,19 @@
 import { countersCommand } from "./countersCommand.ts";
 import { drainCommand } from "./drainCommand.ts";
 import { explainCommand } from "./explainCommand.ts";
-import { EntryClient, type EntryRequest } from "./entryClient.ts";
+import { EntryClient, type EntryFetch } from "./entryClient.ts";
 import { healthCommand } from "./healthCommand.ts";
-import { dispatcherOf, settingsOf } from "./operatorSettings.ts";
+import { createDispatcher, readOperatorSettings } from "./operatorSettings.ts";
 import { statusCommand } from "./statusCommand.ts";
 import { upstreamsCommand } from "./upstreamsCommand.ts";
 import { versionsCommand } from "./versionsCommand.ts";
 import { waitingCommand } from "./waitingCommand.ts";
-import { watchReports } from "./watch.ts";
+import { watchReports } from "./watchReports.ts";
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** How to run the tool. */
-export interface OperatorToolRun {
+export interface OperatorToolOptions {
   readonly argv: readonly string[];
   readonly output: CommandOutput;
   readonly version: string;
@@ -32,7 +32,7 @@
   readonly signal?: AbortSignal;
   readonly isTerminal?: boolean;
   readonly timer?: Timer;
-  readonly request?: EntryRequest;
+  readonly fetch?: EntryFetch;
 }
 
 type FleetCommand = (
@@ -82,7 +82,7 @@
  * Runs `wasabivane-ctl`; gives its exit code: 0 in order, 1 when a host does
  * not answer or something differs, 2 usage.
  */
-export function runOperatorTool(run: OperatorToolRun): Promise<number> {
+export function runOperatorTool(run: OperatorToolOptions): Promise<number> {
   const cli = cac("wasabivane-ctl");
   cli.option("--entries <urls>", "Operator ports, separated by commas");
   cli.option("--settings <file>", "File that lists the operator ports");
@@ -102,7 +102,7 @@
 
 function registerFleetCommand(
   cli: CAC,
-  { entry, run }: { entry: FleetCommandEntry; run: OperatorToolRun },
+  { entry, run }: { entry: FleetCommandEntry; run: OperatorToolOptions },
 ): void {
   const { name, description, command } = entry;
   cli.command(name, description).action((options: ParsedOptions) => {
@@ -111,7 +111,7 @@
   });
 }
 
-function registerDrain(cli: CAC, run: OperatorToolRun): void {
+function registerDrain(cli: CAC, run: OperatorToolOptions): void {
   cli.command("drain <host>", "Order one host to stop as planned")
     .option("--stop-plan <name>", "Stop plan (default: the bundle's)")
     .action((host: unknown, options: ParsedOptions) => {
@@ -127,7 +127,7 @@
 
 function repeated(
   ask: () => Promise<CommandReport>,
-  { options, run }: { options: ParsedOptions; run: OperatorToolRun },
+  { options, run }: { options: ParsedOptions; run: OperatorToolOptions },
 ): Promise<CommandReport> {
   const periodMs = watchPeriod(options);
   if (periodMs === undefined) return ask();
@@ -153,15 +153,15 @@
 
 function clientsOf(
   options: ParsedOptions,
-  { request, timer }: OperatorToolRun,
+  { fetch: request, timer }: OperatorToolOptions,
 ): EntryClient[] {
-  const settings = settingsOf(options);
-  const dispatcher = dispatcherOf(settings);
+  const settings = readOperatorSettings(options);
+  const dispatcher = createDispatcher(settings);
   return settings.entries.map((url) =>
     new EntryClient({
       url,
       timeoutMs: settings.timeoutMs,
-      request,
+      fetch: request,
       timer,
       dispatcher,
     })
--- a/apps/ctl/src/statusCommand.ts
+++ b/apps/ctl/src/statusCommand.ts
@@ -1,8 +1,12 @@
 import type { EntryStatus } from "@wasabivane/bundle";
 import { type CommandReport, EXIT_FINDINGS, EXIT_OK } from "@wasabivane/common";
 import type { EntryClient } from "./entryClient.ts";
-import { askFleet, silentData, silentLines } from "./fleet.ts";
-import { formatTable, type Row } from "./table.ts";
+import {
+  fetchFleetStatus,
+  formatUnresponsiveHosts,
+  unresponsiveHostData,
+} from "./fleetStatus.ts";
+import { formatTable, type Row } from "./formatTable.ts";
 
 const HEADER = [
   "HOST",
@@ -23,14 +27,14 @@
 export async function statusCommand(
   clients: readonly EntryClient[],
 ): Promise<CommandReport> {
-  const fleet = await askFleet(clients);
-  const statuses = fleet.answering.map(({ status }) => status);
+  const fleet = await fetchFleetStatus(clients);
+  const statuses = fleet.responding.map(({ status }) => status);
   return {
-    exitCode: fleet.silent.length === 0 ? EXIT_OK : EXIT_FINDINGS,
-    data: { hosts: statuses, silent: silentData(fleet) },
+    exitCode: fleet.unresponsive.length === 0 ? EXIT_OK : EXIT_FINDINGS,
+    data: { hosts: statuses, silent: unresponsiveHostData(fleet) },
     lines: [
       ...formatTable(HEADER, statuses.map(statusRow)),
-      ...silentLines(fleet),
+      ...formatUnresponsiveHosts(fleet),
     ],
   };
 }
--- a/apps/ctl/src/upstreamsCommand.ts
+++ b/apps/ctl/src/upstreamsCommand.ts
@@ -2,12 +2,12 @@
 import { type CommandReport, EXIT_FINDINGS, EXIT_OK } from "@wasabivane/common";
 import type { EntryClient } from "./entryClient.ts";
 import {
-  askFleet,
+  fetchFleetStatus,
   type FleetStatus,
-  silentData,
-  silentLines,
-} from "./fleet.ts";
-import { formatTable } from "./table.ts";
+  formatUnresponsiveHosts,
+  unresponsiveHostData,
+} from "./fleetStatus.ts";
+import { formatTable } from "./formatTable.ts";
 
 type KeptUpstream = EntryStatus["upstreams"][number] & {
   /** The entry host that keeps the upstream's pool. */
@@ -18,11 +18,11 @@
 export async function upstreamsCommand(
   clients: readonly EntryClient[],
 ): Promise<CommandReport> {
-  const fleet = await askFleet(clients);
+  const fleet = await fetchFleetStatus(clients);
   const upstreams = keptUpstreams(fleet);
   return {
-    exitCode: fleet.silent.length === 0 ? EXIT_OK : EXIT_FINDINGS,
-    data: { upstreams, silent: silentData(fleet) },
+    exitCode: fleet.unresponsive.length === 0 ? EXIT_OK : EXIT_FINDINGS,
+    data: { upstreams, silent: unresponsiveHostData(fleet) },
     lines: [
       ...formatTable(
         ["SERVICE", "UPSTREAM", "IN FLIGHT", "BOUND", "STATE", "KEEPER"],
@@ -35,12 +35,12 @@
           upstream.keeper,
         ]),
       ),
-      ...silentLines(fleet),
+      ...formatUnresponsiveHosts(fleet),
     ],
   };
 }
 
-function keptUpstreams({ answering }: FleetStatus): KeptUpstream[] {
+function keptUpstreams({ responding: answering }: FleetStatus): KeptUpstream[] {
   const upstreams = answering.flatMap(({ status }) =>
     status.upstreams.map((upstream) => ({ ...upstream, keeper: status.host }))
   );
--- a/apps/ctl/src/versionsCommand.ts
+++ b/apps/ctl/src/versionsCommand.ts
@@ -1,12 +1,12 @@
 import { type CommandReport, EXIT_FINDINGS, EXIT_OK } from "@wasabivane/common";
 import type { EntryClient } from "./entryClient.ts";
 import {
-  type AnsweringHost,
-  askFleet,
-  silentData,
-  silentLines,
-} from "./fleet.ts";
-import { formatTable } from "./table.ts";
+  fetchFleetStatus,
+  formatUnresponsiveHosts,
+  type RespondingHost,
+  unresponsiveHostData,
+} from "./fleetStatus.ts";
+import { formatTable } from "./formatTable.ts";
 
 const ROOT_CHARACTERS = 12;
 
@@ -24,14 +24,14 @@
 export async function versionsCommand(
   clients: readonly EntryClient[],
 ): Promise<CommandReport> {
-  const fleet = await askFleet(clients);
-  const newest = newestHost(fleet.answering);
-  const hosts = fleet.answering.map((host) => ({
+  const fleet = await fetchFleetStatus(clients);
+  const newest = newestHost(fleet.responding);
+  const hosts = fleet.responding.map((host) => ({
     ...host,
     state: versionState(host, newest),
   }));
-  const unheard = unheardMembers(fleet.answering);
-  const isSettled = fleet.silent.length === 0 && unheard.length === 0 &&
+  const unheard = unheardMembers(fleet.responding);
+  const isSettled = fleet.unresponsive.length === 0 && unheard.length === 0 &&
     hosts.every(({ state }) => state === "in-force");
   return {
     exitCode: isSettled ? EXIT_OK : EXIT_FINDINGS,
@@ -45,7 +45,7 @@
         state,
       })),
       unheard,
-      silent: silentData(fleet),
+      silent: unresponsiveHostData(fleet),
     },
     lines: [
       ...formatTable(
@@ -59,13 +59,13 @@
         ]),
       ),
       ...unheard.map((host) => `${host}: a member that gave no answer here`),
-      ...silentLines(fleet),
+      ...formatUnresponsiveHosts(fleet),
     ],
   };
 }
 
 /** Members that answering hosts name and that are not among them: their version is not known. */
-function unheardMembers(hosts: readonly AnsweringHost[]): string[] {
+function unheardMembers(hosts: readonly RespondingHost[]): string[] {
   const answering = new Set(hosts.map(({ status }) => status.host));
   const members = hosts.flatMap(({ status }) =>
     status.members.map(({ host }) => host)
@@ -75,21 +75,21 @@
 }
 
 function newestHost(
-  hosts: readonly AnsweringHost[],
-): AnsweringHost | undefined {
-  return hosts.reduce<AnsweringHost | undefined>(
+  hosts: readonly RespondingHost[],
+): RespondingHost | undefined {
+  return hosts.reduce<RespondingHost | undefined>(
     (newest, host) => versionOf(host) > versionOf(newest) ? host : newest,
     undefined,
   );
 }
 
-function versionOf(host: AnsweringHost | undefined): number {
+function versionOf(host: RespondingHost | undefined): number {
   return host?.status.bundle?.version ?? 0;
 }
 
 function versionState(
-  host: AnsweringHost,
-  newest: AnsweringHost | undefined,
+  host: RespondingHost,
+  newest: RespondingHost | undefined,
 ): VersionState {
   if (host.status.bundle === null) return "no-bundle";
   if (versionOf(host) < versionOf(newest)) return "on-its-way";
@@ -99,7 +99,7 @@
 
 function stateText(
   state: VersionState,
-  newest: AnsweringHost | undefined,
+  newest: RespondingHost | undefined,
 ): string {
   const text = STATE_TEXTS[state];
   return state === "on-its-way" ? `${text}: ${versionOf(newest)}` : text;
--- a/apps/ctl/src/waitingCommand.ts
+++ b/apps/ctl/src/waitingCommand.ts
@@ -1,12 +1,12 @@
 import { type CommandReport, EXIT_FINDINGS, EXIT_OK } from "@wasabivane/common";
 import type { EntryClient } from "./entryClient.ts";
 import {
-  askFleet,
+  fetchFleetStatus,
   type FleetStatus,
-  silentData,
-  silentLines,
-} from "./fleet.ts";
-import { formatTable } from "./table.ts";
+  formatUnresponsiveHosts,
+  unresponsiveHostData,
+} from "./fleetStatus.ts";
+import { formatTable } from "./formatTable.ts";
 
 interface WaitingGroup {
   readonly service: string;
@@ -19,11 +19,11 @@
 export async function waitingCommand(
   clients: readonly EntryClient[],
 ): Promise<CommandReport> {
-  const fleet = await askFleet(clients);
+  const fleet = await fetchFleetStatus(clients);
   const groups = waitingGroups(fleet);
   return {
-    exitCode: fleet.silent.length === 0 ? EXIT_OK : EXIT_FINDINGS,
-    data: { waiting: groups, silent: silentData(fleet) },
+    exitCode: fleet.unresponsive.length === 0 ? EXIT_OK : EXIT_FINDINGS,
+    data: { waiting: groups, silent: unresponsiveHostData(fleet) },
     lines: [
       ...formatTable(
         ["SERVICE", "TIER", "CLIENT ACCOUNT", "WAITING"],
@@ -34,12 +34,12 @@
           requests,
         ]),
       ),
-      ...silentLines(fleet),
+      ...formatUnresponsiveHosts(fleet),
     ],
   };
 }
 
-function waitingGroups({ answering }: FleetStatus): WaitingGroup[] {
+function waitingGroups({ responding: answering }: FleetStatus): WaitingGroup[] {
   const groups = new Map<string, WaitingGroup>();
   for (const { status } of answering) {
     for (const { service, tier, account, requests } of status.waiting) {
--- a/apps/ctl/src/watch.ts
+++ b/apps/ctl/src/watchReports.ts
@@ -10,7 +10,7 @@
 const CLEAR_SCREEN = "\u001b[2J\u001b[H";
 
 /** How a command is repeated. */
-export interface Watch {
+export interface WatchOptions {
   readonly periodMs: Milliseconds;
   readonly timer: Timer;
   readonly output: CommandOutput;
@@ -24,7 +24,7 @@
 /** Asks and prints again and again; the last report counts for the exit code. */
 export async function watchReports(
   ask: () => Promise<CommandReport>,
-  { periodMs, timer, output, isJson, isTerminal, signal }: Watch,
+  { periodMs, timer, output, isJson, isTerminal, signal }: WatchOptions,
 ): Promise<CommandReport> {
   while (true) {
     const report = await ask();
--- a/apps/ctl/tests/helpers/fleet.ts
+++ b/apps/ctl/tests/helpers/fakeFleet.ts
@@ -1,24 +1,24 @@
 import { Buffer } from "node:buffer";
 import type { EntryStatus } from "@wasabivane/bundle";
 import {
-  type EntryRequest,
-  type OperatorToolRun,
+  type EntryFetch,
+  type OperatorToolOptions,
   runOperatorTool,
 } from "@wasabivane/ctl";
 
 /** How one fake entry host answers. */
-export interface FakeEntry {
+export interface FakeEntryOptions {
   readonly status?: Partial<EntryStatus>;
   readonly isReady?: boolean;
   readonly isDraining?: boolean;
   /** Takes the request and never answers. */
-  readonly isSilent?: boolean;
+  readonly isUnresponsive?: boolean;
   /** Body of `/status` in place of a well-formed one. */
   readonly statusText?: string;
 }
 
 /** One call that reached a fake entry host. */
-export interface Call {
+export interface ReceivedRequest {
   readonly host: string;
   readonly method: string;
   readonly path: string;
@@ -27,38 +27,38 @@
 
 /** Fake entry hosts that answer in the process of the test. */
 export class FakeFleet {
-  readonly calls: Call[] = [];
-  readonly #entries: Readonly<Record<string, FakeEntry>>;
+  readonly received: ReceivedRequest[] = [];
+  readonly #entries: Readonly<Record<string, FakeEntryOptions>>;
 
-  constructor(entries: Readonly<Record<string, FakeEntry>>) {
+  constructor(entries: Readonly<Record<string, FakeEntryOptions>>) {
     this.#entries = entries;
   }
 
   /** Value of `--entries`. */
-  get urls(): string {
+  get entryUrls(): string {
     return Object.keys(this.#entries).map((host) => `http://${host}.test`)
       .join(",");
   }
 
-  readonly request: EntryRequest = (url, { method, body, signal }) => {
+  readonly fetch: EntryFetch = (url, { method, body, signal }) => {
     const host = url.hostname.replace(/\.test$/, "");
     const entry = this.#entries[host]!;
-    this.calls.push({ host, method, path: url.pathname, body });
-    if (entry.isSilent) return refusedBy(signal);
+    this.received.push({ host, method, path: url.pathname, body });
+    if (entry.isUnresponsive) return refusedBy(signal);
     return Promise.resolve(answerOf(host, { entry, path: url.pathname }));
   };
 
   /** Runs the tool against the fleet. */
   async run(
     args: readonly string[],
-    options: Partial<OperatorToolRun> = {},
+    options: Partial<OperatorToolOptions> = {},
   ): Promise<{ exitCode: number; stdout: string; stderr: string }> {
     let stdout = "";
     let stderr = "";
     const exitCode = await runOperatorTool({
-      argv: ["node", "wasabivane-ctl", ...args, "--entries", this.urls],
+      argv: ["node", "wasabivane-ctl", ...args, "--entries", this.entryUrls],
       version: "0.0.0",
-      request: this.request,
+      fetch: this.fetch,
       output: {
         write: (text) => void (stdout += text),
         writeError: (text) => void (stderr += text),
@@ -70,7 +70,7 @@
 }
 
 /** A well-formed status with a few values of the test's own. */
-export function statusOf(
+export function createStatus(
   host: string,
   values: Partial<EntryStatus> = {},
 ): EntryStatus {
@@ -91,8 +91,8 @@
 
 function answerOf(
   host: string,
-  { entry, path }: { entry: FakeEntry; path: string },
-): ReturnType<EntryRequest> extends Promise<infer Answer> ? Answer : never {
+  { entry, path }: { entry: FakeEntryOptions; path: string },
+): ReturnType<EntryFetch> extends Promise<infer Answer> ? Answer : never {
   const { isReady = true, isDraining = false } = entry;
   const answers: Record<string, { statusCode: number; text: string }> = {
     "/health": { statusCode: 200, text: '{"status":"ok"}' },
@@ -100,7 +100,8 @@
     "/drain": { statusCode: isDraining ? 409 : 202, text: "{}" },
     "/status": {
       statusCode: 200,
-      text: entry.statusText ?? JSON.stringify(statusOf(host, entry.status)),
+      text: entry.statusText ??
+        JSON.stringify(createStatus(host, entry.status)),
     },
   };
   const { statusCode, text } = answers[path]!;
--- a/apps/ctl/tests/operatorTool.test.ts
+++ b/apps/ctl/tests/operatorTool.test.ts
@@ -3,7 +3,7 @@
 import test from "ava";
 import { VirtualTimer } from "@wasabivane/common";
 import { runOperatorTool } from "@wasabivane/ctl";
-import { FakeFleet, statusOf } from "./helpers/fleet.ts";
+import { createStatus, FakeFleet } from "./helpers/fakeFleet.ts";
 
 const OLD = { version: 2, root: "b".repeat(64) };
 
@@ -51,7 +51,10 @@
 // tool's own timeout ends the question; the other hosts' answers still count.
 test("a host that does not answer in time is named", async (t) => {
   const timer = new VirtualTimer();
-  const fleet = new FakeFleet({ "entry-1": {}, "entry-2": { isSilent: true } });
+  const fleet = new FakeFleet({
+    "entry-1": {},
+    "entry-2": { isUnresponsive: true },
+  });
   const running = fleet.run(["status", "--timeout", "700"], { timer });
   timer.advance(700);
   const { exitCode, stdout } = await running;
@@ -61,7 +64,7 @@
 });
 
 test("an answer of another shape is named with its path, and steers no terminal", async (t) => {
-  const odd = { ...statusOf("entry-2"), phase: 7 };
+  const odd = { ...createStatus("entry-2"), phase: 7 };
   const fleet = new FakeFleet({
     "entry-1": { status: { phase: "\u001b[2Jserving" } },
     "entry-2": { statusText: JSON.stringify(odd) },
@@ -152,7 +155,7 @@
     "evacuate",
   ]);
   t.is(started.exitCode, 0);
-  t.deepEqual(fleet.calls.filter(({ method }) => method === "POST"), [{
+  t.deepEqual(fleet.received.filter(({ method }) => method === "POST"), [{
     host: "entry-1",
     method: "POST",
     path: "/drain",
@@ -201,12 +204,12 @@
     t.deepEqual([exitCode, stdout], [2, ""], line.join(" "));
     t.notRegex(stderr, /\n\s+at /);
   }
-  t.deepEqual(fleet.calls, []);
+  t.deepEqual(fleet.received, []);
 });
 
 test("a status is asked for over real HTTP", async (t) => {
   const server = createServer((_request, response) => {
-    response.end(JSON.stringify(statusOf("entry-1")));
+    response.end(JSON.stringify(createStatus("entry-1")));
   }).listen(0, "127.0.0.1");
   t.teardown(() => server.close());
   await new Promise((resolve) => server.once("listening", resolve));
--- a/apps/entry/src/hostComponents.ts
+++ b/apps/entry/src/hostComponents.ts
@@ -279,8 +279,10 @@
     client,
     bundle: () => blackboard.read(BUNDLE_IN_FORCE)?.bundle,
     coordinatedServices: () => coordinator.schedulers().keys(),
-    onLoadReport: (service, report) => coordinator.reportLoad(service, report),
-    onCacheEvent: (service, event) => coordinator.reportCache(service, event),
+    onLoadReport: (service, report) =>
+      coordinator.applyLoadReport(service, report),
+    onCacheEvent: (service, event) =>
+      coordinator.applyCacheEvent(service, event),
   });
 }
 
@@ -294,9 +296,9 @@
     drain: () =>
       [...coordinator.schedulers()].map(([service, scheduler]) => ({
         service,
-        suspicions: scheduler.drainPoisonRecords(timer.now()),
-      })).filter(({ suspicions }) => suspicions.length > 0),
-    importPoisonRecords: ({ service, suspicions }) =>
+        records: scheduler.drainPoisonRecords(timer.now()),
+      })).filter(({ records }) => records.length > 0),
+    importPoisonRecords: ({ service, records: suspicions }) =>
       coordinator.schedulers().get(service)?.importPoisonRecords(
         suspicions,
         timer.now(),
--- a/apps/load/src/callBody.ts
+++ b/apps/load/src/callRequest.ts
@@ -1,6 +1,6 @@
 import { BYTES_PER_TOKEN } from "@wasabivane/common";
 import { markTokens } from "@wasabivane/engine-model";
-import type { PlannedCall } from "./plan.ts";
+import type { PlannedCall } from "./planCalls.ts";
 
 const WORD_CHARACTERS = 8;
 /** Share of a prompt that all prompts of its account begin with, as case files do. */
@@ -13,7 +13,7 @@
 }
 
 /** A request without its headers, the same for each resend. */
-export interface CallBody {
+export interface CallRequest {
   readonly method: "POST";
   readonly path: string;
   readonly body: string;
@@ -22,10 +22,10 @@
 }
 
 /** Writes the request of a planned call; no two calls of a run are alike. */
-export function callBodyOf(
+export function createCallRequest(
   call: PlannedCall,
   { targets, seed }: { targets: CallTargets; seed: number },
-): CallBody {
+): CallRequest {
   const mark = `${call.caller.account} ${seed} ${call.index}`;
   if (call.kind === "plain") {
     const path = pickBy(targets.plainPaths, call.index);
--- a/apps/load/src/reportTable.ts
+++ b/apps/load/src/formatLoadReport.ts
@@ -16,7 +16,7 @@
 ];
 
 /** The report as lines for people. */
-export function reportLines(report: LoadReport): string[] {
+export function formatLoadReport(report: LoadReport): string[] {
   const { pattern, seed, offered, resends, elapsedMs } = report;
   const tiers = Object.entries(report.tiers);
   const seconds = (elapsedMs / 1_000).toFixed(1);
--- a/apps/load/src/flags.ts
+++ b/apps/load/src/loadFlags.ts
@@ -20,7 +20,7 @@
 }
 
 /** The settings file, if any, with the flags before it; all checked by one schema. */
-export function settingsOf(
+export function readLoadSettings(
   flags: LoadFlags,
 ): Result<LoadSettings, DocumentError[]> {
   const file: Result<Partial<LoadSettings>, DocumentError[]> =
--- a/apps/load/src/loadReport.ts
+++ b/apps/load/src/loadReport.ts
@@ -1,8 +1,8 @@
 import type { Milliseconds } from "@wasabivane/common";
 import { build, type Histogram } from "hdr-histogram-js";
-import type { AttemptEnding } from "./attempt.ts";
+import type { CallOutcome } from "./sendAttempt.ts";
 import type { PatternName } from "./pattern.ts";
-import type { TokenTime } from "./tokenClock.ts";
+import type { TokenLatency } from "./tokenLatencyRecorder.ts";
 
 /** Percentiles of one kind of time, in milliseconds. */
 export interface Percentiles {
@@ -46,12 +46,12 @@
 const BROKEN_TYPE = "connection-broken";
 
 /** Whether a caller got a part for the whole, or another call's content. */
-export function hasFault({ tiers }: LoadReport): boolean {
+export function hasIntegrityFault({ tiers }: LoadReport): boolean {
   return Object.values(tiers).some(({ cut, crossed }) => cut + crossed > 0);
 }
 
 /** Counts the endings of one tier. */
-export class TierTally {
+export class TierStats {
   offered = 0;
   readonly #counts = { whole: 0, cut: 0, crossed: 0 };
   readonly #notRun = new Map<string, number>();
@@ -60,11 +60,11 @@
   readonly #betweenTokens = build();
   readonly #whole = build();
 
-  observe({ isFirst, ms }: TokenTime): void {
+  recordTokenLatency({ isFirst, ms }: TokenLatency): void {
     record(isFirst ? this.#firstToken : this.#betweenTokens, ms);
   }
 
-  end(ending: AttemptEnding, elapsedMs: Milliseconds): void {
+  recordOutcome(ending: CallOutcome, elapsedMs: Milliseconds): void {
     if (ending.kind === "problem") {
       const { type, ending: truth } = ending.problem;
       increment(truth === "not-run" ? this.#notRun : this.#unknown, type);
@@ -73,7 +73,7 @@
     if (ending.kind === "whole") record(this.#whole, elapsedMs);
   }
 
-  report(): TierReport {
+  createReport(): TierReport {
     return {
       offered: this.offered,
       ...this.#counts,
--- a/apps/load/src/main.ts
+++ b/apps/load/src/main.ts
@@ -4,12 +4,12 @@
 import { cac } from "cac";
 import { formatDocumentError } from "@wasabivane/bundle";
 import { SystemTimer } from "@wasabivane/common";
-import { type LoadFlags, settingsOf } from "./flags.ts";
-import { loadOptionsOf } from "./loadOptions.ts";
-import { hasFault } from "./loadReport.ts";
+import { type LoadFlags, readLoadSettings } from "./loadFlags.ts";
+import { resolveLoadOptions } from "./resolveLoadOptions.ts";
+import { hasIntegrityFault } from "./loadReport.ts";
 import { PATTERNS } from "./pattern.ts";
 import { ProgressLine } from "./progressLine.ts";
-import { reportLines } from "./reportTable.ts";
+import { formatLoadReport } from "./formatLoadReport.ts";
 import { type LoadOptions, runLoad } from "./runLoad.ts";
 
 /** Callers received something that no caller may receive. */
@@ -23,11 +23,11 @@
 }
 
 function optionsOf(flags: LoadFlags): LoadOptions {
-  const settings = settingsOf(flags);
+  const settings = readLoadSettings(flags);
   if (settings.isErr()) {
     exitWith(EXIT_USAGE, settings.error.map(formatDocumentError));
   }
-  const options = loadOptionsOf(settings.value);
+  const options = resolveLoadOptions(settings.value);
   if (options.isErr()) exitWith(EXIT_USAGE, [options.error.detail]);
   return options.value;
 }
@@ -45,9 +45,11 @@
       : undefined,
   });
   progress.clear();
-  const lines = flags.json ? [JSON.stringify(report)] : reportLines(report);
+  const lines = flags.json
+    ? [JSON.stringify(report)]
+    : formatLoadReport(report);
   for (const line of lines) process.stdout.write(`${line}\n`);
-  process.exitCode = hasFault(report) ? EXIT_FAULT : 0;
+  process.exitCode = hasIntegrityFault(report) ? EXIT_FAULT : 0;
 }
 
 function check(flags: LoadFlags): void {
--- a/apps/load/src/plan.ts
+++ b/apps/load/src/planCalls.ts
@@ -25,7 +25,7 @@
 export interface PlannedCall {
   readonly index: number;
   /** From the start of the run. */
-  readonly at: Milliseconds;
+  readonly arrivalOffset: Milliseconds;
   readonly caller: Caller;
   readonly tier: Tier;
   readonly kind: CallKind;
@@ -68,7 +68,7 @@
     if (isKept) {
       calls.push({
         index: calls.length,
-        at,
+        arrivalOffset: at,
         ...drawCall(random, { shape, options }),
       });
     }
@@ -80,7 +80,7 @@
 function drawCall(
   random: Random,
   { shape, options }: { shape: TrafficShape; options: PlanOptions },
-): Omit<PlannedCall, "index" | "at"> {
+): Omit<PlannedCall, "index" | "arrivalOffset"> {
   const isHot = random.float() < shape.hotAccountShare;
   const caller = isHot ? options.callers[0]! : random.pick(options.callers);
   const isLong = random.float() < shape.longShare;
--- a/apps/load/src/problemDocument.ts
+++ b/apps/load/src/problemDocument.ts
@@ -12,7 +12,10 @@
 const UNNAMED_TYPE = "unnamed";
 
 /** Reads a problem; whatever does not say "not-run" plainly is unknown. */
-export function readProblem(text: string, status: number): ProblemDocument {
+export function parseProblemDocument(
+  text: string,
+  status: number,
+): ProblemDocument {
   const members = parseObject(text);
   const { type, ending } = members;
   const name = typeof type === "string" ? type : UNNAMED_TYPE;
--- a/apps/load/src/loadOptions.ts
+++ b/apps/load/src/resolveLoadOptions.ts
@@ -1,7 +1,7 @@
 import { demoApiKey, exampleBundle } from "@wasabivane/bundle";
 import { err, ok, type Result } from "neverthrow";
-import type { Caller } from "./plan.ts";
-import type { CallTargets } from "./callBody.ts";
+import type { Caller } from "./planCalls.ts";
+import type { CallTargets } from "./callRequest.ts";
 import type { LoadOptions } from "./runLoad.ts";
 import type { LoadSettings } from "./settings.ts";
 
@@ -14,7 +14,7 @@
 }
 
 /** The options of a run; what the settings leave out comes from their deployment. */
-export function loadOptionsOf(
+export function resolveLoadOptions(
   settings: LoadSettings,
 ): Result<LoadOptions, IncompleteSettings> {
   const example = exampleOf(settings);
--- a/apps/load/src/runLoad.ts
+++ b/apps/load/src/runLoad.ts
@@ -7,11 +7,11 @@
   type Timer,
 } from "@wasabivane/common";
 import { Agent } from "undici";
-import { type AttemptEnding, sendAttempt } from "./attempt.ts";
-import { callBodyOf, type CallTargets } from "./callBody.ts";
-import { type LoadReport, TierTally } from "./loadReport.ts";
-import { planCalls, type PlannedCall, type PlanOptions } from "./plan.ts";
-import { TokenClock } from "./tokenClock.ts";
+import { type CallOutcome, sendAttempt } from "./sendAttempt.ts";
+import { type CallTargets, createCallRequest } from "./callRequest.ts";
+import { type LoadReport, TierStats } from "./loadReport.ts";
+import { planCalls, type PlannedCall, type PlanOptions } from "./planCalls.ts";
+import { TokenLatencyRecorder } from "./tokenLatencyRecorder.ts";
 import { uuidV7 } from "./uuidV7.ts";
 
 /** How far a run is. */
@@ -24,8 +24,8 @@
 /** How one call ended, after all its resends. */
 export interface EndedCall {
   readonly call: PlannedCall;
-  readonly key: string;
-  readonly ending: AttemptEnding;
+  readonly idempotencyKey: string;
+  readonly outcome: CallOutcome;
 }
 
 /** Options of {@link runLoad}. */
@@ -38,7 +38,7 @@
   /** Resends of one call after broken connections, each through the next entry. */
   readonly maximumResends?: number;
   /** Silence after which a caller gives a connection up. */
-  readonly silenceMs?: Milliseconds;
+  readonly idleTimeoutMs?: Milliseconds;
   readonly timer?: Timer;
   readonly random?: Random;
   /** Called after each change. */
@@ -51,7 +51,7 @@
 
 /** Sends a pattern of load to running entries and says what the callers received. */
 export async function runLoad(options: LoadOptions): Promise<LoadReport> {
-  const silenceMs = options.silenceMs ?? 120_000;
+  const silenceMs = options.idleTimeoutMs ?? 120_000;
   const dispatcher = new Agent({
     headersTimeout: silenceMs,
     bodyTimeout: silenceMs,
@@ -69,7 +69,7 @@
   readonly #timer: Timer;
   readonly #random: Random;
   readonly #calls: PlannedCall[];
-  readonly #tallies = new Map<number, TierTally>();
+  readonly #tallies = new Map<number, TierStats>();
   #sent = 0;
   #ended = 0;
   #resends = 0;
@@ -94,19 +94,19 @@
       offered: this.#calls.length,
       resends: this.#resends,
       tiers: Object.fromEntries(
-        tallies.map(([tier, tally]) => [tier, tally.report()]),
+        tallies.map(([tier, tally]) => [tier, tally.createReport()]),
       ),
     };
   }
 
   async #runCall(call: PlannedCall): Promise<void> {
-    await sleep(this.#timer, call.at);
+    await sleep(this.#timer, call.arrivalOffset);
     const tally = this.#tallyOf(call);
     const startedAt = this.#timer.now();
     this.#sent++;
     tally.offered++;
     const ending = await this.#sendUntilEnded(call, tally);
-    tally.end(ending, this.#timer.now() - startedAt);
+    tally.recordOutcome(ending, this.#timer.now() - startedAt);
     this.#ended++;
     this.#tellProgress();
   }
@@ -114,25 +114,28 @@
   /** Resends under the same key, so that a resend joins what is running. */
   async #sendUntilEnded(
     call: PlannedCall,
-    tally: TierTally,
-  ): Promise<AttemptEnding> {
+    tally: TierStats,
+  ): Promise<CallOutcome> {
     const { entries, targets, seed, maximumResends = 3 } = this.#options;
     const turn = this.#turn++;
-    const body = callBodyOf(call, { targets, seed });
+    const body = createCallRequest(call, { targets, seed });
     const headers = this.#headersOf(call);
-    const clock = new TokenClock(this.#timer, (time) => tally.observe(time));
+    const clock = new TokenLatencyRecorder(
+      this.#timer,
+      (time) => tally.recordTokenLatency(time),
+    );
     for (let resend = 0;; resend++) {
       const ending = await sendAttempt({
         entry: entries[(turn + resend) % entries.length]!,
         call,
-        body,
+        request: body,
         headers,
         dispatcher: this.#dispatcher,
         onToken: clock.startAttempt(),
       });
       if (ending.kind !== "broken" || resend === maximumResends) {
         const key = headers["idempotency-key"]!;
-        this.#options.onEnd?.({ call, key, ending });
+        this.#options.onEnd?.({ call, idempotencyKey: key, outcome: ending });
         return ending;
       }
       this.#resends++;
@@ -152,8 +155,8 @@
     };
   }
 
-  #tallyOf({ tier }: PlannedCall): TierTally {
-    const tally = this.#tallies.get(tier) ?? new TierTally();
+  #tallyOf({ tier }: PlannedCall): TierStats {
+    const tally = this.#tallies.get(tier) ?? new TierStats();
     this.#tallies.set(tier, tally);
     return tally;
   }
--- a/apps/load/src/attempt.ts
+++ b/apps/load/src/sendAttempt.ts
@@ -1,12 +1,15 @@
 import { expectedAnswer } from "@wasabivane/engine-model";
 import { type Dispatcher, request } from "undici";
-import type { CallBody } from "./callBody.ts";
-import { type ProblemDocument, readProblem } from "./problemDocument.ts";
-import { ServerSentEvents } from "./serverSentEvents.ts";
-import type { PlannedCall } from "./plan.ts";
+import type { CallRequest } from "./callRequest.ts";
+import {
+  parseProblemDocument,
+  type ProblemDocument,
+} from "./problemDocument.ts";
+import { ServerSentEventParser } from "./serverSentEventParser.ts";
+import type { PlannedCall } from "./planCalls.ts";
 
 /** How one attempt of a call ended, judged by what arrived. */
-export type AttemptEnding =
+export type CallOutcome =
   | { readonly kind: "whole" }
   /** The answer ended as if it were whole, but part of it is missing. */
   | { readonly kind: "cut" }
@@ -17,11 +20,11 @@
   | { readonly kind: "broken"; readonly detail: string };
 
 /** One attempt to send. */
-export interface Attempt {
+export interface AttemptOptions {
   /** Base url of the entry. */
   readonly entry: string;
   readonly call: PlannedCall;
-  readonly body: CallBody;
+  readonly request: CallRequest;
   readonly headers: Readonly<Record<string, string>>;
   readonly dispatcher: Dispatcher;
   /** Called for each token of a streamed answer. */
@@ -31,7 +34,9 @@
 const DONE = "[DONE]";
 
 /** Sends a call once and checks its answer against what the stand-ins answer. */
-export async function sendAttempt(attempt: Attempt): Promise<AttemptEnding> {
+export async function sendAttempt(
+  attempt: AttemptOptions,
+): Promise<CallOutcome> {
   try {
     return await receive(attempt);
   } catch (error) {
@@ -40,8 +45,8 @@
   }
 }
 
-async function receive(attempt: Attempt): Promise<AttemptEnding> {
-  const { entry, call, body, headers, dispatcher } = attempt;
+async function receive(attempt: AttemptOptions): Promise<CallOutcome> {
+  const { entry, call, request: body, headers, dispatcher } = attempt;
   const answer = await request(`${entry}${body.path}`, {
     method: body.method,
     headers: { "content-type": "application/json", ...headers },
@@ -55,7 +60,7 @@
   }
   const text = await answer.body.text();
   if (answer.statusCode >= 400) {
-    const problem = readProblem(text, answer.statusCode);
+    const problem = parseProblemDocument(text, answer.statusCode);
     return { kind: "problem", problem };
   }
   return call.kind === "plain"
@@ -65,15 +70,15 @@
 
 async function receiveStream(
   parts: AsyncIterable<Uint8Array>,
-  { call, body, onToken }: Attempt,
-): Promise<AttemptEnding> {
-  const events = new ServerSentEvents();
+  { call, request: body, onToken }: AttemptOptions,
+): Promise<CallOutcome> {
+  const events = new ServerSentEventParser();
   let text = "";
   let isDone = false;
   for await (const part of parts) {
     for (const { name, data } of events.feed(part)) {
       if (name === "error") {
-        return { kind: "problem", problem: readProblem(data, 200) };
+        return { kind: "problem", problem: parseProblemDocument(data, 200) };
       }
       // An answer that goes on after its end mark holds something foreign.
       if (isDone) return { kind: "crossed" };
@@ -88,8 +93,8 @@
 
 function checkCompletion(
   text: string,
-  { call, body }: Attempt,
-): AttemptEnding {
+  { call, request: body }: AttemptOptions,
+): CallOutcome {
   const completion = parse(text) as
     | { choices?: { message?: { content?: string } }[] }
     | undefined;
@@ -98,7 +103,10 @@
   return judge(content, { call, body, isEnded: true });
 }
 
-function checkEcho(text: string, { body }: Attempt): AttemptEnding {
+function checkEcho(
+  text: string,
+  { request: body }: AttemptOptions,
+): CallOutcome {
   const echo = parse(text) as { body?: string; path?: string } | undefined;
   if (echo === undefined) return { kind: "cut" };
   const isOwn = echo.body === body.body && echo.path === body.path;
@@ -110,10 +118,10 @@
   text: string,
   { call, body, isEnded }: {
     call: PlannedCall;
-    body: CallBody;
+    body: CallRequest;
     isEnded: boolean;
   },
-): AttemptEnding {
+): CallOutcome {
   const expected = expectedAnswer(body.prompt, call.outputTokens);
   if (text === expected) return { kind: isEnded ? "whole" : "cut" };
   return { kind: expected.startsWith(text) ? "cut" : "crossed" };
--- a/apps/load/src/serverSentEvents.ts
+++ b/apps/load/src/serverSentEventParser.ts
@@ -8,7 +8,7 @@
 const EVENT_END = /\r?\n\r?\n/;
 
 /** Cuts a byte stream into its events; a half event waits for its rest. */
-export class ServerSentEvents {
+export class ServerSentEventParser {
   readonly #decoder = new TextDecoder();
   #rest = "";
 
--- a/apps/load/src/tokenClock.ts
+++ b/apps/load/src/tokenLatencyRecorder.ts
@@ -1,22 +1,22 @@
 import type { Milliseconds, Timer } from "@wasabivane/common";
 
 /** How long a caller waited for one token. */
-export interface TokenTime {
+export interface TokenLatency {
   readonly isFirst: boolean;
   readonly ms: Milliseconds;
 }
 
 /** Called for each token that arrived for the first time. */
-export type TokenTimeListener = (time: TokenTime) => void;
+export type TokenLatencyListener = (time: TokenLatency) => void;
 
 /** Measures one call's tokens; what a resend repeats is not measured again. */
-export class TokenClock {
+export class TokenLatencyRecorder {
   readonly #timer: Timer;
-  readonly #listener: TokenTimeListener;
+  readonly #listener: TokenLatencyListener;
   #seen = 0;
   #lastAt: Milliseconds;
 
-  constructor(timer: Timer, listener: TokenTimeListener) {
+  constructor(timer: Timer, listener: TokenLatencyListener) {
     this.#timer = timer;
     this.#listener = listener;
     this.#lastAt = timer.now();
--- a/apps/load/tests/helpers/fakeEntry.ts
+++ b/apps/load/tests/helpers/fakeEntry.ts
@@ -8,7 +8,7 @@
 } from "@wasabivane/engine-model";
 
 /** One request as a fake entry got it. */
-export interface SeenRequest {
+export interface ReceivedRequest {
   readonly path: string;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: string;
@@ -18,14 +18,17 @@
 }
 
 /** Answers one request in a true or a faulty way. */
-export type Behaviour = (request: SeenRequest, answer: ServerResponse) => void;
+export type EntryBehavior = (
+  request: ReceivedRequest,
+  answer: ServerResponse,
+) => void;
 
 /** An entry that answers as a test tells it. */
 export class FakeEntry {
-  readonly seen: SeenRequest[] = [];
+  readonly received: ReceivedRequest[] = [];
   readonly #server: Server;
 
-  constructor(behaviour: Behaviour) {
+  constructor(behaviour: EntryBehavior) {
     this.#server = createServer((incoming, outgoing) => {
       let body = "";
       incoming.setEncoding("utf8").on("data", (part) => body += part);
@@ -38,7 +41,7 @@
           prompt: chat.messages?.[0].content ?? "",
           isStreamed: chat.stream === true,
         };
-        this.seen.push(request);
+        this.received.push(request);
         behaviour(request, outgoing);
       });
     });
@@ -58,8 +61,8 @@
 }
 
 /** Answers as an entry before stand-ins does. */
-export function answerWhole(
-  request: SeenRequest,
+export function respondCompletely(
+  request: ReceivedRequest,
   outgoing: ServerResponse,
 ): void {
   if (request.isStreamed) {
@@ -69,8 +72,8 @@
 }
 
 /** Ends a stream without its end mark. */
-export function answerCut(
-  { prompt }: SeenRequest,
+export function respondWithoutEndMark(
+  { prompt }: ReceivedRequest,
   outgoing: ServerResponse,
 ): void {
   sendTokens(prompt, outgoing);
@@ -78,16 +81,19 @@
 }
 
 /** Answers somebody else's prompt. */
-export function answerCrossed(
-  request: SeenRequest,
+export function respondToOtherPrompt(
+  request: ReceivedRequest,
   outgoing: ServerResponse,
 ): void {
-  answerWhole({ ...request, prompt: `${request.prompt} other` }, outgoing);
+  respondCompletely(
+    { ...request, prompt: `${request.prompt} other` },
+    outgoing,
+  );
 }
 
 /** Breaks the connection after the tokens. */
-export function breakOff(
-  { prompt }: SeenRequest,
+export function breakConnection(
+  { prompt }: ReceivedRequest,
   outgoing: ServerResponse,
 ): void {
   sendTokens(prompt, outgoing);
@@ -95,8 +101,8 @@
 }
 
 /** Ends a started stream with an error event. */
-export function answerErrorEvent(
-  { prompt }: SeenRequest,
+export function respondWithErrorEvent(
+  { prompt }: ReceivedRequest,
   outgoing: ServerResponse,
 ): void {
   sendTokens(prompt, outgoing);
@@ -109,7 +115,10 @@
 }
 
 /** Refuses without a run. */
-export function refuse(_request: SeenRequest, outgoing: ServerResponse): void {
+export function refuseRequest(
+  _request: ReceivedRequest,
+  outgoing: ServerResponse,
+): void {
   outgoing.writeHead(503, { "content-type": "application/problem+json" });
   outgoing.end(JSON.stringify({
     type: "urn:wasabivane:problem:shed",
@@ -118,7 +127,7 @@
   }));
 }
 
-function bodyOf(request: SeenRequest): unknown {
+function bodyOf(request: ReceivedRequest): unknown {
   const { prompt, path, body } = request;
   if (prompt === "") return { path, body };
   const content = expectedAnswer(prompt, answerLength(prompt));
--- a/apps/load/tests/plan.test.ts
+++ b/apps/load/tests/plan.test.ts
@@ -35,7 +35,9 @@
   const ofLarge = hot.filter(({ caller }) => caller.account === "large");
   t.true(ofLarge.length > 0.75 * hot.length);
   const burst = planCalls(optionsOf({ pattern: "burst" }));
-  const inBurst = burst.filter(({ at }) => at >= 24_000 && at < 30_000);
+  const inBurst = burst.filter(({ arrivalOffset: at }) =>
+    at >= 24_000 && at < 30_000
+  );
   t.true(inBurst.length > 4 * steady.length / 10);
   const prompts = steady.map(({ promptTokens }) => promptTokens);
   t.true(Math.max(...prompts) > 100 * Math.min(...prompts));
--- a/apps/load/tests/settings.test.ts
+++ b/apps/load/tests/settings.test.ts
@@ -1,21 +1,21 @@
 import test from "ava";
 import { VirtualTimer } from "@wasabivane/common";
 import {
-  loadOptionsOf,
+  formatLoadReport,
   ProgressLine,
-  reportLines,
-  settingsOf,
+  readLoadSettings,
+  resolveLoadOptions,
 } from "@wasabivane/load";
 
 test("flags and an example deployment make a run", (t) => {
-  const settings = settingsOf({
+  const settings = readLoadSettings({
     entry: "http://127.0.0.1:9001",
     deployment: "cairo",
     pattern: "burst",
     rate: 50,
     duration: 3,
   })._unsafeUnwrap();
-  const options = loadOptionsOf(settings)._unsafeUnwrap();
+  const options = resolveLoadOptions(settings)._unsafeUnwrap();
   t.like(options, {
     pattern: "burst",
     durationMs: 3_000,
@@ -26,16 +26,19 @@
 });
 
 test("a wrong flag is told with what is allowed, a missing one by name", (t) => {
-  const [error] = settingsOf({ pattern: "burts" })._unsafeUnwrapErr();
+  const [error] = readLoadSettings({ pattern: "burts" })._unsafeUnwrapErr();
   t.like(error, { file: "command line", path: "pattern" });
   t.regex(error!.allowed, /did you mean "burst"/);
-  const empty = settingsOf({})._unsafeUnwrap();
-  t.is(loadOptionsOf(empty)._unsafeUnwrapErr().detail, "Name an entry's url");
+  const empty = readLoadSettings({})._unsafeUnwrap();
+  t.is(
+    resolveLoadOptions(empty)._unsafeUnwrapErr().detail,
+    "Name an entry's url",
+  );
 });
 
 test("the table has a row for each tier and the reasons below", (t) => {
   const times = { count: 1, p50: 1, p95: 2, p99: 3, maximum: 3 };
-  const lines = reportLines({
+  const lines = formatLoadReport({
     pattern: "steady",
     seed: 1,
     elapsedMs: 2_000,
--- a/packages/coordination/src/poisonRecordController.ts
+++ b/packages/coordination/src/poisonRecordController.ts
@@ -98,7 +98,7 @@
 /** Suspicions of one service, as its scheduler gives and takes them. */
 export interface ServicePoisonRecords {
   readonly service: ServiceId;
-  readonly suspicions: readonly PoisonRecord[];
+  readonly records: readonly PoisonRecord[];
 }
 
 /** What a {@link PoisonRecordController} needs from its process. */
@@ -164,7 +164,7 @@
    */
   flush(): void {
     const { drain, ejections } = this.#options;
-    const learned = drain().flatMap(({ service, suspicions }) =>
+    const learned = drain().flatMap(({ service, records: suspicions }) =>
       suspicions.map(({ fingerprint, kind, remainingMs }) => ({
         service,
         subject: fingerprint,
@@ -268,5 +268,5 @@
     group.push({ fingerprint: subject as Digest, kind, remainingMs });
     groups.set(service, group);
   }
-  return [...groups].map(([service, suspicions]) => ({ service, suspicions }));
+  return [...groups].map(([service, records]) => ({ service, records }));
 }
--- a/packages/coordination/src/poolCoordinator.ts
+++ b/packages/coordination/src/poolCoordinator.ts
@@ -205,14 +205,14 @@
   }
 
   /** Passes on an engine's load report. */
-  reportLoad(service: ServiceId, report: LoadReport): void {
+  applyLoadReport(service: ServiceId, report: LoadReport): void {
     const scheduler = this.#pools.get(service)?.scheduler;
     if (scheduler === undefined) return;
     this.#deliverAll(service, scheduler.applyLoadReport(report, this.#now()));
   }
 
   /** Passes on an engine's cache event. */
-  reportCache(service: ServiceId, event: CacheEvent): void {
+  applyCacheEvent(service: ServiceId, event: CacheEvent): void {
     this.#pools.get(service)?.scheduler.applyCacheEvent(event, this.#now());
   }
 
--- a/packages/coordination/tests/suspicions.test.ts
+++ b/packages/coordination/tests/poisonRecords.test.ts
@@ -59,7 +59,7 @@
       members: MEMBERS,
       drain: () => [{
         service: DRAFTER,
-        suspicions: started.learned.splice(0),
+        records: started.learned.splice(0),
       }],
       importPoisonRecords: (suspicions) => started.absorbed.push(suspicions),
     }).start();
@@ -72,7 +72,7 @@
 }
 
 function knows(host: Host, kind: PoisonRecord["kind"]): boolean {
-  return host.absorbed.some(({ suspicions }) =>
+  return host.absorbed.some(({ records: suspicions }) =>
     suspicions.some((suspicion) =>
       suspicion.fingerprint === POISON && suspicion.kind === kind
     )
--- a/packages/proof/src/liveJudge.ts
+++ b/packages/proof/src/liveJudge.ts
@@ -48,7 +48,7 @@
   const runs = runsByKey(fleet);
   const ended = calls.map((call) => ({ ...call, truth: truthOf(call) }));
   const plain = ended.filter(({ call }) => call.kind === "plain");
-  const hasRun = ({ key }: EndedCall): boolean => runs.has(key);
+  const hasRun = ({ idempotencyKey: key }: EndedCall): boolean => runs.has(key);
   return {
     ...run,
     requests: calls.length,
@@ -61,8 +61,8 @@
     ),
     doubleDispatches: doubledNonces(fleet),
     doubleRuns: count([...runs.values()], (times) => times > 1),
-    crossed: count(ended, ({ ending }) => ending.kind === "crossed"),
-    cut: count(ended, ({ ending }) => ending.kind === "cut"),
+    crossed: count(ended, ({ outcome: ending }) => ending.kind === "crossed"),
+    cut: count(ended, ({ outcome: ending }) => ending.kind === "cut"),
     falseNotRun: count(
       plain,
       (call) => call.truth === "not-run" && hasRun(call),
@@ -95,7 +95,7 @@
   return count([...plain, ...engines], (times) => times > 1);
 }
 
-function truthOf({ ending }: EndedCall): string {
+function truthOf({ outcome: ending }: EndedCall): string {
   if (ending.kind === "problem") return ending.problem.ending;
   return ending.kind === "whole" ? "whole" : "unknown";
 }
@@ -104,7 +104,7 @@
   ended: readonly (EndedCall & { truth: string })[],
 ): Record<string, number> {
   const types: Record<string, number> = {};
-  for (const { ending, truth } of ended) {
+  for (const { outcome: ending, truth } of ended) {
     if (truth !== "unknown") continue;
     const type = ending.kind === "problem" ? ending.problem.type : ending.kind;
     types[type] = (types[type] ?? 0) + 1;
--- a/packages/proof/src/liveMain.ts
+++ b/packages/proof/src/liveMain.ts
@@ -2,8 +2,8 @@
 import { SeededRandom, sleep, SystemTimer } from "@wasabivane/common";
 import {
   type EndedCall,
-  loadOptionsOf,
   loadSettingsSchema,
+  resolveLoadOptions,
   runLoad,
 } from "@wasabivane/load";
 import { cac } from "cac";
@@ -74,7 +74,7 @@
     requestsPerSecond: rate,
     plainShare: 0.5,
   });
-  const options = loadOptionsOf(settings)._unsafeUnwrap();
+  const options = resolveLoadOptions(settings)._unsafeUnwrap();
   await sleep(new SystemTimer(), START_MS);
   const versions = new VersionWatch(fleet);
   const [faults] = await Promise.all([
@@ -85,7 +85,7 @@
     }),
     runLoad({
       ...options,
-      silenceMs: SILENCE_MS,
+      idleTimeoutMs: SILENCE_MS,
       onEnd: (call) => calls.push(call),
     }),
   ]);
