--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -6,7 +6,7 @@
 } from "@wasabivane/common";
 import type { Upstream, UpstreamOutcome } from "@wasabivane/admission";
 import type { Dialect } from "./dialect.ts";
-import { EventFrames } from "./eventFrames.ts";
+import { EventStreamSplitter } from "./eventStreamSplitter.ts";
 import type { HeaderValues } from "./headers.ts";
 import type {
   RunningCall,
@@ -15,104 +15,130 @@
   UpstreamListener,
 } from "./upstreamConnections.ts";
 
-/** Answers are held back until they are whole, but not above this. */
-const MAXIMUM_HELD_BYTES = 1_024 * 1_024;
-/** A stream tells its pace after so many events, and each time that their number has doubled. */
-const FIRST_PACE_EVENTS = 4;
-/** Another upstream has the address; it never runs the request. */
-const MISDIRECTED = 421;
+/**
+ * Plain responses up to this size are buffered until complete; larger ones are
+ * streamed.
+ */
+const MAXIMUM_BUFFERED_BYTES = 1_024 * 1_024;
+/**
+ * Events before the first speed report; each further report needs twice as
+ * many.
+ */
+const FIRST_REPORT_EVENTS = 4;
+/**
+ * Sent by another upstream that has taken over the address; it does not run the
+ * request.
+ */
+const STATUS_MISDIRECTED = 421;
 
-/** Head of an answer that may be passed on. */
-export interface AnswerHead {
+/** Status and headers of a response that may be forwarded. */
+export interface ResponseHead {
   readonly status: number;
-  readonly fields: HeaderValues;
+  readonly headers: HeaderValues;
 }
 
-/** How an attempt ended. */
+/** The outcome of an attempt. */
 export interface AttemptEnd {
   readonly outcome: UpstreamOutcome;
   readonly detail: string;
-  /** Whether bytes of the request may have left. */
+  /** Whether any bytes of the request may have been sent. */
   readonly wasSent: boolean;
-  /** A whole answer that was held back. */
-  readonly answer?: AnswerHead & { readonly body: Buffer };
+  /** The complete response, where it was buffered. */
+  readonly response?: ResponseHead & { readonly body: Buffer };
 }
 
 /**
- * Says how long a silence that began at `since` is borne; `undefined`: for as long
- * as it takes. It is asked at the beginning and again when that time is over, as an
- * upstream may have more to do by then.
+ * Timeouts for an upstream that sends nothing, given when the silence began;
+ * `undefined` for no limit. They are evaluated again on expiry, since the
+ * upstream's load may have changed.
  */
-export interface SilencePatience {
-  /** For the first event, or a whole plain answer. */
-  readonly first: (since: Milliseconds) => Milliseconds | undefined;
-  /** For the next event. */
-  readonly pause: (since: Milliseconds) => Milliseconds | undefined;
+export interface SilenceTimeouts {
+  /** Until the first event, or a complete plain response. */
+  readonly firstEvent: (since: Milliseconds) => Milliseconds | undefined;
+  /** Until the next event of a stream. */
+  readonly nextEvent: (since: Milliseconds) => Milliseconds | undefined;
 }
 
-/** Who is told of an attempt's steps. */
+/** Receives the progress of an {@link Attempt}. */
 export interface AttemptListener {
-  /** The first whole event of a stream arrived; it follows by `events`. */
-  streamStarted(head: AnswerHead): void;
-  /** Bytes of whole events, and the id of the last one where it has one. */
-  events(bytes: Buffer, lastEvent: number | undefined): void;
-  ended(end: AttemptEnd): void;
+  /**
+   * Called when the first complete event arrives, before it is passed to
+   * `onEvents`.
+   */
+  onStreamStart(head: ResponseHead): void;
+  /**
+   * Called with the bytes of complete events and the last event's id, if it has
+   * one.
+   */
+  onEvents(bytes: Buffer, lastEventId: number | undefined): void;
+  onEnd(end: AttemptEnd): void;
 }
 
-/** What an attempt is made of. */
+/** Options of an {@link Attempt}. */
 export interface AttemptOptions {
   readonly upstream: Upstream;
   readonly call: UpstreamCall;
   readonly connections: UpstreamConnections;
   readonly dialect: Dialect;
   readonly timer: Timer;
-  /** When the caller's time is over; nothing is sent any more. */
+  /** Time after which nothing is sent. */
   readonly deadline: Milliseconds;
-  /** The request's id, which the answer must repeat. */
-  readonly attempt: string;
+  /** Request id that the response must repeat. */
+  readonly requestId: string;
   readonly isStreaming: boolean;
-  /** Longest pause between events that is on time; 0 where pauses do not count. */
+  /** Longest pause between events that meets the target; 0 for no target. */
   readonly pauseTarget: Milliseconds;
-  /** Tokens that the upstream reads before the first event, those ahead included. */
+  /**
+   * Tokens that the upstream processes before the first event, queued prompts
+   * included.
+   */
   readonly promptTokens: number;
-  /** How long it is borne that nothing comes; `undefined`: for as long as it takes. */
-  readonly patience: SilencePatience | undefined;
-  /** Told how many requests the upstream has, where its answer says so. */
+  /** `undefined` to wait without limit. */
+  readonly silenceTimeouts: SilenceTimeouts | undefined;
+  /** Called with the upstream's request count when its response reports one. */
   readonly onLoad: (requests: number) => void;
-  /** Told of a running stream's mean time for an event, now and then. */
-  readonly onPace?: (pace: Milliseconds) => void;
+  /**
+   * Called from time to time with the mean interval between a stream's events.
+   */
+  readonly onEventInterval?: (interval: Milliseconds) => void;
   readonly listener: AttemptListener;
 }
 
-/** One request at one upstream: checks that the answer belongs to it and is whole. */
+/**
+ * Sends a request to one upstream and checks that the response belongs to it
+ * and is complete.
+ */
 export class Attempt implements UpstreamListener {
   readonly startedAt: Milliseconds;
   readonly upstream: Upstream;
   firstEventAt: Milliseconds | undefined;
   eventCount = 0;
-  /** Pauses between events that were longer than the target. */
+  /** Number of pauses between events that exceeded the target. */
   latePauses = 0;
   readonly #options: AttemptOptions;
-  readonly #frames = new EventFrames();
-  readonly #held: Buffer[] = [];
-  #heldBytes = 0;
-  #head: AnswerHead | undefined;
+  readonly #splitter = new EventStreamSplitter();
+  readonly #buffered: Buffer[] = [];
+  #bufferedBytes = 0;
+  #head: ResponseHead | undefined;
   #wasSent = false;
-  #isOver = false;
+  #isEnded = false;
   #hasStarted = false;
-  /** A large answer goes straight on; it can no longer be asked for again. */
-  #isPassingOn = false;
-  /** When anything of the answer came last, or the request was sent. */
-  #heardAt: Milliseconds;
-  #guard: TimerSubscription | undefined;
-  #tellsPaceAt = FIRST_PACE_EVENTS;
+  /**
+   * A plain response exceeded the buffer and is streamed; it can no longer be
+   * retried.
+   */
+  #isStreamingBody = false;
+  /** Time of the last event, or of the start before any. */
+  #lastEventAt: Milliseconds;
+  #silenceTimer: TimerSubscription | undefined;
+  #speedReportAt = FIRST_REPORT_EVENTS;
   #call: RunningCall | undefined;
 
   constructor(options: AttemptOptions) {
     this.#options = options;
     this.upstream = options.upstream;
     this.startedAt = options.timer.now();
-    this.#heardAt = this.startedAt;
+    this.#lastEventAt = this.startedAt;
   }
 
   /** See {@link AttemptOptions.promptTokens}. */
@@ -126,11 +152,11 @@
 
   start(): void {
     const { connections, call } = this.#options;
-    this.#watchSilence();
+    this.#armSilenceTimer();
     this.#call = connections.send(call, this);
   }
 
-  /** Ends the attempt from this side. */
+  /** Ends the attempt and its upstream call. */
   abort(outcome: UpstreamOutcome, detail: string): void {
     this.#end({ outcome, detail });
   }
@@ -143,12 +169,12 @@
     this.#call?.resume();
   }
 
-  /** A connection may take long on a busy host; its caller may have no time left by then. */
-  isWanted(): boolean {
-    if (this.#isOver) return false;
+  /** Checks the deadline once more, as connecting may have taken long. */
+  shouldSend(): boolean {
+    if (this.#isEnded) return false;
     const { timer, deadline } = this.#options;
     if (timer.now() < deadline) return true;
-    this.#end({ outcome: "cancelled", detail: "too late to send" });
+    this.#end({ outcome: "cancelled", detail: "deadline passed before send" });
     return false;
   }
 
@@ -156,42 +182,51 @@
     this.#wasSent = true;
   }
 
-  head(status: number, fields: HeaderValues): void {
-    if (this.#isOver) return;
-    const says = this.#options.dialect.parseResponse(status, fields);
-    if (says.load !== undefined) this.#options.onLoad(says.load);
-    if (status === MISDIRECTED) {
+  head(status: number, headers: HeaderValues): void {
+    if (this.#isEnded) return;
+    const metadata = this.#options.dialect.parseResponse(status, headers);
+    if (metadata.load !== undefined) this.#options.onLoad(metadata.load);
+    if (status === STATUS_MISDIRECTED) {
       return this.#end({ outcome: "replaced", detail: `status ${status}` });
     }
-    if (says.hasNotRun) {
+    if (metadata.hasNotRun) {
       return this.#end({ outcome: "not-run", detail: `status ${status}` });
     }
-    if (says.requestId !== this.#options.attempt) {
-      return this.#end({ outcome: "broken", detail: "foreign answer" });
+    if (metadata.requestId !== this.#options.requestId) {
+      return this.#end({
+        outcome: "broken",
+        detail: "response to another request",
+      });
     }
-    if (isSuccess(status) && !says.isSealed) {
-      return this.#end({ outcome: "broken", detail: "answer without a mark" });
+    if (isSuccess(status) && !metadata.isSealed) {
+      return this.#end({
+        outcome: "broken",
+        detail: "response without a seal",
+      });
     }
-    this.#head = { status, fields };
+    this.#head = { status, headers };
   }
 
   data(chunk: Buffer): void {
-    if (this.#isOver || this.#head === undefined) return;
-    if (this.#isEventStream()) this.#takeEvents(chunk);
-    else if (this.#isPassingOn) this.#options.listener.events(chunk, undefined);
-    else this.#hold(chunk);
+    if (this.#isEnded || this.#head === undefined) return;
+    if (this.#isEventStream()) this.#forwardEvents(chunk);
+    else if (this.#isStreamingBody) {
+      this.#options.listener.onEvents(chunk, undefined);
+    } else this.#buffer(chunk);
   }
 
   ended(): void {
-    if (this.#isOver || this.#head === undefined) return;
-    if (this.#isEventStream() || this.#isPassingOn) return this.#endStream();
+    if (this.#isEnded || this.#head === undefined) return;
+    if (this.#isEventStream() || this.#isStreamingBody) {
+      return this.#endStream();
+    }
     const { status } = this.#head;
-    const body = Buffer.concat(this.#held);
+    const body = Buffer.concat(this.#buffered);
     const outcome = status >= 500 ? "failed" : "whole";
     this.#end({
       outcome,
       detail: `status ${status}`,
-      answer: { ...this.#head, body },
+      response: { ...this.#head, body },
     });
   }
 
@@ -203,90 +238,96 @@
     return this.#options.isStreaming && isSuccess(this.#head!.status);
   }
 
-  #takeEvents(chunk: Buffer): void {
-    const frames = this.#frames.push(chunk);
+  #forwardEvents(chunk: Buffer): void {
+    const frames = this.#splitter.push(chunk);
     if (frames.length === 0) return;
     this.#startStream();
     this.eventCount += frames.length;
-    this.#noteEvent();
-    this.#tellPace();
+    this.#recordEvent();
+    this.#reportSpeed();
     const bytes = frames.length === 1
       ? frames[0]!.bytes
       : Buffer.concat(frames.map((frame) => frame.bytes));
-    this.#options.listener.events(bytes, frames.at(-1)!.id);
+    this.#options.listener.onEvents(bytes, frames.at(-1)!.id);
   }
 
-  #noteEvent(): void {
+  #recordEvent(): void {
     const now = this.#options.timer.now();
     const { pauseTarget } = this.#options;
-    const isLate = pauseTarget > 0 && now - this.#heardAt > pauseTarget;
+    const isLate = pauseTarget > 0 && now - this.#lastEventAt > pauseTarget;
     if (isLate) this.latePauses++;
-    this.#heardAt = now;
+    this.#lastEventAt = now;
   }
 
-  /** An upstream that is slow shows so long before its first stream ends. */
-  #tellPace(): void {
-    if (this.eventCount < this.#tellsPaceAt) return;
-    this.#tellsPaceAt = 2 * this.eventCount;
-    const span = this.#heardAt - this.firstEventAt!;
-    this.#options.onPace?.(span / (this.eventCount - 1));
+  /**
+   * Reports the speed while the stream runs, so that a slow upstream is noticed
+   * early.
+   */
+  #reportSpeed(): void {
+    if (this.eventCount < this.#speedReportAt) return;
+    this.#speedReportAt = 2 * this.eventCount;
+    const span = this.#lastEventAt - this.firstEventAt!;
+    this.#options.onEventInterval?.(span / (this.eventCount - 1));
   }
 
   #startStream(): void {
     if (this.#hasStarted) return;
     this.#hasStarted = true;
     this.firstEventAt = this.#options.timer.now();
-    this.#heardAt = this.firstEventAt;
-    this.#watchSilence();
-    this.#options.listener.streamStarted(this.#head!);
+    this.#lastEventAt = this.firstEventAt;
+    this.#armSilenceTimer();
+    this.#options.listener.onStreamStart(this.#head!);
   }
 
-  /** A stream that ends inside an event is passed on to its last byte. */
+  /**
+   * Forwards a trailing incomplete event, so that no byte of the stream is
+   * lost.
+   */
   #endStream(): void {
     this.#startStream();
-    const { rest } = this.#frames;
-    if (rest.length > 0) this.#options.listener.events(rest, undefined);
+    const { remainder } = this.#splitter;
+    if (remainder.length > 0) {
+      this.#options.listener.onEvents(remainder, undefined);
+    }
     this.#end({ outcome: "whole", detail: "end of stream" });
   }
 
-  #hold(chunk: Buffer): void {
-    this.#held.push(Buffer.from(chunk));
-    this.#heldBytes += chunk.length;
-    if (this.#heldBytes <= MAXIMUM_HELD_BYTES) return;
-    this.#isPassingOn = true;
+  #buffer(chunk: Buffer): void {
+    this.#buffered.push(Buffer.from(chunk));
+    this.#bufferedBytes += chunk.length;
+    if (this.#bufferedBytes <= MAXIMUM_BUFFERED_BYTES) return;
+    this.#isStreamingBody = true;
     this.#startStream();
-    this.#options.listener.events(Buffer.concat(this.#held), undefined);
+    this.#options.listener.onEvents(Buffer.concat(this.#buffered), undefined);
   }
 
-  /**
-   * Looks again when the silence since the last event would be too long. Events only
-   * note their time, so that a stream costs no timer for each of them.
-   */
-  #watchSilence(): void {
-    this.#guard?.cancel();
-    const { patience, timer } = this.#options;
-    const borne = this.#hasStarted
-      ? patience?.pause(this.#heardAt)
-      : patience?.first(this.#heardAt);
-    if (borne === undefined) return;
-    const left = this.#heardAt + borne - timer.now();
-    if (left <= 0) return this.#endSilent();
-    this.#guard = timer.after(left, () => this.#watchSilence());
+  /** Rearms only on expiry, so that events of a stream need no timer each. */
+  #armSilenceTimer(): void {
+    this.#silenceTimer?.cancel();
+    const { silenceTimeouts, timer } = this.#options;
+    const timeout = this.#hasStarted
+      ? silenceTimeouts?.nextEvent(this.#lastEventAt)
+      : silenceTimeouts?.firstEvent(this.#lastEventAt);
+    if (timeout === undefined) return;
+    const remaining = this.#lastEventAt + timeout - timer.now();
+    if (remaining <= 0) return this.#endOnSilence();
+    this.#silenceTimer = timer.after(remaining, () => this.#armSilenceTimer());
   }
 
-  #endSilent(): void {
-    const span = Math.round(this.#options.timer.now() - this.#heardAt);
-    this.#end({ outcome: "silent", detail: `nothing for ${span} ms` });
+  #endOnSilence(): void {
+    const span = Math.round(this.#options.timer.now() - this.#lastEventAt);
+    this.#end({ outcome: "silent", detail: `no data for ${span} ms` });
   }
 
   #end(end: Omit<AttemptEnd, "wasSent">): void {
-    if (this.#isOver) return;
-    this.#isOver = true;
-    this.#guard?.cancel();
-    const isOwnEnd = end.answer !== undefined || end.outcome === "whole" ||
+    if (this.#isEnded) return;
+    this.#isEnded = true;
+    this.#silenceTimer?.cancel();
+    const isCallFinished = end.response !== undefined ||
+      end.outcome === "whole" ||
       end.outcome === "unreachable";
-    if (!isOwnEnd) this.#call?.abort();
-    this.#options.listener.ended({ ...end, wasSent: this.#wasSent });
+    if (!isCallFinished) this.#call?.abort();
+    this.#options.listener.onEnd({ ...end, wasSent: this.#wasSent });
   }
 }
 
--- a/packages/gateway/src/attemptPlan.ts
+++ b/packages/gateway/src/attemptPlan.ts
@@ -11,54 +11,54 @@
   type Upstream,
 } from "@wasabivane/admission";
 import type { AttemptListener, AttemptOptions } from "./attempt.ts";
-import { endToEndFields, type HeaderLine } from "./headers.ts";
+import { type HeaderLine, selectEndToEndHeaders } from "./headers.ts";
 import type { GatewayContext } from "./gatewayContext.ts";
-import type { Admitted } from "./intake.ts";
-import { silencePatience } from "./silencePatience.ts";
+import type { AdmittedRequest } from "./requestAdmission.ts";
+import { computeSilenceTimeouts } from "./computeSilenceTimeouts.ts";
 
-/** The request as it was read. */
-export interface ReadRequest {
+/** A caller's request with its body read completely. */
+export interface BufferedRequest {
   readonly method: string;
   readonly path: string;
-  readonly lines: readonly HeaderLine[];
+  readonly headerLines: readonly HeaderLine[];
   readonly body: Buffer;
   readonly fingerprint: Digest;
 }
 
-/** What an attempt is planned from. */
-export interface PlannedSend {
-  readonly parts: GatewayContext;
-  readonly admitted: Admitted;
-  readonly request: ReadRequest;
+/** Inputs of {@link planAttempt}. */
+export interface AttemptInputs {
+  readonly context: GatewayContext;
+  readonly admitted: AdmittedRequest;
+  readonly request: BufferedRequest;
   readonly upstream: Upstream;
-  /** Prompt tokens of others that the upstream reads first. */
-  readonly unreadTokens: number;
+  /** Prompt tokens of other requests that the upstream processes first. */
+  readonly pendingPrefillTokens: number;
   readonly now: Milliseconds;
-  /** Id of the last event that the caller got; `undefined` before any. */
-  readonly lastEvent: number | undefined;
-  /** Whether the request may be sent to another upstream after this one. */
-  readonly canRepeat: boolean;
-  /** Whether there is another upstream now, and budget left to send to it. */
-  readonly hasOther: () => boolean;
+  /** Id of the last event sent to the caller; `undefined` before any. */
+  readonly lastEventId: number | undefined;
+  /** Whether the request may be retried at another upstream. */
+  readonly canRetry: boolean;
+  /** Returns whether another upstream and retry budget are available now. */
+  readonly hasAlternative: () => boolean;
   readonly listener: AttemptListener;
 }
 
-/** Parts of a prompt that whoever places it hears of; those that are shared come first. */
-const MAXIMUM_PARTS = 8;
+/** Prompt parts used for placement; shared ones come first. */
+const MAXIMUM_PROMPT_PARTS = 8;
 
-/** What a request says to whoever places it. */
-export function wishOf(
-  admitted: Admitted,
+/** Describes a request for placement at an upstream. */
+export function createPlacementRequest(
+  admitted: AdmittedRequest,
   { failureDomain, excluded, isContinuation }: {
     failureDomain: FailureDomain;
     excluded: ReadonlySet<UpstreamId>;
-    /** An upstream may have begun with it. */
+    /** Whether an upstream may have started the request. */
     isContinuation: boolean;
   },
 ): PlacementRequest {
-  const { route, service, says, account, arrivedAt, deadline } = admitted;
+  const { route, service, metadata, account, arrivedAt, deadline } = admitted;
   return {
-    request: says.requestId,
+    request: metadata.requestId,
     service,
     failureDomain,
     route: route.route,
@@ -70,40 +70,46 @@
     promptTokens: promptTokensOf(admitted),
     expectedTokens: expectedTokensOf(admitted),
     pauseTarget: route.pauseTarget,
-    parts: says.promptParts.slice(0, MAXIMUM_PARTS),
+    parts: metadata.promptParts.slice(0, MAXIMUM_PROMPT_PARTS),
     excluded: new Set(excluded),
     isContinuation,
   };
 }
 
-/** One send of a request to the upstream that it was placed at. */
-export function planAttempt(send: PlannedSend): AttemptOptions {
-  const { parts, admitted, request, upstream, listener } = send;
-  const { route, service, says } = admitted;
-  const { knowledge, connections, dialect, timer } = parts;
-  const promptTokens = promptTokensOf(admitted) + send.unreadTokens;
+/**
+ * Builds the options for sending a request to the upstream it was assigned to.
+ */
+export function planAttempt(inputs: AttemptInputs): AttemptOptions {
+  const { context, admitted, request, upstream, listener } = inputs;
+  const { route, service, metadata } = admitted;
+  const { upstreamStats, connections, dialect, timer } = context;
+  const promptTokens = promptTokensOf(admitted) + inputs.pendingPrefillTokens;
   return {
     upstream,
     call: {
       address: upstream.address,
       method: request.method,
       path: request.path,
-      fields: fieldsOf(send),
+      headers: createUpstreamHeaders(inputs),
       body: request.body.length > 0 ? request.body : undefined,
     },
     connections,
     dialect,
     timer,
     deadline: admitted.deadline,
-    attempt: says.requestId,
+    requestId: metadata.requestId,
     isStreaming: route.isStreaming,
     pauseTarget: route.pauseTarget,
     promptTokens,
-    patience: silencePatience({ ...send, promptTokens }),
+    silenceTimeouts: computeSilenceTimeouts({ ...inputs, promptTokens }),
     onLoad: (requests) =>
-      parts.places.recordUpstreamLoad(upstream, requests, timer.now()),
-    onPace: (duration) =>
-      knowledge.speed.observe({
+      context.placementClient.recordUpstreamLoad(
+        upstream,
+        requests,
+        timer.now(),
+      ),
+    onEventInterval: (duration) =>
+      upstreamStats.speed.observe({
         service,
         upstream: upstream.upstream,
         duration,
@@ -112,24 +118,27 @@
   };
 }
 
-/** Tokens that an engine reads before the first event; 0 where nothing is told. */
-export function promptTokensOf({ says }: Admitted): number {
-  return says.tokens?.prompt ?? 0;
+/** Returns the prompt tokens that the caller declared, or 0. */
+export function promptTokensOf({ metadata }: AdmittedRequest): number {
+  return metadata.tokens?.prompt ?? 0;
 }
 
-/** Tokens that its caller expects in the answer; 0 where it does not say. */
-export function expectedTokensOf({ says }: Admitted): number {
-  return says.expectedTokens ?? 0;
+/** Returns the response tokens that the caller expects, or 0. */
+export function expectedTokensOf({ metadata }: AdmittedRequest): number {
+  return metadata.expectedTokens ?? 0;
 }
 
-function fieldsOf(
-  { parts, admitted, request, upstream, now, lastEvent }: PlannedSend,
+function createUpstreamHeaders(
+  { context, admitted, request, upstream, now, lastEventId }: AttemptInputs,
 ): HeaderLine[] {
   const { account, deadline } = admitted;
-  return parts.dialect.buildUpstreamHeaders(endToEndFields(request.lines), {
-    upstream: upstream.name,
-    account: account?.account,
-    timeLeft: Math.max(1, Math.floor(deadline - now)),
-    lastEventId: lastEvent,
-  });
+  return context.dialect.buildUpstreamHeaders(
+    selectEndToEndHeaders(request.headerLines),
+    {
+      upstream: upstream.name,
+      account: account?.account,
+      timeLeft: Math.max(1, Math.floor(deadline - now)),
+      lastEventId,
+    },
+  );
 }
--- a/packages/gateway/src/callerAnswer.ts
+++ b/packages/gateway/src/callerResponse.ts
@@ -1,14 +1,18 @@
 import type { Buffer } from "node:buffer";
 import type { ServerResponse } from "node:http";
 import type { Milliseconds } from "@wasabivane/common";
-import { endToEndFields, type HeaderValues, linesOfValues } from "./headers.ts";
-import type { Refusal } from "./intake.ts";
+import {
+  type HeaderValues,
+  selectEndToEndHeaders,
+  toHeaderLines,
+} from "./headers.ts";
+import type { Refusal } from "./requestAdmission.ts";
 
 /**
- * The answer to one caller. It is either the upstream's, unchanged and whole or
- * visibly cut, or one of this host's own; never a mixture.
+ * Writes the response to one caller: either the upstream's, complete or visibly
+ * truncated, or a refusal of this host, never a mixture.
  */
-export class CallerAnswer {
+export class CallerResponse {
   readonly #response: ServerResponse;
   readonly #isStopping: () => boolean;
 
@@ -22,24 +26,26 @@
     return this.#response.headersSent;
   }
 
-  get isOver(): boolean {
+  get isFinished(): boolean {
     return this.#response.writableEnded || this.#response.destroyed;
   }
 
-  /** Sends the upstream's head. */
-  start(status: number, fields: HeaderValues): void {
-    const lines = endToEndFields(linesOfValues(fields));
+  /** Sends the status and headers of the upstream's response. */
+  sendHead(status: number, headers: HeaderValues): void {
+    const lines = selectEndToEndHeaders(toHeaderLines(headers));
     if (this.#isStopping()) lines.push(["connection", "close"]);
     this.#response.writeHead(status, lines.flat());
     this.#response.flushHeaders();
   }
 
-  /** Sends bytes; false when the caller reads more slowly than they come. */
+  /**
+   * Writes body bytes; returns false when the caller's connection is congested.
+   */
   write(bytes: Buffer): boolean {
     return this.#response.write(bytes);
   }
 
-  /** Calls back once the caller has caught up. */
+  /** Calls back once the write buffer has drained. */
   onDrain(callback: () => void): void {
     this.#response.once("drain", callback);
   }
@@ -48,9 +54,12 @@
     this.#response.end();
   }
 
-  /** Sends the upstream's whole answer; one that ended with its connection gets a length. */
-  whole(status: number, fields: HeaderValues, body: Buffer): void {
-    const lines = endToEndFields(linesOfValues(fields));
+  /**
+   * Sends a complete upstream response, adding a content length where it is
+   * missing.
+   */
+  sendComplete(status: number, headers: HeaderValues, body: Buffer): void {
+    const lines = selectEndToEndHeaders(toHeaderLines(headers));
     const hasLength = lines.some(([name]) => name === "content-length");
     if (!hasLength && body.length > 0) {
       lines.push(["content-length", String(body.length)]);
@@ -60,32 +69,34 @@
     this.#response.end(body);
   }
 
-  /** Sends an answer of this host's own. */
+  /** Sends a refusal of this host. */
   refuse({ status, reason, retryAfter }: Refusal): void {
     const body = JSON.stringify({ reason });
     const lines = ["content-type", "application/json"];
     lines.push("content-length", String(body.length));
     if (retryAfter !== undefined) {
-      lines.push("retry-after", secondsOf(retryAfter));
+      lines.push("retry-after", formatSeconds(retryAfter));
     }
-    if (this.#isStopping() || mustClose(status)) {
+    if (this.#isStopping() || shouldClose(status)) {
       lines.push("connection", "close");
     }
     this.#response.writeHead(status, lines);
     this.#response.end(body);
   }
 
-  /** Ends the connection, so that an answer that is not whole does not look so. */
+  /**
+   * Closes the connection, so that a truncated response cannot look complete.
+   */
   cut(): void {
     this.#response.destroy();
   }
 }
 
-/** The rest of such a request was not read and must not be taken for the next one. */
-function mustClose(status: number): boolean {
+/** The unread rest of such a request must not be parsed as the next one. */
+function shouldClose(status: number): boolean {
   return status === 408 || status === 413;
 }
 
-function secondsOf(span: Milliseconds): string {
+function formatSeconds(span: Milliseconds): string {
   return (span / 1_000).toFixed(3);
 }
--- a/packages/gateway/src/connectionShare.ts
+++ b/packages/gateway/src/connectionShare.ts
@@ -1,15 +1,18 @@
 import type { PolicyState } from "./policyState.ts";
 
-/** Connections to one upstream before a policy says how many it takes. */
+/** Connections per upstream until a policy sets a limit. */
 const FALLBACK_CONNECTIONS = 64;
 
-/** Connections that this host may have to one upstream, of what all may have. */
+/**
+ * Returns how many connections this host may open to one upstream: its share of
+ * the policy's limit.
+ */
 export function connectionShare(policies: PolicyState, hosts: number): number {
   const services = policies.index?.policy.services ?? [];
-  let least = Infinity;
+  let lowest = Infinity;
   for (const { maximumConnections } of services) {
-    least = Math.min(least, maximumConnections);
+    lowest = Math.min(lowest, maximumConnections);
   }
-  if (!Number.isFinite(least)) return FALLBACK_CONNECTIONS;
-  return Math.max(1, Math.floor(least / hosts));
+  if (!Number.isFinite(lowest)) return FALLBACK_CONNECTIONS;
+  return Math.max(1, Math.floor(lowest / hosts));
 }
--- a/packages/gateway/src/decisionLog.ts
+++ b/packages/gateway/src/decisionLog.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds, Timer } from "@wasabivane/common";
 import { type Logger, pino } from "pino";
 
-/** Every event that a line may name. */
+/** Names of all log events. */
 export const LOG_EVENTS = [
   "started",
   "stopping",
@@ -34,21 +34,23 @@
   "internal_error",
 ] as const;
 
-/** See {@link LOG_EVENTS}. */
+/** Name of a log event. */
 export type LogEvent = typeof LOG_EVENTS[number];
 
-/** Values of a line; ids, figures and short words, never keys or bodies. */
+/**
+ * Values of a log line: ids, numbers and short texts, never API keys or bodies.
+ */
 export type LogValues = Readonly<
   Record<string, string | number | boolean | undefined>
 >;
 
 const PERIOD_MS: Milliseconds = 1_000;
-/** Lines of failures and changes of belief in a period. */
-const IMPORTANT_LINES = 120;
-/** Lines of routine steps in a period; at 60 requests a second each has about one. */
-const ROUTINE_LINES = 60;
-/** Bytes that a reader may be behind before lines are left out. */
-const MAXIMUM_BEHIND_BYTES = 256 * 1_024;
+/** Limit for failures and state changes in a period. */
+const MAXIMUM_IMPORTANT_LINES = 120;
+/** Limit for routine events in a period. */
+const MAXIMUM_ROUTINE_LINES = 60;
+/** Unwritten output above which lines are dropped. */
+const MAXIMUM_PENDING_BYTES = 256 * 1_024;
 
 const ROUTINE_EVENTS: ReadonlySet<LogEvent> = new Set<LogEvent>([
   "request_sent",
@@ -56,26 +58,26 @@
   "caller_left",
 ]);
 
-/** Where lines go. */
+/** Receives log lines. */
 export interface LogOutput {
   write(line: string): void;
-  /** Bytes that were written and not yet taken. */
+  /** Number of bytes written that the reader has not consumed. */
   readonly pendingBytes: number;
 }
 
 /**
- * Structured lines on standard output. Lines are bounded in number and in the
- * bytes that a slow reader may hold up, so that logging neither blocks the process
- * nor grows its memory; how many were left out is itself a line.
+ * Writes structured log lines at a limited rate, and drops lines while the
+ * reader is slow, so that logging neither blocks the process nor grows its
+ * memory. The number of dropped lines is logged.
  */
 export class DecisionLog {
   readonly #logger: Logger;
   readonly #output: LogOutput;
   readonly #timer: Timer;
-  #periodSince: Milliseconds = -Infinity;
-  #routine = 0;
-  #important = 0;
-  #leftOut = 0;
+  #periodStart: Milliseconds = -Infinity;
+  #routineLines = 0;
+  #importantLines = 0;
+  #dropped = 0;
 
   constructor(
     { output, timer, host }: {
@@ -96,25 +98,25 @@
 
   write(event: LogEvent, values: LogValues = {}): void {
     this.#startPeriod();
-    if (this.#isOverBudget(event)) this.#leftOut++;
+    if (this.#isOverBudget(event)) this.#dropped++;
     else this.#logger.info(values, event);
   }
 
   #isOverBudget(event: LogEvent): boolean {
-    if (this.#output.pendingBytes > MAXIMUM_BEHIND_BYTES) return true;
+    if (this.#output.pendingBytes > MAXIMUM_PENDING_BYTES) return true;
     return ROUTINE_EVENTS.has(event)
-      ? ++this.#routine > ROUTINE_LINES
-      : ++this.#important > IMPORTANT_LINES;
+      ? ++this.#routineLines > MAXIMUM_ROUTINE_LINES
+      : ++this.#importantLines > MAXIMUM_IMPORTANT_LINES;
   }
 
   #startPeriod(): void {
     const now = this.#timer.now();
-    if (now - this.#periodSince < PERIOD_MS) return;
-    this.#periodSince = now;
-    this.#routine = 0;
-    this.#important = 0;
-    if (this.#leftOut === 0) return;
-    this.#logger.info({ lines: this.#leftOut }, "lines_left_out");
-    this.#leftOut = 0;
+    if (now - this.#periodStart < PERIOD_MS) return;
+    this.#periodStart = now;
+    this.#routineLines = 0;
+    this.#importantLines = 0;
+    if (this.#dropped === 0) return;
+    this.#logger.info({ lines: this.#dropped }, "lines_left_out");
+    this.#dropped = 0;
   }
 }
--- a/packages/gateway/src/dialect.ts
+++ b/packages/gateway/src/dialect.ts
@@ -3,65 +3,71 @@
 import type { Result } from "neverthrow";
 import type { HeaderLine, HeaderValues } from "./headers.ts";
 
-/** What a caller says of its request in header fields. */
+/** Metadata of a caller's request, from its headers. */
 export interface RequestMetadata {
   readonly requestId: RequestId;
   readonly apiKey: string | undefined;
-  /** Time that the caller will wait, in milliseconds. */
+  /** Time until the caller's deadline, in milliseconds. */
   readonly timeLeft: number | undefined;
-  /** Tokens of the prompt and most tokens of the answer. */
+  /** Tokens of the prompt, and the limit for the response. */
   readonly tokens:
     | { readonly prompt: number; readonly output: number }
     | undefined;
-  /** Tokens that the caller expects in the answer; right in the median, often far off. */
+  /** Response tokens that the caller estimates; often inaccurate. */
   readonly expectedTokens: number | undefined;
   readonly promptParts: readonly PromptPart[];
-  /** The caller has the events up to this one already. */
+  /** Id of the last event that the caller has received, to resume a stream. */
   readonly lastEventId: number | undefined;
 }
 
-/** What a host tells the upstream along with the request. */
+/** Metadata that a host adds to the request it sends to an upstream. */
 export interface UpstreamRequestMetadata {
-  /** Name of the upstream that is meant; another one at its address must not run the request. */
+  /**
+   * Name of the intended upstream; another one at its address must not run the
+   * request.
+   */
   readonly upstream: string;
   readonly account: string | undefined;
   readonly timeLeft: number;
-  /** Continue a stream after this event. */
+  /** Id of the event after which the stream continues. */
   readonly lastEventId: number | undefined;
 }
 
-/** What the head of an answer says. */
+/** Metadata of an upstream's response, from its headers. */
 export interface ResponseMetadata {
-  /** The request that the answer belongs to. */
+  /** Id of the request that the response belongs to. */
   readonly requestId: string | undefined;
-  /** The upstream states that it did not run the request. */
+  /** Whether the upstream states that it did not run the request. */
   readonly hasNotRun: boolean;
-  /** The answer bears the upstream's own mark. */
+  /** Whether the response carries the upstream's seal. */
   readonly isSealed: boolean;
-  /** Requests that the upstream has, running and waiting; `undefined` where it does not say. */
+  /**
+   * Requests that are running or queued at the upstream; `undefined` if not
+   * reported.
+   */
   readonly load: number | undefined;
 }
 
-/** The bytes of a policy are not a policy. */
+/** The error for policy bytes that cannot be decoded. */
 export interface PolicyError {
   readonly kind: "malformed-policy";
   readonly detail: string;
 }
 
 /**
- * How requests, answers and policies are spelled. The gateway knows only what
- * they mean; an adapter knows the names.
+ * Translates between the headers and policy format of a platform and the
+ * gateway's types.
  */
 export abstract class Dialect {
-  abstract parseRequest(fields: HeaderValues): RequestMetadata | undefined;
-  /** The caller's fields without those that the system sets, and these as set. */
+  abstract parseRequest(headers: HeaderValues): RequestMetadata | undefined;
+  /** Returns the caller's headers with reserved ones removed or replaced. */
   abstract buildUpstreamHeaders(
-    callerFields: readonly HeaderLine[],
-    says: UpstreamRequestMetadata,
+    callerHeaders: readonly HeaderLine[],
+    metadata: UpstreamRequestMetadata,
   ): HeaderLine[];
   abstract parseResponse(
     status: number,
-    fields: HeaderValues,
+    headers: HeaderValues,
   ): ResponseMetadata;
   abstract decodePolicy(bytes: Uint8Array): Result<Policy, PolicyError>;
 }
--- a/packages/gateway/src/eventFrames.ts
+++ b/packages/gateway/src/eventStreamSplitter.ts
@@ -3,31 +3,29 @@
 const NEW_LINE = 0x0a;
 const ID_LINE = /^id: ?(\d+)\r?$/m;
 
-/** A whole event of a stream, its closing blank line included. */
+/** A complete event of a stream, including its closing blank line. */
 export interface EventFrame {
   readonly bytes: Buffer;
   readonly id: number | undefined;
 }
 
 /**
- * Cuts a `text/event-stream` into whole events.
- *
- * An upstream may break off in the middle of an event. Passing on only whole
- * ones lets the stream be continued at another upstream without a caller
- * seeing half an event followed by a whole one.
+ * Splits a `text/event-stream` into complete events, so that a stream that
+ * breaks off within an event can be resumed at another upstream without a
+ * partial event.
  */
-export class EventFrames {
-  #rest: Buffer = Buffer.alloc(0);
+export class EventStreamSplitter {
+  #remainder: Buffer = Buffer.alloc(0);
 
-  /** Bytes of an event that has not ended. */
-  get rest(): Buffer {
-    return this.#rest;
+  /** Bytes of the trailing incomplete event. */
+  get remainder(): Buffer {
+    return this.#remainder;
   }
 
   push(chunk: Buffer): EventFrame[] {
-    const bytes = this.#rest.length === 0
+    const bytes = this.#remainder.length === 0
       ? chunk
-      : Buffer.concat([this.#rest, chunk]);
+      : Buffer.concat([this.#remainder, chunk]);
     const frames: EventFrame[] = [];
     let start = 0;
     let end = endOfEvent(bytes, start);
@@ -37,12 +35,12 @@
       start = end;
       end = endOfEvent(bytes, start);
     }
-    this.#rest = bytes.subarray(start);
+    this.#remainder = bytes.subarray(start);
     return frames;
   }
 }
 
-/** Position after the blank line that closes the event, or -1. */
+/** Returns the position after the blank line that closes the event, or -1. */
 function endOfEvent(bytes: Buffer, start: number): number {
   let at = bytes.indexOf(NEW_LINE, start);
   while (at >= 0 && at + 1 < bytes.length) {
--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -8,169 +8,185 @@
   type UpstreamOutcome,
 } from "@wasabivane/admission";
 import {
-  type AnswerHead,
   Attempt,
   type AttemptEnd,
   type AttemptListener,
+  type ResponseHead,
 } from "./attempt.ts";
 import {
+  type BufferedRequest,
+  createPlacementRequest,
   planAttempt,
   promptTokensOf,
-  type ReadRequest,
-  wishOf,
 } from "./attemptPlan.ts";
-import type { CallerAnswer } from "./callerAnswer.ts";
+import type { CallerResponse } from "./callerResponse.ts";
 import type { LogEvent, LogValues } from "./decisionLog.ts";
-import { learnFrom } from "./attemptObservations.ts";
+import { recordAttempt } from "./recordAttempt.ts";
 import type { GatewayContext } from "./gatewayContext.ts";
-import { accountName, type Admitted, type Refusal } from "./intake.ts";
-import { isNotRun, RequestSends } from "./requestSends.ts";
-import { RequestTimes } from "./requestTimes.ts";
+import {
+  accountName,
+  type AdmittedRequest,
+  type Refusal,
+} from "./requestAdmission.ts";
+import { isNotRun, RetryState } from "./retryState.ts";
+import { RequestTimings } from "./requestTimings.ts";
 
-/** A caller whose request has not run comes back after about this time. */
-const NOT_RUN_RETURN_MS: Milliseconds = 250;
-/** A host that is less behind than this sends at once. */
-const LAG_BEFORE_LOOK_MS: Milliseconds = 20;
+/** Mean retry delay given to callers whose request did not run. */
+const NOT_RUN_RETRY_MS: Milliseconds = 250;
+/** Event-loop lag below which a request is sent at once. */
+const YIELD_LAG_MS: Milliseconds = 20;
 
-type Place = Extract<PlacementDecision, { kind: "place" }>;
+type AssignedSlot = Extract<PlacementDecision, { kind: "place" }>;
 
-/** What an {@link Exchange} is about. */
+/** Options of an {@link Exchange}. */
 export interface ExchangeOptions {
-  readonly parts: GatewayContext;
-  readonly admitted: Admitted;
-  readonly request: ReadRequest;
-  readonly answer: CallerAnswer;
-  /** Called once when the exchange is over; `hasRun` is false only where that is certain. */
-  readonly done: (ending: { hasRun: boolean }) => void;
+  readonly context: GatewayContext;
+  readonly admitted: AdmittedRequest;
+  readonly request: BufferedRequest;
+  readonly response: CallerResponse;
+  /**
+   * Called once at the end; `hasRun` is false only if the request certainly did
+   * not run.
+   */
+  readonly onEnd: (ending: { hasRun: boolean }) => void;
 }
 
 /**
- * One request from its admission to its end: waits for a place, is sent, sent
- * again where that is allowed, passed on, refused or cut. "Not run" is said only
- * when no byte left for an upstream or each that got it said so.
+ * Handles one admitted request: waits for a slot, sends it, retries where
+ * allowed, and forwards the response, refuses the request or cuts the response.
+ * A request counts as not run only if nothing was sent or every upstream that
+ * received it reported so.
  */
 export class Exchange implements AttemptListener {
   readonly #options: ExchangeOptions;
-  readonly #sends: RequestSends;
-  readonly #times: RequestTimes;
+  readonly #retryState: RetryState;
+  readonly #timings: RequestTimings;
   #deadlineTimer: TimerSubscription | undefined;
   #attempt: Attempt | undefined;
-  #lastEvent: number | undefined;
-  /** Upstream that has yet to read the prompt. */
-  #readingAt: Upstream | undefined;
-  /** This side ended the work; what the attempt says of its end decides nothing. */
-  #isStopped = false;
-  #isOver = false;
+  #lastEventId: number | undefined;
+  /** Upstream that is processing the prompt. */
+  #prefillUpstream: Upstream | undefined;
+  /** Set when this host ended the attempt, whose outcome is then ignored. */
+  #isAborted = false;
+  #isFinished = false;
 
   constructor(options: ExchangeOptions) {
     this.#options = options;
-    this.#sends = new RequestSends(options);
-    this.#times = new RequestTimes({
+    this.#retryState = new RetryState(options);
+    this.#timings = new RequestTimings({
       arrivedAt: options.admitted.arrivedAt,
-      queuedAt: options.parts.timer.now(),
+      queuedAt: options.context.timer.now(),
     });
-    this.#lastEvent = options.admitted.says.lastEventId;
+    this.#lastEventId = options.admitted.metadata.lastEventId;
   }
 
   start(): void {
-    const { parts, admitted } = this.#options;
-    const span = admitted.deadline - parts.timer.now();
-    this.#deadlineTimer = parts.timer.after(
+    const { context, admitted } = this.#options;
+    const span = admitted.deadline - context.timer.now();
+    this.#deadlineTimer = context.timer.after(
       Math.max(0, span),
-      () => this.#passDeadline(),
+      () => this.#onDeadline(),
     );
-    this.#seekPlace();
+    this.#requestSlot();
   }
 
-  /** The caller closed its connection; work for it ends at once. */
-  callerLeft(): void {
-    if (this.#isOver) return;
+  /**
+   * Handles a connection closed by the caller: ends all work for the request.
+   */
+  handleCallerClose(): void {
+    if (this.#isFinished) return;
     this.#log("caller_left", {
-      sends: this.#sends.count,
-      lastEvent: this.#lastEvent,
-      ...this.#times.values(this.#now()),
+      sends: this.#retryState.count,
+      lastEvent: this.#lastEventId,
+      ...this.#timings.logValues(this.#now()),
     });
-    this.#stopWork("caller left");
-    this.#end("caller-left");
+    this.#abortWork("caller left");
+    this.#finish("caller-left");
   }
 
-  streamStarted({ status, fields }: AnswerHead): void {
-    this.#endReading();
-    if (this.#isOver) return;
-    this.#times.noteFirstByte(this.#now());
-    if (!this.#options.answer.hasStarted) {
-      this.#options.answer.start(status, fields);
+  onStreamStart({ status, headers }: ResponseHead): void {
+    this.#endPrefill();
+    if (this.#isFinished) return;
+    this.#timings.recordFirstByte(this.#now());
+    if (!this.#options.response.hasStarted) {
+      this.#options.response.sendHead(status, headers);
     }
   }
 
-  events(bytes: Buffer, lastEvent: number | undefined): void {
-    if (this.#isOver) return;
-    const { answer, admitted, parts } = this.#options;
+  onEvents(bytes: Buffer, lastEventId: number | undefined): void {
+    if (this.#isFinished) return;
+    const { response, admitted, context } = this.#options;
     const now = this.#now();
-    this.#times.noteEvents(now);
+    this.#timings.recordEvents(now);
     const upstream = this.#attempt?.upstream.upstream;
     if (upstream !== undefined) {
-      parts.signs.recordEvent(upstream, admitted.says.requestId, now);
+      context.upstreamActivity.recordEvent(
+        upstream,
+        admitted.metadata.requestId,
+        now,
+      );
     }
-    if (lastEvent !== undefined) this.#lastEvent = lastEvent;
-    if (answer.write(bytes)) return;
+    if (lastEventId !== undefined) this.#lastEventId = lastEventId;
+    if (response.write(bytes)) return;
     const attempt = this.#attempt;
     attempt?.pause();
-    answer.onDrain(() => attempt?.resume());
+    response.onDrain(() => attempt?.resume());
   }
 
-  ended(end: AttemptEnd): void {
+  onEnd(end: AttemptEnd): void {
     const attempt = this.#attempt!;
     this.#attempt = undefined;
-    this.#endReading();
-    const { parts, admitted, request } = this.#options;
-    learnFrom(attempt, {
+    this.#endPrefill();
+    const { context, admitted, request } = this.#options;
+    recordAttempt(attempt, {
       end,
-      parts,
+      context,
       admitted,
       fingerprint: request.fingerprint,
     });
-    if (this.#isOver || this.#isStopped) return;
-    if (end.outcome === "cancelled") return this.#passDeadline();
+    if (this.#isFinished || this.#isAborted) return;
+    if (end.outcome === "cancelled") return this.#onDeadline();
     if (end.outcome === "whole") this.#deliver(end);
-    else this.#recover(attempt, end);
+    else this.#retryOrFail(attempt, end);
   }
 
-  #seekPlace(): void {
-    const { parts, admitted } = this.#options;
-    const wish = wishOf(admitted, {
-      failureDomain: parts.failureDomain,
-      excluded: this.#sends.excluded,
-      isContinuation: this.#sends.mayHaveRun,
+  #requestSlot(): void {
+    const { context, admitted } = this.#options;
+    const placementRequest = createPlacementRequest(admitted, {
+      failureDomain: context.failureDomain,
+      excluded: this.#retryState.excluded,
+      isContinuation: this.#retryState.mayHaveRun,
     });
-    parts.places.submit(
-      wish,
-      (verdict) => this.#onVerdict(verdict),
+    context.placementClient.submit(
+      placementRequest,
+      (decision) => this.#onDecision(decision),
       this.#now(),
     );
   }
 
-  #onVerdict(verdict: PlacementDecision): void {
-    if (this.#isOver) return;
-    // On a busy host the timer of the deadline may run later than this.
+  #onDecision(decision: PlacementDecision): void {
+    if (this.#isFinished) return;
+    // The deadline's timer may be late on a busy host.
     if (this.#now() >= this.#options.admitted.deadline) {
-      return this.#passDeadline();
+      return this.#onDeadline();
+    }
+    if (decision.kind === "place") {
+      return this.#sendAfterPendingEvents(decision);
     }
-    if (verdict.kind === "place") return this.#sendInTurn(verdict);
-    const { estimate: outlook, reason } = verdict;
-    if (this.#options.answer.hasStarted) {
-      return this.#cut(reason, { excluded: this.#sends.excluded.size });
+    const { estimate, reason } = decision;
+    if (this.#options.response.hasStarted) {
+      return this.#cut(reason, { excluded: this.#retryState.excluded.size });
     }
     this.#refuse(
-      this.#sends.mayHaveRun
+      this.#retryState.mayHaveRun
         ? { status: 502, reason: "upstream-lost" }
-        : this.#comeBack(reason, outlook),
+        : this.#createRetryRefusal(reason, estimate),
       {
-        ahead: outlook.ahead,
-        startsPerSecond: outlook.startsPerSecond === undefined
+        ahead: estimate.ahead,
+        startsPerSecond: estimate.startsPerSecond === undefined
           ? undefined
-          : Math.round(outlook.startsPerSecond * 10) / 10,
-        expectedWait: Math.round(outlook.wait),
+          : Math.round(estimate.startsPerSecond * 10) / 10,
+        expectedWait: Math.round(estimate.wait),
         service: this.#options.admitted.service,
         tier: this.#tier,
         target: this.#options.admitted.route.target,
@@ -179,141 +195,162 @@
   }
 
   /**
-   * A host that is behind has yet to read that some callers have left. It looks at what
-   * has come in before it sends, so that no upstream works for nobody.
+   * Under lag, lets the event loop process closed connections first, so that no
+   * upstream works for a caller that has left.
    */
-  #sendInTurn(place: Place): void {
-    const { parts: { timer, lag } } = this.#options;
-    if (lag.sustained < LAG_BEFORE_LOOK_MS) return this.#send(place);
+  #sendAfterPendingEvents(slot: AssignedSlot): void {
+    const { context: { timer, lag } } = this.#options;
+    if (lag.sustained < YIELD_LAG_MS) return this.#send(slot);
     timer.after(0, () =>
       timer.after(0, () => {
         if (this.#now() >= this.#options.admitted.deadline) {
-          return this.#passDeadline();
+          return this.#onDeadline();
         }
-        if (!this.#isOver) this.#send(place);
+        if (!this.#isFinished) this.#send(slot);
       }));
   }
 
   #send(
-    { upstream, inFlight, pendingPrefillTokens: unreadTokens }: Place,
+    { upstream, inFlight, pendingPrefillTokens }: AssignedSlot,
   ): void {
-    const { parts, admitted, request } = this.#options;
+    const { context, admitted, request } = this.#options;
     const now = this.#now();
-    if (this.#sends.count === 0) this.#times.notePlace(now);
-    this.#sends.noteSend(now);
+    if (this.#retryState.count === 0) this.#timings.recordStart(now);
+    this.#retryState.recordSend(now);
     this.#attempt = new Attempt(planAttempt({
-      parts,
+      context,
       admitted,
       request,
       upstream,
-      unreadTokens,
+      pendingPrefillTokens,
       now,
-      lastEvent: this.#lastEvent,
-      canRepeat: this.#sends.mayFollow(this.#options.answer.hasStarted),
-      hasOther: () => this.#sends.hasOther(upstream.upstream),
+      lastEventId: this.#lastEventId,
+      canRetry: this.#retryState.canRetry(this.#options.response.hasStarted),
+      hasAlternative: () => this.#retryState.hasAlternative(upstream.upstream),
       listener: this,
     }));
-    this.#beginReading(upstream);
-    this.#log(this.#sends.count === 1 ? "request_sent" : "request_sent_again", {
-      upstream: upstream.upstream,
-      waited: Math.round(this.#times.waited),
-      promptTokens: admitted.says.tokens?.prompt,
-      outputTokens: admitted.says.tokens?.output,
-      service: admitted.service,
-      tier: this.#tier,
-      target: admitted.route.target,
-      pauseTarget: admitted.route.pauseTarget,
-      sends: this.#sends.count,
-      inFlight,
-      slots: upstream.slots,
-    });
+    this.#beginPrefill(upstream);
+    this.#log(
+      this.#retryState.count === 1 ? "request_sent" : "request_sent_again",
+      {
+        upstream: upstream.upstream,
+        waited: Math.round(this.#timings.waited),
+        promptTokens: admitted.metadata.tokens?.prompt,
+        outputTokens: admitted.metadata.tokens?.output,
+        service: admitted.service,
+        tier: this.#tier,
+        target: admitted.route.target,
+        pauseTarget: admitted.route.pauseTarget,
+        sends: this.#retryState.count,
+        inFlight,
+        slots: upstream.slots,
+      },
+    );
     this.#attempt.start();
   }
 
-  #beginReading(upstream: Upstream): void {
-    const { parts, admitted } = this.#options;
-    this.#readingAt = upstream;
-    parts.places.begin(upstream.upstream, promptTokensOf(admitted));
+  #beginPrefill(upstream: Upstream): void {
+    const { context, admitted } = this.#options;
+    this.#prefillUpstream = upstream;
+    context.placementClient.begin(upstream.upstream, promptTokensOf(admitted));
   }
 
-  /** The prompt is read, or will not be read any more. */
-  #endReading(): void {
-    if (this.#readingAt === undefined) return;
-    const { parts, admitted } = this.#options;
-    const upstream = this.#readingAt;
-    this.#readingAt = undefined;
+  /** The prompt is processed, or will not be. */
+  #endPrefill(): void {
+    if (this.#prefillUpstream === undefined) return;
+    const { context, admitted } = this.#options;
+    const upstream = this.#prefillUpstream;
+    this.#prefillUpstream = undefined;
     const tokens = promptTokensOf(admitted);
-    parts.places.endPrefill(upstream, tokens, this.#now());
+    context.placementClient.endPrefill(upstream, tokens, this.#now());
   }
 
-  /** Passes on the whole answer, or the end of the stream. */
-  #deliver({ answer }: AttemptEnd): void {
-    const caller = this.#options.answer;
-    this.#times.noteFirstByte(this.#now());
-    if (answer === undefined) caller.finish();
+  /** Forwards the complete response, or ends the stream. */
+  #deliver({ response }: AttemptEnd): void {
+    const caller = this.#options.response;
+    this.#timings.recordFirstByte(this.#now());
+    if (response === undefined) caller.finish();
     else if (caller.hasStarted) caller.cut();
-    else caller.whole(answer.status, answer.fields, answer.body);
-    this.#end(answer === undefined ? "whole" : `status-${answer.status}`);
+    else caller.sendComplete(response.status, response.headers, response.body);
+    this.#finish(
+      response === undefined ? "whole" : `status-${response.status}`,
+    );
   }
 
-  /** An attempt did not end whole: try again where that is allowed, or say how it ended. */
-  #recover(attempt: Attempt, end: AttemptEnd): void {
-    const { parts, request, answer } = this.#options;
+  /**
+   * Retries after a failed attempt where that is allowed, or reports the
+   * failure.
+   */
+  #retryOrFail(attempt: Attempt, end: AttemptEnd): void {
+    const { context, request, response } = this.#options;
     const { outcome, detail } = end;
     const { upstream } = attempt.upstream;
-    const isAgain = this.#sends.takeNext(upstream, {
+    const shouldRetry = this.#retryState.takeRetry(upstream, {
       outcome,
-      hasStarted: answer.hasStarted,
-      isConvicted: parts.crashes.isQuarantined(
+      hasStarted: response.hasStarted,
+      isQuarantined: context.crashes.isQuarantined(
         request.fingerprint,
         this.#now(),
       ),
     });
-    if (!isAgain) return this.#giveUp(end, upstream);
+    if (!shouldRetry) return this.#fail(end, upstream);
     if (outcome !== "unreachable") {
       this.#log("request_failed", { upstream, outcome, detail, next: "again" });
     }
-    this.#seekPlace();
+    this.#requestSlot();
   }
 
-  #giveUp(
-    { outcome, detail, answer: held }: AttemptEnd,
+  #fail(
+    { outcome, detail, response: upstreamResponse }: AttemptEnd,
     upstream: Upstream["upstream"],
   ): void {
-    const { answer } = this.#options;
+    const { response } = this.#options;
     this.#log("request_failed", { upstream, outcome, detail, next: "give-up" });
-    if (answer.hasStarted) return this.#cut(outcome);
-    if (held !== undefined && isPassable(held.status)) {
-      answer.whole(held.status, held.fields, held.body);
-      return this.#end(`status-${held.status}`);
+    if (response.hasStarted) return this.#cut(outcome);
+    if (
+      upstreamResponse !== undefined && shouldForward(upstreamResponse.status)
+    ) {
+      response.sendComplete(
+        upstreamResponse.status,
+        upstreamResponse.headers,
+        upstreamResponse.body,
+      );
+      return this.#finish(`status-${upstreamResponse.status}`);
     }
     this.#refuse(
-      this.#sends.mayHaveRun
-        ? { status: 502, reason: lossOf(outcome) }
-        : { status: 503, reason: lossOf(outcome), retryAfter: this.#soon() },
+      this.#retryState.mayHaveRun
+        ? { status: 502, reason: lossReason(outcome) }
+        : {
+          status: 503,
+          reason: lossReason(outcome),
+          retryAfter: this.#drawRetryDelay(),
+        },
     );
   }
 
-  #passDeadline(): void {
-    if (this.#isOver) return;
-    this.#stopWork("deadline");
-    if (this.#options.answer.hasStarted) return this.#cut("deadline");
-    const status = this.#sends.mayHaveRun ? 504 : 503;
+  #onDeadline(): void {
+    if (this.#isFinished) return;
+    this.#abortWork("deadline");
+    if (this.#options.response.hasStarted) return this.#cut("deadline");
+    const status = this.#retryState.mayHaveRun ? 504 : 503;
     this.#refuse({ status, reason: "deadline" });
   }
 
-  #comeBack(reason: Refusal["reason"], { wait }: QueueEstimate): Refusal {
-    const { parts, admitted } = this.#options;
+  #createRetryRefusal(
+    reason: Refusal["reason"],
+    { wait }: QueueEstimate,
+  ): Refusal {
+    const { context, admitted } = this.#options;
     const timeLeft = admitted.deadline - this.#now();
     const retryAfter = computeRetryDelay(
       { wait, timeLeft },
-      parts.random,
+      context.random,
     );
     return { status: 503, reason, retryAfter };
   }
 
-  #soon(): Milliseconds {
-    return NOT_RUN_RETURN_MS * (0.5 + this.#options.parts.random.float());
+  #drawRetryDelay(): Milliseconds {
+    return NOT_RUN_RETRY_MS * (0.5 + this.#options.context.random.float());
   }
 
   #refuse(refusal: Refusal, inputs: LogValues = {}): void {
@@ -321,61 +358,62 @@
       ...inputs,
       status: refusal.status,
       reason: refusal.reason,
-      retryAfter: wholeOf(refusal.retryAfter),
+      retryAfter: roundDuration(refusal.retryAfter),
       held: Math.round(this.#now() - this.#options.admitted.arrivedAt),
     });
-    this.#options.answer.refuse(refusal);
-    this.#end(refusal.reason);
+    this.#options.response.refuse(refusal);
+    this.#finish(refusal.reason);
   }
 
   #cut(detail: string, inputs: LogValues = {}): void {
     this.#log("request_cut", {
       detail,
-      lastEvent: this.#lastEvent,
-      sends: this.#sends.count,
+      lastEvent: this.#lastEventId,
+      sends: this.#retryState.count,
       ...inputs,
     });
-    this.#options.answer.cut();
-    this.#end("cut");
+    this.#options.response.cut();
+    this.#finish("cut");
   }
 
-  #stopWork(detail: string): void {
-    const { parts, admitted } = this.#options;
-    const { requestId: request } = admitted.says;
-    parts.places.withdraw(admitted.service, request, this.#now());
+  #abortWork(detail: string): void {
+    const { context, admitted } = this.#options;
+    const { requestId } = admitted.metadata;
+    context.placementClient.withdraw(admitted.service, requestId, this.#now());
     const attempt = this.#attempt;
     if (attempt === undefined) return;
-    this.#isStopped = true;
-    if (attempt.wasSent) this.#sends.noteMayHaveRun();
+    this.#isAborted = true;
+    if (attempt.wasSent) this.#retryState.markMayHaveRun();
     attempt.abort("cancelled", detail);
   }
 
-  #end(ending: string): void {
-    if (this.#isOver) return;
-    this.#isOver = true;
+  #finish(ending: string): void {
+    if (this.#isFinished) return;
+    this.#isFinished = true;
     this.#deadlineTimer?.cancel();
-    const { parts, admitted, done } = this.#options;
+    const { context, admitted, onEnd } = this.#options;
     const now = this.#now();
-    parts.metrics.observe({
+    context.metrics.observe({
       account: accountName(admitted.account),
       tier: this.#tier,
       ending,
-      waited: this.#times.waited,
-      firstByte: this.#times.firstByte,
-      whole: this.#times.whole(now),
+      waited: this.#timings.waited,
+      firstByte: this.#timings.firstByte,
+      total: this.#timings.total(now),
     });
     if (ending !== "caller-left") {
-      this.#log("request_ended", { ending, ...this.#times.values(now) });
+      this.#log("request_ended", { ending, ...this.#timings.logValues(now) });
     }
-    done({
-      hasRun: this.#sends.mayHaveRun || this.#times.firstByte !== undefined,
+    onEnd({
+      hasRun: this.#retryState.mayHaveRun ||
+        this.#timings.firstByte !== undefined,
     });
   }
 
   #log(event: LogEvent, values: LogValues): void {
-    const { parts, admitted } = this.#options;
-    parts.log.write(event, {
-      id: admitted.says.requestId,
+    const { context, admitted } = this.#options;
+    context.log.write(event, {
+      id: admitted.metadata.requestId,
       route: admitted.route.route,
       policy: admitted.policyVersion,
       ...values,
@@ -388,21 +426,23 @@
   }
 
   #now(): Milliseconds {
-    return this.#options.parts.timer.now();
+    return this.#options.context.timer.now();
   }
 }
 
-function wholeOf(span: Milliseconds | undefined): Milliseconds | undefined {
+function roundDuration(
+  span: Milliseconds | undefined,
+): Milliseconds | undefined {
   return span === undefined ? undefined : Math.round(span);
 }
 
-/** A "not run" of the upstream's own is ours to say; other failures are passed on. */
-function isPassable(status: number): boolean {
+/** Responses that mean "not run" are replaced by this host's own refusal. */
+function shouldForward(status: number): boolean {
   return status !== 408 && status !== 429 && status !== 503;
 }
 
-/** What is said of a request that its upstream did not answer whole. */
-function lossOf(outcome: UpstreamOutcome): Refusal["reason"] {
+/** Maps the outcome of a failed attempt to the reason given to the caller. */
+function lossReason(outcome: UpstreamOutcome): Refusal["reason"] {
   if (outcome === "unreachable") return "unreachable-upstream";
   return isNotRun(outcome) ? "not-run-upstream" : "upstream-lost";
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -17,209 +17,223 @@
   UpstreamStats,
 } from "@wasabivane/admission";
 import { err, type Result } from "neverthrow";
-import { CallerFront } from "./callerFront.ts";
+import { CallerServer } from "./callerServer.ts";
 import { DecisionLog } from "./decisionLog.ts";
-import { FleetTalk } from "./fleetTalk.ts";
+import { GossipProtocol } from "./gossipProtocol.ts";
 import { GatewayMetrics } from "./gatewayMetrics.ts";
 import type { GatewayOptions } from "./gatewayOptions.ts";
 import type { GatewayContext } from "./gatewayContext.ts";
-import type { Shown } from "./operatorPages.ts";
-import { OperatorPorts } from "./operatorPorts.ts";
+import type { OperatorData } from "./operatorEndpoints.ts";
+import { OperatorServers } from "./operatorServers.ts";
 import type { ListenError } from "./listenError.ts";
-import { Looks } from "./looks.ts";
-import { PeerBook } from "./peerBook.ts";
+import { PeriodicChecks } from "./periodicChecks.ts";
+import { PeerDirectory } from "./peerDirectory.ts";
 import { type ChannelError, PeerChannel } from "./peerChannel.ts";
 import { PeerLog } from "./peerLog.ts";
 import type { PeerMessage } from "./peerMessage.ts";
-import type { UpstreamListChange } from "./peerWord.ts";
-import { keeperChangeOf, PlaceDesk } from "./placeDesk.ts";
+import type { UpstreamListChange } from "./gossipMessage.ts";
+import { CellRouter, coordinatorChangeValues } from "./cellRouter.ts";
 import { PolicyState } from "./policyState.ts";
 import { StoreSharing } from "./storeSharing.ts";
 import { connectionShare } from "./connectionShare.ts";
 import { UpstreamConnections } from "./upstreamConnections.ts";
 import { UpstreamUpdates } from "./upstreamUpdates.ts";
-import { UsageDesk } from "./usageDesk.ts";
+import { UsageSync } from "./usageSync.ts";
 
-/** The balancer asks every second and gives up after two misses. */
-const UNREADY_SPREAD_MS: Milliseconds = 2_500;
-/** Part of a short grace after which no new connections are taken, so that the rest is left for answers. */
-const UNREADY_SHARE = 0.35;
-/** Time before the platform's kill by which the process ends by itself. */
+/** Time for the load balancer to notice that the host is not ready. */
+const UNREADY_WAIT_MS: Milliseconds = 2_500;
+/**
+ * Largest share of the shutdown grace that is spent waiting for the load
+ * balancer.
+ */
+const MAXIMUM_UNREADY_SHARE = 0.35;
+/** Time between the process's own end and the platform's kill. */
 const STOP_MARGIN_MS: Milliseconds = 600;
 const STOP_CHECK_MS: Milliseconds = 50;
-const SHED_NOTE_MS: Milliseconds = 1_000;
+const SHED_LOG_MS: Milliseconds = 1_000;
 
 /**
- * One entry host: callers on one side, upstreams on the other, peers beside it.
- * Whoever reads the platform hands in policies and upstreams.
+ * Runs one entry host, which forwards callers' requests to upstreams and
+ * coordinates with peer hosts. Policies and upstreams are supplied by a
+ * platform adapter.
  */
 export class Gateway {
   readonly context: GatewayContext;
-  /** What is known of upstreams; whoever reads the platform hands it in here. */
+  /** Applies upstream changes from the platform. */
   readonly upstreamUpdates: UpstreamUpdates;
-  /** Who reads the store, and what the others hear of it. */
+  /**
+   * Decides whether this host reads the store, and fetches its contents from
+   * peers if not.
+   */
   readonly storeSharing: StoreSharing;
   readonly #options: GatewayOptions;
-  readonly #front: CallerFront;
-  readonly #talk: FleetTalk;
-  readonly #book: PeerBook;
+  readonly #callerServer: CallerServer;
+  readonly #gossip: GossipProtocol;
+  readonly #peers: PeerDirectory;
   readonly #channel: PeerChannel;
-  readonly #operatorPorts: OperatorPorts;
-  readonly #desk: PlaceDesk;
-  readonly #usage: UsageDesk;
+  readonly #operatorServers: OperatorServers;
+  readonly #cellRouter: CellRouter;
+  readonly #usageSync: UsageSync;
   readonly #startedAt: Milliseconds;
   readonly #peerLog: PeerLog;
-  readonly #looks: Looks;
+  readonly #periodicChecks: PeriodicChecks;
   #stopsAt: Milliseconds = Infinity;
-  #shedNotedAt: Milliseconds = -Infinity;
+  #shedLoggedAt: Milliseconds = -Infinity;
 
   constructor(options: GatewayOptions) {
     const { host, incarnation, failureDomain, seeds, cores, timer } = options;
     this.#options = options;
     this.#startedAt = timer.now();
-    this.#book = new PeerBook({
+    this.#peers = new PeerDirectory({
       host,
       failureDomain,
       startedAt: this.#startedAt,
       cores,
       seeds,
     });
-    this.context = this.#createParts();
+    this.context = this.#createContext();
     this.#peerLog = new PeerLog(this.context);
-    this.#front = new CallerFront(this.context);
-    this.#operatorPorts = new OperatorPorts({
-      shown: this.#shown(),
+    this.#callerServer = new CallerServer(this.context);
+    this.#operatorServers = new OperatorServers({
+      data: this.#createOperatorData(),
       addresses: options.addresses,
-      readyPath: options.readinessPath,
+      readinessPath: options.readinessPath,
     });
     this.#channel = this.#createChannel();
-    this.#desk = new PlaceDesk({
-      parts: () => this.context,
+    this.#cellRouter = new CellRouter({
+      context: () => this.context,
       incarnation,
-      seeker: this.context.places,
+      placementClient: this.context.placementClient,
       send: (to, message) => this.#sendTo(to, message),
       sendToAll: (message) =>
-        this.#channel.send(message, this.#book.aliveAddresses()),
+        this.#channel.send(message, this.#peers.aliveAddresses()),
     });
-    this.#usage = new UsageDesk({
+    this.#usageSync = new UsageSync({
       host,
       incarnation,
       quotas: this.context.quotas,
       candidates: () => this.#candidates(),
       sendReport: (to, usage) => this.#sendTo(to, { kind: "usage", usage }),
-      sendSums: (to, sums) => this.#sendTo(to, { kind: "sums", sums }),
+      sendTotals: (to, totals) => this.#sendTo(to, { kind: "sums", totals }),
     });
-    this.#looks = new Looks({
+    this.#periodicChecks = new PeriodicChecks({
       timer,
-      desk: this.#desk,
+      cellRouter: this.#cellRouter,
       lag: this.context.lag,
-      hosts: () => this.#book.aliveCount,
-      review: (now) => this.#review(now),
+      peerCount: () => this.#peers.aliveCount,
+      runMaintenance: (now) => this.#runMaintenance(now),
     });
-    this.#talk = this.#createTalk();
+    this.#gossip = this.#createGossip();
     this.upstreamUpdates = new UpstreamUpdates(this.context, {
-      tellLeft: (upstream) => this.#talk.tellLeft(upstream),
+      announceLeaving: (upstream) => this.#gossip.announceLeaving(upstream),
     });
     this.storeSharing = new StoreSharing({
-      parts: this.context,
-      book: this.#book,
-      upstreams: this.upstreamUpdates,
+      context: this.context,
+      peers: this.#peers,
+      upstreamUpdates: this.upstreamUpdates,
       applyBound: options.freshness.applyBound,
-      adoptPolicy: (bytes, provenAt) => this.adoptPolicy(bytes, provenAt),
+      adoptPolicy: (bytes, confirmedAt) => this.adoptPolicy(bytes, confirmedAt),
     });
   }
 
-  /** Whether callers may be sent here. */
+  /** Whether the load balancer may send callers to this host. */
   get isReady(): boolean {
     const { policies, directory, elapsed } = this.context;
     return !this.#isStopping && policies.index !== undefined &&
       directory.size > 0 && policies.freshness.isKeyTrusted(elapsed.now());
   }
 
-  /** Opens the ports, the callers' one first. */
+  /** Opens all ports. */
   async start(): Promise<Result<void, ListenError | ChannelError>> {
     const { addresses } = this.#options;
     const opened = await this.#channel.open(addresses.peers);
     if (opened.isErr()) return err(opened.error);
-    const listening = await this.#front.listen(addresses.callers);
+    const listening = await this.#callerServer.listen(addresses.callers);
     if (listening.isErr()) return err(listening.error);
-    this.#looks.start();
+    this.#periodicChecks.start();
     this.context.log.write("started", { peers: addresses.peers });
-    return await this.#operatorPorts.open();
+    return await this.#operatorServers.open();
   }
 
-  /** Takes in the newest policy, as the store held it at `provenAt` of the elapsed clock. */
-  adoptPolicy(bytes: Uint8Array, provenAt: Milliseconds): void {
+  /** Adopts a policy that was current at `confirmedAt` on the elapsed clock. */
+  adoptPolicy(bytes: Uint8Array, confirmedAt: Milliseconds): void {
     const { policies, log } = this.context;
-    const former = policies.version;
-    policies.adopt(bytes, provenAt).match(
+    const previousVersion = policies.version;
+    policies.adopt(bytes, confirmedAt).match(
       (adoption) => {
         if (adoption !== "adopted") return;
-        log.write("policy_adopted", { version: policies.version, former });
-        this.#talk.touch();
+        log.write("policy_adopted", {
+          version: policies.version,
+          former: previousVersion,
+        });
+        this.#gossip.scheduleMessage();
       },
       ({ detail }) => log.write("policy_rejected", { detail }),
     );
   }
 
   /**
-   * Takes in what the store says has changed in the list of upstreams. Entries that
-   * vanish are kept until `keepUntil` where they may have lapsed with the store.
+   * Applies a change of the upstream list. Removed entries are kept until
+   * `keepUntil` if they may have lapsed during a store outage.
    */
   applyListChange(change: UpstreamListChange, keepUntil?: Milliseconds): void {
     const { upstreams, removed, evacuated, to } = change;
     for (const upstream of upstreams) this.upstreamUpdates.apply(upstream);
-    for (const name of removed) this.upstreamUpdates.drop(name, keepUntil);
+    for (const name of removed) this.upstreamUpdates.remove(name, keepUntil);
     if (evacuated !== undefined) {
       this.upstreamUpdates.applyEvacuation(new Set(evacuated));
     }
     this.storeSharing.advanceListRevision(to);
-    const isTold = keepUntil === undefined || removed.length === 0;
-    if (isTold) this.#talk.tellChange(change);
-    else this.#talk.touch();
+    const shouldAnnounce = keepUntil === undefined || removed.length === 0;
+    if (shouldAnnounce) this.#gossip.announceListChange(change);
+    else this.#gossip.scheduleMessage();
   }
 
-  /** What is known of the store is the newest as of a moment of the elapsed clock. */
-  confirmPolicy(provenAt: Milliseconds): void {
-    this.context.policies.freshness.confirm(provenAt);
+  /**
+   * Confirms that policy and upstreams were current at `confirmedAt` on the
+   * elapsed clock.
+   */
+  confirmPolicy(confirmedAt: Milliseconds): void {
+    this.context.policies.freshness.confirm(confirmedAt);
   }
 
+  /** Replaces the seed addresses. */
   setSeeds(seeds: readonly string[]): void {
-    this.#book.setSeeds(seeds);
+    this.#peers.setSeeds(seeds);
     this.context.log.write("settings_reloaded", { seeds: seeds.join(",") });
   }
 
   /**
-   * Ends without cutting a request: not ready at once, so that the balancer sends
-   * no new connections; everything that comes meanwhile is served, with the
-   * advice to close; connections without a request are closed last.
+   * Shuts down gracefully: reports not ready, serves requests that still arrive
+   * with `connection: close`, then closes idle connections and waits for open
+   * requests.
    */
   async stop(): Promise<void> {
     if (this.#isStopping) return;
     const { timer, log } = this.context;
     const end = timer.now() + this.#options.shutdownGrace - STOP_MARGIN_MS;
     this.#stopsAt = end;
-    log.write("stopping", { open: this.#front.openRequests });
-    const spread = UNREADY_SHARE * this.#options.shutdownGrace;
-    await this.#sleep(Math.min(UNREADY_SPREAD_MS, spread));
-    this.#front.stopListening();
-    this.#front.closeIdle();
-    while (this.#front.openRequests > 0 && timer.now() < end) {
+    log.write("stopping", { open: this.#callerServer.openRequests });
+    const maximumWait = MAXIMUM_UNREADY_SHARE * this.#options.shutdownGrace;
+    await this.#sleep(Math.min(UNREADY_WAIT_MS, maximumWait));
+    this.#callerServer.stopListening();
+    this.#callerServer.closeIdle();
+    while (this.#callerServer.openRequests > 0 && timer.now() < end) {
       await this.#sleep(STOP_CHECK_MS);
-      this.#front.closeIdle();
+      this.#callerServer.closeIdle();
     }
-    log.write("stopped", { open: this.#front.openRequests });
+    log.write("stopped", { open: this.#callerServer.openRequests });
     await this.close();
   }
 
-  /** Ends at once, whatever is under way. */
+  /** Closes everything at once; open requests are cut. */
   async close(): Promise<void> {
-    this.#front.stopListening();
-    this.#front.closeAll();
-    this.#looks.close();
-    this.#operatorPorts.close();
+    this.#callerServer.stopListening();
+    this.#callerServer.closeAll();
+    this.#periodicChecks.close();
+    this.#operatorServers.close();
     this.upstreamUpdates.close();
-    this.#talk.close();
+    this.#gossip.close();
     await this.context.connections.close();
     this.#channel.close();
   }
@@ -228,13 +242,13 @@
     return this.#stopsAt !== Infinity;
   }
 
-  #createParts(): GatewayContext {
+  #createContext(): GatewayContext {
     const { host, failureDomain, timer, random, dialect, output, lowestLag } =
       this.#options;
     const directory = new UpstreamDirectory();
     const lag = new EventLoopLag();
-    const knowledge = new UpstreamStats();
-    const hostCount = (): number => this.#book.aliveCount + 1;
+    const upstreamStats = new UpstreamStats();
+    const hostCount = (): number => this.#peers.aliveCount + 1;
     const policies = new PolicyState({
       dialect,
       bounds: this.#options.freshness,
@@ -250,9 +264,9 @@
       metrics: new GatewayMetrics(),
       policies,
       directory,
-      knowledge,
-      signs: new UpstreamActivity(),
-      places: this.#createSeeker(directory, knowledge),
+      upstreamStats,
+      upstreamActivity: new UpstreamActivity(),
+      placementClient: this.#createPlacementClient(directory, upstreamStats),
       coldStartsOf: (upstream) => this.#coldStartsOf(upstream),
       quotas: new QuotaLimiter(this.#options.quotaTolerance),
       retries: new RetryBudget(this.#options.retryBudget),
@@ -266,9 +280,10 @@
       connections: new UpstreamConnections(() =>
         connectionShare(policies, hostCount())
       ),
-      tellCrash: (crash) => this.#talk.tellCrash(crash),
-      dropReplaced: (upstream) => this.upstreamUpdates.removeReplaced(upstream),
-      reviewPlaces: () => this.#desk.review(timer.now()),
+      announceCrash: (crash) => this.#gossip.announceCrash(crash),
+      removeReplaced: (upstream) =>
+        this.upstreamUpdates.removeReplaced(upstream),
+      reviewQueues: () => this.#cellRouter.review(timer.now()),
       hostCount,
       isStopping: () => this.#isStopping,
       stopsAt: () => this.#stopsAt,
@@ -282,9 +297,9 @@
     return perSecond === undefined ? undefined : perSecond * factor + slack;
   }
 
-  #createSeeker(
+  #createPlacementClient(
     directory: UpstreamDirectory,
-    knowledge: UpstreamStats,
+    stats: UpstreamStats,
   ): PlacementClient {
     const { host, incarnation, failureDomain, random, timer } = this.#options;
     return new PlacementClient({
@@ -292,23 +307,28 @@
       incarnation,
       failureDomain,
       directory,
-      stats: knowledge,
+      stats,
       random,
       candidates: () => this.#candidates(),
       coldStartsOf: (upstream) => this.#coldStartsOf(upstream),
-      send: (keeper, ask) => {
-        this.#desk.ask(keeper, ask);
-        this.#looks.plan();
+      send: (coordinator, update) => {
+        this.#cellRouter.sendUpdate(coordinator, update);
+        this.#periodicChecks.schedule();
       },
-      onSendScheduled: () => this.#looks.plan(),
+      onSendScheduled: () => this.#periodicChecks.schedule(),
       onCoordinatorChange: (change) => {
         this.context.metrics.count(`keeper_${change.kind}`);
-        this.context.log.write("keeper_passed_over", keeperChangeOf(change));
-        const { coordinator: keeper } = change;
-        if (change.kind !== "silent" || keeper === undefined) return;
-        const until = this.context.places.coordinators
-          .skipped(timer.now()).get(keeper);
-        if (until !== undefined) this.#talk.tellSilent(keeper, until);
+        this.context.log.write(
+          "keeper_passed_over",
+          coordinatorChangeValues(change),
+        );
+        const { coordinator } = change;
+        if (change.kind !== "silent" || coordinator === undefined) return;
+        const until = this.context.placementClient.coordinators
+          .skipped(timer.now()).get(coordinator);
+        if (until !== undefined) {
+          this.#gossip.announceUnresponsive(coordinator, until);
+        }
       },
     });
   }
@@ -317,7 +337,7 @@
     const { timer } = this.#options;
     return new PeerChannel({
       now: () => timer.now(),
-      onMessage: (message) => this.#hear(message),
+      onMessage: (message) => this.#receive(message),
       onMalformed: () => this.context.metrics.count("peer_words_malformed"),
       onTraffic: (direction, bytes) => {
         this.context.metrics.count(`peer_words_${direction}`);
@@ -326,69 +346,73 @@
     });
   }
 
-  #createTalk(): FleetTalk {
+  #createGossip(): GossipProtocol {
     const { incarnation, addresses, cores, timer } = this.#options;
-    return new FleetTalk({
-      parts: this.context,
-      book: this.#book,
+    return new GossipProtocol({
+      context: this.context,
+      peers: this.#peers,
       incarnation,
       address: addresses.peers,
       startedAt: this.#startedAt,
       cores,
-      send: (word, targets) =>
-        this.#channel.send({ kind: "word", word }, targets),
-      onNewerPolicy: (peer) => void this.storeSharing.askPeer(peer),
+      send: (gossip, targets) =>
+        this.#channel.send({ kind: "word", gossip }, targets),
+      onNewerPolicy: (peer) => void this.storeSharing.fetchFromPeer(peer),
       onListRevision: (peer, listRevision) =>
-        this.storeSharing.hearOf(peer, { listRevision, now: timer.now() }),
-      onChange: (change) => this.applyListChange(change),
-      onLeft: (upstream) => this.upstreamUpdates.takeLeft(upstream),
-      onSilent: (host, until) =>
-        this.context.places.coordinators.skipUntil(host, until),
+        this.storeSharing.receiveListRevision(peer, {
+          listRevision,
+          now: timer.now(),
+        }),
+      onListChange: (change) => this.applyListChange(change),
+      onUpstreamLeaving: (upstream) =>
+        this.upstreamUpdates.applyLeaving(upstream),
+      onUnresponsiveHost: (host, until) =>
+        this.context.placementClient.coordinators.skipUntil(host, until),
       listRevision: () => this.storeSharing.listRevision,
-      canRead: () => this.storeSharing.canRead,
+      isStoreReachable: () => this.storeSharing.isStoreReachable,
     });
   }
 
-  #hear(message: PeerMessage): void {
+  #receive(message: PeerMessage): void {
     const now = this.#options.timer.now();
     switch (message.kind) {
       case "word":
-        return this.#talk.hear(message.word);
+        return this.#gossip.receive(message.gossip);
       case "ask":
-        this.#desk.hearAsk(message.ask);
-        return this.#looks.plan();
+        this.#cellRouter.receiveUpdate(message.update);
+        return this.#periodicChecks.schedule();
       case "answer":
-        return this.#desk.hearAnswer(message.answer);
+        return this.#cellRouter.receiveReply(message.reply);
       case "call":
-        return this.#desk.hearCall(message.call);
+        return this.#cellRouter.receiveAnnouncement(message.announcement);
       case "snapshots":
-        return this.#desk.hearSnapshots(message.snapshots);
+        return this.#cellRouter.receiveSnapshots(message.snapshots);
       case "usage":
-        return this.#usage.hearReport(message.usage, now);
+        return this.#usageSync.receiveReport(message.usage, now);
       case "sums":
-        return this.#usage.hearSums(message.sums, now);
+        return this.#usageSync.receiveTotals(message.totals, now);
     }
   }
 
   #sendTo(host: HostId, message: PeerMessage): void {
-    const address = this.#book.addressOf(host);
+    const address = this.#peers.addressOf(host);
     if (address !== undefined) this.#channel.send(message, [address]);
   }
 
-  /** The hosts that may keep a cell or add up usage. */
+  /** The hosts that may coordinate a cell or aggregate usage. */
   #candidates(): readonly CoordinatorCandidate[] {
-    return this.#book.candidates({
+    return this.#peers.candidates({
       isLeaving: this.#isStopping,
       now: this.#options.timer.now(),
     });
   }
 
-  #shown(): Shown {
+  #createOperatorData(): OperatorData {
     const { policies, elapsed, directory } = this.context;
     return {
       isReady: () => this.isReady,
       metricsText: () => this.#metricsText(),
-      belief: (known) => ({
+      createSnapshot: (known) => ({
         policy: policies.version > known.policyVersion
           ? policies.bytes
           : new Uint8Array(),
@@ -404,29 +428,30 @@
   }
 
   #metricsText(): Promise<string> {
-    const { metrics, policies, directory, places, elapsed } = this.context;
+    const { metrics, policies, directory, placementClient, elapsed } =
+      this.context;
     metrics.set("policy_version", policies.version);
     metrics.set("policy_proof_age_ms", policies.freshness.age(elapsed.now()));
     metrics.set("upstreams", directory.size);
-    metrics.set("peers", this.#book.aliveCount);
-    metrics.set("waiting", places.waitingTotal);
-    metrics.set("kept_cells", this.#desk.keptCount);
-    metrics.set("open_requests", this.#front.openRequests);
+    metrics.set("peers", this.#peers.aliveCount);
+    metrics.set("waiting", placementClient.waitingTotal);
+    metrics.set("kept_cells", this.#cellRouter.cellCount);
+    metrics.set("open_requests", this.#callerServer.openRequests);
     return metrics.text();
   }
 
-  #review(now: Milliseconds): void {
+  #runMaintenance(now: Milliseconds): void {
     this.upstreamUpdates.expire();
     this.storeSharing.tick(now);
-    this.#usage.tick(now);
-    this.#noteShed(now);
-    this.#peerLog.note(this.#talk.tick(), this.#book.aliveCount);
+    this.#usageSync.tick(now);
+    this.#logShedRequests(now);
+    this.#peerLog.add(this.#gossip.tick(), this.#peers.aliveCount);
   }
 
-  /** One line a second says how many requests were refused because this host is behind. */
-  #noteShed(now: Milliseconds): void {
-    if (now - this.#shedNotedAt < SHED_NOTE_MS) return;
-    this.#shedNotedAt = now;
+  /** Logs the number of shed requests, at most once a second. */
+  #logShedRequests(now: Milliseconds): void {
+    if (now - this.#shedLoggedAt < SHED_LOG_MS) return;
+    this.#shedLoggedAt = now;
     const { shedding, lag, log, metrics } = this.context;
     const requests = shedding.takeCount();
     metrics.set("lag_ms", Math.round(lag.peak(now)));
--- a/packages/gateway/src/gatewayContext.ts
+++ b/packages/gateway/src/gatewayContext.ts
@@ -26,7 +26,7 @@
 import type { PolicyState } from "./policyState.ts";
 import type { UpstreamConnections } from "./upstreamConnections.ts";
 
-/** What the parts of one process share. */
+/** Holds the objects that the components of one process share. */
 export interface GatewayContext {
   readonly host: HostId;
   readonly failureDomain: FailureDomain;
@@ -38,30 +38,34 @@
   readonly metrics: GatewayMetrics;
   readonly policies: PolicyState;
   readonly directory: UpstreamDirectory;
-  /** What is known of the upstreams from how they served. */
-  readonly knowledge: UpstreamStats;
-  /** When streams of this host moved last. */
-  readonly signs: UpstreamActivity;
-  /** Where requests of this host seek their places. */
-  readonly places: PlacementClient;
-  /** Starts in one second that a cold upstream bears over all hosts; `undefined` for any. */
+  /** Statistics of how upstreams have served requests. */
+  readonly upstreamStats: UpstreamStats;
+  /** Progress of this host's streams, by upstream. */
+  readonly upstreamActivity: UpstreamActivity;
+  /** Assigns upstream slots to this host's requests. */
+  readonly placementClient: PlacementClient;
+  /**
+   * Returns the request starts per second that an upstream takes while warming
+   * up from all hosts; `undefined` for no limit.
+   */
   readonly coldStartsOf: (upstream: Upstream) => number | undefined;
   readonly quotas: QuotaLimiter;
   readonly retries: RetryBudget;
   readonly crashes: PoisonRequestDetector;
-  /** How far this host is behind its own work. */
   readonly lag: EventLoopLag;
   readonly shedding: LoadShedder;
   readonly connections: UpstreamConnections;
-  /** Tells the peers that a request crashed an upstream. */
-  readonly tellCrash: (crash: Crash) => void;
-  /** Takes an upstream out whose address answers for another one. */
-  readonly dropReplaced: (upstream: UpstreamId) => void;
-  /** Upstreams or their health have changed; lines are looked at again. */
-  readonly reviewPlaces: () => void;
-  /** Hosts that share budgets, this one included. */
+  /** Announces to peers that a request crashed an upstream. */
+  readonly announceCrash: (crash: Crash) => void;
+  /** Removes an upstream whose address now belongs to another one. */
+  readonly removeReplaced: (upstream: UpstreamId) => void;
+  /**
+   * Re-evaluates queued requests after a change of upstreams or their health.
+   */
+  readonly reviewQueues: () => void;
+  /** Returns the number of hosts that share budgets, including this one. */
   readonly hostCount: () => number;
   readonly isStopping: () => boolean;
-  /** When the process ends after an order to stop; `Infinity` without one. */
+  /** Returns when the process ends; `Infinity` unless it is stopping. */
   readonly stopsAt: () => Milliseconds;
 }
--- a/packages/gateway/src/gatewayMetrics.ts
+++ b/packages/gateway/src/gatewayMetrics.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from "@wasabivane/common";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
-/** Upper bounds of latency buckets, in milliseconds: half a target to a long deadline. */
+/** Upper bounds of the latency buckets. */
 const LATENCY_BUCKETS_MS = [
   10,
   25,
@@ -15,22 +15,25 @@
   6_400,
   12_800,
 ];
-/** Client accounts with series of their own; further ones share one. */
+/** Client accounts with time series of their own; others share one. */
 const MAXIMUM_ACCOUNTS = 64;
 const OTHER_ACCOUNTS = "other";
 
-/** How one request ended, for the series. */
+/** The outcome and durations of one request. */
 export interface RequestSample {
   readonly account: string;
   readonly tier: number;
   readonly ending: string;
   readonly waited: Milliseconds;
-  /** Time to the first event or to the whole answer; `undefined` when none came. */
+  /**
+   * Time to the first event or the complete response; `undefined` without
+   * either.
+   */
   readonly firstByte: Milliseconds | undefined;
-  readonly whole: Milliseconds;
+  readonly total: Milliseconds;
 }
 
-/** Counters, gauges and histograms of one process, as text for a scraper. */
+/** Holds the Prometheus metrics of one process. */
 export class GatewayMetrics {
   readonly #registry = new Registry();
   readonly #accounts = new Set<string>();
@@ -45,20 +48,21 @@
     "first_byte",
     "Time to the first event or the whole answer",
   );
-  readonly #whole = this.#histogram("whole", "Time to the end");
-  readonly #counts = new Counter({
+  readonly #total = this.#histogram("whole", "Time to the end");
+  readonly #events = new Counter({
     name: "wasabivane_events_total",
     help: "Steps and failures by name",
     labelNames: ["name"],
     registers: [this.#registry],
   });
-  readonly #states = new Gauge({
+  readonly #gauges = new Gauge({
     name: "wasabivane_state",
     help: "What the process believes now, by name",
     labelNames: ["name"],
     registers: [this.#registry],
   });
 
+  /** Records a finished request. */
   observe(sample: RequestSample): void {
     const labels = {
       account: this.#boundedAccount(sample.account),
@@ -66,20 +70,21 @@
     };
     this.#requests.inc({ ...labels, ending: sample.ending });
     this.#waited.observe(labels, sample.waited);
-    this.#whole.observe(labels, sample.whole);
+    this.#total.observe(labels, sample.total);
     if (sample.firstByte !== undefined) {
       this.#firstByte.observe(labels, sample.firstByte);
     }
   }
 
   count(name: string, by = 1): void {
-    this.#counts.inc({ name }, by);
+    this.#events.inc({ name }, by);
   }
 
   set(name: string, value: number): void {
-    this.#states.set({ name }, value);
+    this.#gauges.set({ name }, value);
   }
 
+  /** Returns all metrics in the Prometheus text format. */
   text(): Promise<string> {
     return this.#registry.metrics();
   }
--- a/packages/gateway/src/gatewayOptions.ts
+++ b/packages/gateway/src/gatewayOptions.ts
@@ -13,38 +13,44 @@
 } from "@wasabivane/admission";
 import type { LogOutput } from "./decisionLog.ts";
 import type { Dialect } from "./dialect.ts";
-import type { OperatorAddresses } from "./operatorPorts.ts";
+import type { OperatorAddresses } from "./operatorServers.ts";
 
-/** Where a host listens; all are `ip:port`. */
+/** Listen addresses of a host, each `ip:port`. */
 export interface GatewayAddresses extends OperatorAddresses {
   readonly callers: string;
 }
 
-/** Starts in a second: so many times those that the policy names, and so many more. */
+/**
+ * Tolerance for request starts at an upstream that is warming up: `factor`
+ * times the policy's rate plus `slack`.
+ */
 export interface WarmupTolerance {
   readonly factor: number;
   readonly slack: number;
 }
 
-/** What a {@link Gateway} is built from. */
+/** Options of a {@link Gateway}. */
 export interface GatewayOptions {
   readonly host: HostId;
   readonly incarnation: Incarnation;
   readonly failureDomain: FailureDomain;
   readonly addresses: GatewayAddresses;
   readonly seeds: readonly string[];
-  /** Processor cores that this host may use, also a fraction of one. */
+  /** Processor cores available to this host; may be fractional. */
   readonly cores: number;
   readonly readinessPath: string;
   readonly freshness: PolicyFreshnessOptions;
   readonly retryBudget: RetryBudgetOptions;
-  /** By how much all hosts together may exceed a quota. */
+  /** Tolerance by which all hosts together may exceed a quota. */
   readonly quotaTolerance: QuotaTolerance;
-  /** By how much all hosts together may exceed the starts that a cold upstream bears. */
+  /**
+   * Tolerance by which all hosts together may exceed the start rate of an
+   * upstream that is warming up.
+   */
   readonly warmupTolerance: WarmupTolerance;
-  /** A host that is less behind its own work takes every request. */
+  /** Event-loop lag below which no request is shed. */
   readonly lowestLag?: Milliseconds;
-  /** From the order to stop to the kill. */
+  /** Time from the stop signal to the kill. */
   readonly shutdownGrace: Milliseconds;
   readonly dialect: Dialect;
   readonly timer: Timer;
--- /dev/null
+++ b/packages/gateway/src/gossipProtocol.ts
@@ -0,0 +1,373 @@
+import type {
+  Digest,
+  HostId,
+  Incarnation,
+  Milliseconds,
+  UpstreamId,
+} from "@wasabivane/common";
+import type { Crash } from "@wasabivane/admission";
+import type { GatewayContext } from "./gatewayContext.ts";
+import type { PeerChange, PeerDirectory } from "./peerDirectory.ts";
+import type {
+  GossipMessage,
+  PeerRecord,
+  UpstreamListChange,
+} from "./gossipMessage.ts";
+
+/** Random peers that each message is sent to. */
+const FANOUT = 4;
+/**
+ * Minimum interval between messages with updates; later updates are batched.
+ */
+const UPDATE_INTERVAL_MS: Milliseconds = 25;
+/** Interval of heartbeats, which also repeat updates that were lost. */
+const HEARTBEAT_MS: Milliseconds = 250;
+/**
+ * Fleet size above which heartbeats become rarer, to bound the traffic per
+ * host.
+ */
+const HOSTS_AT_FULL_RATE = 32;
+/**
+ * Time after the start in which heartbeats keep the full rate, to discover
+ * peers.
+ */
+const DISCOVERY_MS: Milliseconds = 5_000;
+/** How long an update is repeated. */
+const UPDATE_LIFETIME_MS: Milliseconds = 3_000;
+/**
+ * Entries of one kind in a message, so that a datagram fits into one packet.
+ */
+const MAXIMUM_ROWS = 24;
+/** Changed upstreams in a message; for larger changes, peers fetch the list. */
+const MAXIMUM_CHANGED_UPSTREAMS = 6;
+/** Peer records in a heartbeat. */
+const HEARTBEAT_RECORDS = 8;
+/**
+ * A sender that knows a smaller share of this host's peers is sent a reply with
+ * records.
+ */
+const MINIMUM_KNOWN_SHARE = 0.8;
+/** Peer records in that reply. */
+const DISCOVERY_RECORDS = 12;
+/** A confirmation newer than the last one sent by this much is sent at once. */
+const CONFIRMATION_STEP_MS: Milliseconds = 400;
+/**
+ * Upper bound for a message's time in transit, added to the age of
+ * confirmations.
+ */
+const MAXIMUM_TRANSIT_MS: Milliseconds = 20;
+
+interface Update<Value> {
+  readonly value: Value;
+  readonly until: Milliseconds;
+}
+
+/** Options of a {@link GossipProtocol}. */
+export interface GossipProtocolOptions {
+  readonly context: GatewayContext;
+  readonly peers: PeerDirectory;
+  readonly incarnation: Incarnation;
+  /** `ip:port` of this host's peer port. */
+  readonly address: string;
+  readonly startedAt: Milliseconds;
+  /** Processor cores available to this host. */
+  readonly cores: number;
+  readonly send: (message: GossipMessage, targets: readonly string[]) => void;
+  /** Called when a peer has a newer policy. */
+  readonly onNewerPolicy: (peer: HostId) => void;
+  /** Called with the store revision up to which a peer knows all upstreams. */
+  readonly onListRevision: (peer: HostId, listRevision: number) => void;
+  /** Called with a change that follows on this host's list revision. */
+  readonly onListChange: (change: UpstreamListChange) => void;
+  readonly onUpstreamLeaving: (upstream: UpstreamId) => void;
+  /** Called when a peer reports an unresponsive host. */
+  readonly onUnresponsiveHost: (host: HostId, until: Milliseconds) => void;
+  /** Returns the store revision up to which this host knows all upstreams. */
+  readonly listRevision: () => number;
+  /** Returns whether this host can read the store. */
+  readonly isStoreReachable: () => boolean;
+}
+
+/**
+ * Spreads updates among hosts by gossip.
+ *
+ * Each message goes to a few random peers, which forward new updates once:
+ * updates reach all hosts in a few rounds, at a cost per host that does not
+ * grow with the fleet. Periodic heartbeats repair lost messages.
+ */
+export class GossipProtocol {
+  readonly #options: GossipProtocolOptions;
+  #sequence = 0;
+  #sentAt: Milliseconds = -Infinity;
+  #heartbeatAt: Milliseconds = -Infinity;
+  #hasUpdates = false;
+  #isScheduled = false;
+  #isClosed = false;
+  #leavingUpstreams: Update<UpstreamId>[] = [];
+  #crashes: Update<Crash>[] = [];
+  #listChanges: Update<UpstreamListChange>[] = [];
+  readonly #unresponsiveHosts = new Map<HostId, Milliseconds>();
+  #confirmedAt: Milliseconds = -Infinity;
+
+  constructor(options: GossipProtocolOptions) {
+    this.#options = options;
+  }
+
+  /** Schedules a message to peers after a change on this host. */
+  scheduleMessage(): void {
+    this.#hasUpdates = true;
+    this.#schedule();
+  }
+
+  /**
+   * Announces that an upstream is leaving, for hosts that cannot read the
+   * store.
+   */
+  announceLeaving(upstream: UpstreamId): void {
+    this.#leavingUpstreams.push(this.#createUpdate(upstream));
+    this.scheduleMessage();
+  }
+
+  announceCrash(crash: Crash): void {
+    this.#crashes.push(this.#createUpdate(crash));
+    this.scheduleMessage();
+  }
+
+  /** Announces a change of the upstream list. */
+  announceListChange(change: UpstreamListChange): void {
+    if (
+      change.upstreams.length + change.removed.length >
+        MAXIMUM_CHANGED_UPSTREAMS
+    ) {
+      return this.scheduleMessage();
+    }
+    this.#listChanges.push(this.#createUpdate(change));
+    this.scheduleMessage();
+  }
+
+  /**
+   * Announces an unresponsive host that is skipped until a time. Repeated
+   * reports are ignored, since many hosts notice the same one at once.
+   */
+  announceUnresponsive(host: HostId, until: Milliseconds): void {
+    if (this.#unresponsiveHosts.has(host)) return;
+    this.#unresponsiveHosts.set(host, until);
+    this.scheduleMessage();
+  }
+
+  /** Stops sending messages. */
+  close(): void {
+    this.#isClosed = true;
+  }
+
+  /**
+   * Sends a heartbeat if one is due, and returns which peers were found and
+   * lost.
+   */
+  tick(): PeerChange[] {
+    const { context, peers } = this.#options;
+    const now = context.timer.now();
+    this.#checkConfirmation(now);
+    if (now - this.#heartbeatAt >= this.#heartbeatInterval()) {
+      this.#heartbeatAt = now;
+      this.#send(now, HEARTBEAT_RECORDS);
+    }
+    return peers.takeChanges(now);
+  }
+
+  /** Processes a peer's message. */
+  receive(message: GossipMessage): void {
+    const { context, peers } = this.#options;
+    const { sender } = message;
+    const now = context.timer.now();
+    if (!peers.recordMessage(sender, message.sequence, now)) return;
+    for (const record of message.peerRecords) peers.mergeRecord(record, now);
+    const isDiscovering =
+      message.peerCount < MINIMUM_KNOWN_SHARE * peers.aliveCount;
+    if (isDiscovering) this.#sendPeerRecords(sender.address, now);
+    this.#applyReports(message, now);
+    this.#applyVersions(message);
+  }
+
+  #applyReports(
+    {
+      leavingUpstreams,
+      crashes: reportedCrashes,
+      unresponsiveHosts,
+    }: GossipMessage,
+    now: Milliseconds,
+  ): void {
+    const {
+      context: { directory, crashes },
+      onUpstreamLeaving,
+      onUnresponsiveHost,
+    } = this.#options;
+    for (const upstream of leavingUpstreams) {
+      if (directory.findListed(upstream) !== undefined) {
+        onUpstreamLeaving(upstream);
+      }
+    }
+    for (const [fingerprint, upstream, age] of reportedCrashes) {
+      const crash = { fingerprint, upstream, at: now - age };
+      if (crashes.recordCrash(crash)) this.announceCrash(crash);
+    }
+    for (const [host, span] of unresponsiveHosts) {
+      if (this.#unresponsiveHosts.has(host)) continue;
+      onUnresponsiveHost(host, now + span);
+      this.announceUnresponsive(host, now + span);
+    }
+  }
+
+  /**
+   * Adopts the peer's confirmation only when this host has the same policy and
+   * list: with an outdated list it would keep sending to upstreams that have
+   * left.
+   */
+  #applyVersions(
+    { sender, policyVersion, confirmationAge, ...message }: GossipMessage,
+  ): void {
+    const {
+      context,
+      onNewerPolicy,
+      onListRevision,
+      onListChange,
+    } = this.#options;
+    const { policies, elapsed } = context;
+    for (const change of message.listChanges) {
+      const known = this.#options.listRevision();
+      if (change.from <= known && known < change.to) onListChange(change);
+    }
+    if (policyVersion > policies.version) onNewerPolicy(sender.host);
+    onListRevision(sender.host, message.listRevision);
+    const isSame = policyVersion === policies.version &&
+      message.listRevision === this.#options.listRevision();
+    if (!isSame || confirmationAge === undefined) return;
+    policies.freshness.confirm(
+      elapsed.now() - confirmationAge - MAXIMUM_TRANSIT_MS,
+    );
+    this.#checkConfirmation(context.timer.now());
+  }
+
+  #checkConfirmation(now: Milliseconds): void {
+    const { policies, elapsed } = this.#options.context;
+    const confirmedAt = now - policies.freshness.age(elapsed.now());
+    if (confirmedAt < this.#confirmedAt + CONFIRMATION_STEP_MS) return;
+    this.#confirmedAt = confirmedAt;
+    this.scheduleMessage();
+  }
+
+  #createUpdate<Value>(value: Value): Update<Value> {
+    return {
+      value,
+      until: this.#options.context.timer.now() + UPDATE_LIFETIME_MS,
+    };
+  }
+
+  #schedule(): void {
+    if (this.#isScheduled || this.#isClosed) return;
+    this.#isScheduled = true;
+    const { timer } = this.#options.context;
+    const wait = Math.max(0, this.#sentAt + UPDATE_INTERVAL_MS - timer.now());
+    timer.after(wait, () => {
+      this.#isScheduled = false;
+      if (this.#hasUpdates) this.#send(timer.now(), 0);
+    });
+  }
+
+  #heartbeatInterval(): Milliseconds {
+    const { peers, context, startedAt } = this.#options;
+    if (context.timer.now() - startedAt < DISCOVERY_MS) return HEARTBEAT_MS;
+    const hosts = peers.aliveCount + 1;
+    return HEARTBEAT_MS * Math.max(1, hosts / HOSTS_AT_FULL_RATE);
+  }
+
+  #send(now: Milliseconds, recordCount: number): void {
+    if (this.#isClosed) return;
+    const { peers, send, context: { random } } = this.#options;
+    this.#sentAt = now;
+    this.#hasUpdates = false;
+    const targets = peers.drawTargets({ count: FANOUT, random, now });
+    if (targets.length > 0) {
+      send(this.#createMessage(now, recordCount), targets);
+    }
+  }
+
+  /** Sends peer records to a host that knows few peers. */
+  #sendPeerRecords(address: string, now: Milliseconds): void {
+    this.#options.send(this.#createMessage(now, DISCOVERY_RECORDS), [address]);
+  }
+
+  #createMessage(now: Milliseconds, recordCount: number): GossipMessage {
+    const { context, peers, listRevision } = this.#options;
+    const { policies, elapsed } = context;
+    const confirmationAge = policies.freshness.age(elapsed.now());
+    this.#expireUpdates(now);
+    return {
+      sender: this.#createOwnRecord(now),
+      sequence: ++this.#sequence,
+      policyVersion: policies.version,
+      listRevision: listRevision(),
+      confirmationAge: Number.isFinite(confirmationAge)
+        ? confirmationAge
+        : undefined,
+      leavingUpstreams: this.#leavingUpstreams.slice(-MAXIMUM_ROWS).map((
+        { value },
+      ) => value),
+      crashes: this.#crashes.slice(-MAXIMUM_ROWS).map(({ value }) => [
+        value.fingerprint as Digest,
+        value.upstream,
+        now - value.at,
+      ]),
+      listChanges: this.#latestChanges(),
+      unresponsiveHosts: [...this.#unresponsiveHosts].slice(-MAXIMUM_ROWS)
+        .map(([host, until]) => [host, until - now]),
+      peerCount: peers.aliveCount,
+      peerRecords: peers.takeRecords(recordCount, now),
+    };
+  }
+
+  #createOwnRecord(now: Milliseconds): PeerRecord {
+    const {
+      context,
+      incarnation,
+      address,
+      startedAt,
+      cores,
+      isStoreReachable,
+    } = this.#options;
+    return {
+      host: context.host,
+      incarnation,
+      address,
+      failureDomain: context.failureDomain,
+      age: now - startedAt,
+      timeSinceHeard: 0,
+      isLeaving: context.isStopping(),
+      isStoreReachable: isStoreReachable(),
+      cores,
+    };
+  }
+
+  /** Returns the latest changes that fit into a message, oldest first. */
+  #latestChanges(): UpstreamListChange[] {
+    const newest: UpstreamListChange[] = [];
+    let count = 0;
+    for (const { value } of this.#listChanges.toReversed()) {
+      count += value.upstreams.length + value.removed.length;
+      if (count > MAXIMUM_CHANGED_UPSTREAMS) break;
+      newest.unshift(value);
+    }
+    return newest;
+  }
+
+  #expireUpdates(now: Milliseconds): void {
+    const isCurrent = ({ until }: { until: Milliseconds }): boolean =>
+      until > now;
+    this.#leavingUpstreams = this.#leavingUpstreams.filter(isCurrent);
+    this.#crashes = this.#crashes.filter(isCurrent);
+    this.#listChanges = this.#listChanges.filter(isCurrent);
+    for (const [host, until] of this.#unresponsiveHosts) {
+      if (until <= now) this.#unresponsiveHosts.delete(host);
+    }
+  }
+}
--- a/packages/gateway/src/headers.ts
+++ b/packages/gateway/src/headers.ts
@@ -1,13 +1,13 @@
-/** One header field as it stood in the message. */
+/** Name and value of one header line, as received. */
 export type HeaderLine = readonly [name: string, value: string];
 
-/** Header fields by their names in lower case. */
+/** Header values by lower-case name. */
 export type HeaderValues = Readonly<
   Record<string, string | string[] | undefined>
 >;
 
-/** Fields that concern one connection and must not be passed on. */
-const CONNECTION_FIELDS = new Set([
+/** Headers that apply to a single connection and must not be forwarded. */
+const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "keep-alive",
   "proxy-authenticate",
@@ -20,17 +20,17 @@
   "expect",
 ]);
 
-/** The first value of a field. */
+/** Returns the first value of a header. */
 export function headerValue(
-  fields: HeaderValues,
+  headers: HeaderValues,
   name: string,
 ): string | undefined {
-  const value = fields[name];
+  const value = headers[name];
   return Array.isArray(value) ? value[0] : value;
 }
 
-/** Pairs names and values of a raw list as Node.js gives it. */
-export function fieldLines(raw: readonly string[]): HeaderLine[] {
+/** Pairs the names and values of a Node.js `rawHeaders` list. */
+export function pairHeaders(raw: readonly string[]): HeaderLine[] {
   const lines: HeaderLine[] = [];
   for (let index = 0; index + 1 < raw.length; index += 2) {
     lines.push([raw[index]!, raw[index + 1]!]);
@@ -38,8 +38,10 @@
   return lines;
 }
 
-/** Leaves out the fields that concern one connection, named ones included. */
-export function endToEndFields(lines: readonly HeaderLine[]): HeaderLine[] {
+/** Removes hop-by-hop headers, including those named by `connection`. */
+export function selectEndToEndHeaders(
+  lines: readonly HeaderLine[],
+): HeaderLine[] {
   const named = new Set<string>();
   for (const [name, value] of lines) {
     if (name.toLowerCase() !== "connection") continue;
@@ -49,14 +51,14 @@
   }
   return lines.filter(([name]) => {
     const lower = name.toLowerCase();
-    return !CONNECTION_FIELDS.has(lower) && !named.has(lower);
+    return !HOP_BY_HOP_HEADERS.has(lower) && !named.has(lower);
   });
 }
 
-/** Field lines of parsed values, one line for each value. */
-export function linesOfValues(fields: HeaderValues): HeaderLine[] {
+/** Converts parsed headers to lines, one for each value. */
+export function toHeaderLines(headers: HeaderValues): HeaderLine[] {
   const lines: HeaderLine[] = [];
-  for (const [name, value] of Object.entries(fields)) {
+  for (const [name, value] of Object.entries(headers)) {
     if (value === undefined) continue;
     if (Array.isArray(value)) {
       for (const item of value) lines.push([name, item]);
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,7 @@
-/** An entry host for requests that are passed on unchanged, beside peers that tell each other their load. */
+/**
+ * An entry host that forwards requests unchanged and shares load information
+ * with its peers.
+ */
 export * from "./dialect.ts";
 export * from "./headers.ts";
 export {
@@ -8,22 +11,30 @@
   type LogOutput,
   type LogValues,
 } from "./decisionLog.ts";
-export { EventFrames } from "./eventFrames.ts";
+export { EventStreamSplitter } from "./eventStreamSplitter.ts";
 export { Gateway } from "./gateway.ts";
 export type { GatewayAddresses, GatewayOptions } from "./gatewayOptions.ts";
-export { FleetTalk } from "./fleetTalk.ts";
+export { GossipProtocol } from "./gossipProtocol.ts";
 export type { GatewayContext } from "./gatewayContext.ts";
 export { GatewayMetrics } from "./gatewayMetrics.ts";
-export { PeerBook } from "./peerBook.ts";
+export { PeerDirectory } from "./peerDirectory.ts";
 export { splitAddress } from "./peerChannel.ts";
 export {
   decodeMessage,
   encodeMessage,
   type PeerMessage,
 } from "./peerMessage.ts";
-export type { PeerMention, PeerWord, UpstreamListChange } from "./peerWord.ts";
+export type {
+  GossipMessage,
+  PeerRecord,
+  UpstreamListChange,
+} from "./gossipMessage.ts";
 export { PolicyState } from "./policyState.ts";
-export type { Belief, FetchError, KnownBelief } from "./operatorPages.ts";
-export { askBelief } from "./operatorPages.ts";
+export type {
+  FetchError,
+  SnapshotVersions,
+  StoreSnapshot,
+} from "./operatorEndpoints.ts";
+export { fetchSnapshot } from "./operatorEndpoints.ts";
 export { StoreSharing, type StoreSharingOptions } from "./storeSharing.ts";
 export { StandardOutput } from "./standardOutput.ts";
--- a/packages/gateway/src/listenAt.ts
+++ b/packages/gateway/src/listenAt.ts
@@ -3,18 +3,17 @@
 import type { ListenError } from "./listenError.ts";
 import { splitAddress } from "./peerChannel.ts";
 
-/** Connections that the system holds until they are accepted, where nothing else is said. */
-const USUAL_BACKLOG = 511;
+/** The default of Node.js. */
+const DEFAULT_BACKLOG = 511;
 
 /**
- * Listens at `ip:port`. Errors may come later too, as when descriptors run out or a
- * caller is gone before it is accepted; they cost that connection and must not end the
- * host.
+ * Listens at `ip:port`. Later errors, such as a failed accept, affect one
+ * connection and are ignored.
  */
 export function listenAt<Listening extends Server>(
   server: Listening,
   address: string,
-  { backlog = USUAL_BACKLOG }: { backlog?: number } = {},
+  { backlog = DEFAULT_BACKLOG }: { backlog?: number } = {},
 ): Promise<Result<Listening, ListenError>> {
   const { ip, port } = splitAddress(address);
   return new Promise((resolve) => {
--- a/packages/gateway/src/listenError.ts
+++ b/packages/gateway/src/listenError.ts
@@ -1,4 +1,4 @@
-/** Why a port could not be listened at. */
+/** The error for an address that a server cannot listen at. */
 export interface ListenError {
   readonly kind: "cannot-listen";
   readonly detail: string;
--- /dev/null
+++ b/packages/gateway/src/operatorEndpoints.ts
@@ -0,0 +1,122 @@
+import { Pool } from "undici";
+import type { FailureDomain, Milliseconds } from "@wasabivane/common";
+import type { LapsedUpstream, Upstream } from "@wasabivane/admission";
+import { Packr } from "msgpackr";
+import { err, ok, type Result } from "neverthrow";
+import type { Endpoint } from "./httpEndpoint.ts";
+
+const packr = new Packr({ useRecords: false });
+
+/** Path of the store snapshot. */
+const SNAPSHOT_PATH = "/belief";
+const FETCH_TIMEOUT_MS: Milliseconds = 400;
+
+/**
+ * The versions that a requesting host has; contents that are not newer are
+ * omitted.
+ */
+export interface SnapshotVersions {
+  readonly policyVersion: number;
+  readonly listRevision: number;
+}
+
+/**
+ * A host's copy of the store's contents, for a peer that does not read the
+ * store.
+ */
+export interface StoreSnapshot {
+  /** Bytes of the current policy; empty if the requesting host has it. */
+  readonly policy: Uint8Array;
+  /** Time since policy and list were confirmed current. */
+  readonly proofAge: Milliseconds;
+  /** All upstreams; empty if the requesting host has the same list. */
+  readonly upstreams: readonly Upstream[];
+  /**
+   * Upstreams whose entries lapsed and that are removed unless they are listed
+   * again.
+   */
+  readonly kept: readonly LapsedUpstream[];
+  /** Evacuated failure domains as of `listRevision`. */
+  readonly evacuated: readonly FailureDomain[];
+  /** Store revision of the upstream list. */
+  readonly listRevision: number;
+}
+
+/** Data that a host serves to peers and operators. */
+export interface OperatorData {
+  readonly isReady: () => boolean;
+  readonly metricsText: () => Promise<string>;
+  readonly createSnapshot: (known: SnapshotVersions) => StoreSnapshot;
+}
+
+/** The error for a snapshot that could not be fetched. */
+export interface FetchError {
+  readonly kind: "unreachable" | "no-snapshot";
+  readonly detail: string;
+}
+
+/** Creates the load balancer's readiness endpoint. */
+export function readinessEndpoint(
+  { isReady }: OperatorData,
+  path: string,
+): Endpoint {
+  return { path, respond: () => ({ status: isReady() ? 200 : 503 }) };
+}
+
+/** Creates the Prometheus metrics endpoint. */
+export function metricsEndpoint(
+  { metricsText }: OperatorData,
+  path: string,
+): Endpoint {
+  return {
+    path,
+    respond: async () => ({
+      status: 200,
+      type: "text/plain; charset=UTF-8",
+      body: await metricsText(),
+    }),
+  };
+}
+
+/** Creates the endpoint that serves store snapshots to peers. */
+export function snapshotEndpoint(
+  { createSnapshot }: OperatorData,
+): Endpoint {
+  return {
+    path: SNAPSHOT_PATH,
+    respond: (query) => {
+      const known = {
+        policyVersion: Number(query.get("policy") ?? 0),
+        listRevision: Number(query.get("list") ?? 0),
+      };
+      return { status: 200, body: packr.pack(createSnapshot(known)) };
+    },
+  };
+}
+
+/** Fetches the snapshot of the peer at `ip:port`. */
+export async function fetchSnapshot(
+  address: string,
+  { policyVersion, listRevision }: SnapshotVersions,
+): Promise<Result<StoreSnapshot, FetchError>> {
+  const pool = new Pool(`http://${address}`);
+  try {
+    const response = await pool.request({
+      method: "GET",
+      path: `${SNAPSHOT_PATH}?policy=${policyVersion}&list=${listRevision}`,
+      signal: AbortSignal.timeout(FETCH_TIMEOUT_MS),
+    });
+    const bytes = new Uint8Array(await response.body.arrayBuffer());
+    if (response.statusCode !== 200) {
+      return err({
+        kind: "no-snapshot",
+        detail: `status ${response.statusCode}`,
+      });
+    }
+    return ok(packr.unpack(bytes) as StoreSnapshot);
+  } catch (thrown) {
+    return err({ kind: "unreachable", detail: String(thrown) });
+  } finally {
+    void pool.destroy();
+  }
+}
--- a/packages/gateway/src/peerChannel.ts
+++ b/packages/gateway/src/peerChannel.ts
@@ -8,25 +8,24 @@
   type PeerMessage,
 } from "./peerMessage.ts";
 
-/** Why the channel could not open. */
+/** The error for an address that a channel cannot bind to. */
 export interface ChannelError {
   readonly kind: "cannot-bind";
   readonly detail: string;
 }
 
-/** What a {@link PeerChannel} needs. */
+/** Options of a {@link PeerChannel}. */
 export interface PeerChannelOptions {
   readonly now: () => Milliseconds;
   readonly onMessage: (message: PeerMessage) => void;
   readonly onMalformed: (detail: string) => void;
-  /** Told of each datagram, for the counters. */
+  /** Called for each datagram, to count traffic. */
   readonly onTraffic: (direction: "heard" | "sent", bytes: number) => void;
 }
 
 /**
- * Datagrams among hosts. Each message is whole and is repeated by who needs it, so
- * that a lost one does no harm, and a connection that went silent cannot hold the
- * newest back.
+ * Sends and receives datagrams among hosts. Messages are self-contained and
+ * repeated by their senders, so losses are tolerated.
  */
 export class PeerChannel {
   readonly #socket: Socket = createSocket("udp4");
@@ -80,7 +79,7 @@
   }
 }
 
-/** Parts of an `ip:port` address. */
+/** Splits an `ip:port` address. */
 export function splitAddress(address: string): { ip: string; port: number } {
   const colon = address.lastIndexOf(":");
   return {
@@ -89,5 +88,5 @@
   };
 }
 
-/** A peer that cannot be reached now hears the next message. */
+/** Messages are repeated, so an unreachable peer gets a later one. */
 function ignoreSendError(): void {}
--- a/packages/gateway/src/peerBook.ts
+++ b/packages/gateway/src/peerDirectory.ts
@@ -7,81 +7,86 @@
   rendezvousWeight,
 } from "@wasabivane/common";
 import type { CoordinatorCandidate } from "@wasabivane/admission";
-import type { PeerMention } from "./peerWord.ts";
+import type { PeerRecord } from "./gossipMessage.ts";
 
-/** A peer of whom nobody heard for so long is taken for lost in a small fleet. */
-const LOST_MS: Milliseconds = 1_500;
+/** Minimum silence after which a peer counts as lost. */
+const MINIMUM_LOST_MS: Milliseconds = 1_500;
 /**
- * For each host that is known it may take so much longer: news of a host comes by
- * others, and each word carries few of them. Who depends on a peer at once notices
- * its silence itself, by the answer that does not come.
+ * Silence allowed per known host, since messages carry records of only a few
+ * peers.
+ */
+const LOST_PER_HOST_MS: Milliseconds = 150;
+/**
+ * Time for which messages are still sent to a lost peer, in case it returns.
  */
-const LOST_BY_HOST_MS: Milliseconds = 150;
-/** A lost peer is still spoken to for so long, in case it comes back. */
 const FORGET_MS: Milliseconds = 60_000;
-/** Times between words to a seed that never answered. */
-const KNOCK_MS: Milliseconds = 200;
-/** Key of the order in which hosts read the store for all. */
+/** Interval of messages to a seed that has not replied. */
+const SEED_RETRY_MS: Milliseconds = 200;
+/** Rendezvous key for the order of store readers. */
 const READER_KEY = "store readers";
-/** Two starts of one host are at least so far apart; ages told by others are that exact. */
-const RESTART_MS: Milliseconds = 150;
-/** Ages of candidates for keeping cells are looked at again so often, */
-const CANDIDATES_MS: Milliseconds = 500;
-/** while one of them is so young that its age may still count. */
-const YOUNG_MS: Milliseconds = 10_000;
+/**
+ * Minimum time between two starts of a host; smaller differences are
+ * inaccuracy.
+ */
+const MINIMUM_RESTART_MS: Milliseconds = 150;
+/** Refresh interval of the candidates while one of them is young. */
+const CANDIDATES_REFRESH_MS: Milliseconds = 500;
+/**
+ * Age from which a candidate's age no longer affects the order of coordinators.
+ */
+const YOUNG_AGE_MS: Milliseconds = 10_000;
 
 interface Peer {
   incarnation: Incarnation;
   address: string;
   failureDomain: FailureDomain;
   startedAt: Milliseconds;
-  /** When somebody heard it last. */
-  heardAt: Milliseconds;
-  /** Number of the last word that came from itself. */
+  /** Time at which any host last received a message from it. */
+  lastHeardAt: Milliseconds;
+  /** Number of the last message received directly from it. */
   sequence: number;
   isLeaving: boolean;
-  canRead: boolean;
+  isStoreReachable: boolean;
   readonly cores: number;
   isLost: boolean;
-  /** Its place in the order of readers. */
+  /** Sort key in the order of store readers. */
   readonly readerWeight: string;
 }
 
-/** Something changed about a peer. */
+/** A peer that was found or lost. */
 export interface PeerChange {
   readonly host: HostId;
   readonly kind: "found" | "lost";
 }
 
-/** What a {@link PeerBook} is built from. */
-export interface PeerBookOptions {
+/** Options of a {@link PeerDirectory}. */
+export interface PeerDirectoryOptions {
   readonly host: HostId;
   readonly failureDomain: FailureDomain;
   readonly startedAt: Milliseconds;
-  /** Processor cores that this host may use. */
+  /** Processor cores available to this host. */
   readonly cores: number;
   readonly seeds: readonly string[];
 }
 
 /**
- * Finds the other hosts from a few seed addresses and from what hosts tell of each
- * other. There is no list to read; seeds may be stale or down, so every host that
- * was ever heard of is spoken to for a minute, and a restarted one is found again
- * through whoever it speaks to first.
+ * Tracks the other hosts of the fleet, discovered from seed addresses and from
+ * peers' messages. Lost hosts are contacted for a while, since all seeds may be
+ * down.
  */
-export class PeerBook {
-  readonly #options: PeerBookOptions;
+export class PeerDirectory {
+  readonly #options: PeerDirectoryOptions;
   readonly #readerWeight: string;
   readonly #peers = new Map<HostId, Peer>();
   readonly #seeds = new Map<string, Milliseconds>();
   readonly #changes: PeerChange[] = [];
-  #mentionOffset = 0;
+  #recordOffset = 0;
   #candidates: readonly CoordinatorCandidate[] = [];
   #candidatesAt: Milliseconds = -Infinity;
-  #hasYoung = true;
+  #hasYoungCandidate = true;
   #isLeaving = false;
 
-  constructor(options: PeerBookOptions) {
+  constructor(options: PeerDirectoryOptions) {
     this.#options = options;
     this.#readerWeight = rendezvousWeight(READER_KEY, options.host);
     this.setSeeds(options.seeds);
@@ -93,71 +98,86 @@
     for (const address of seeds) this.#seeds.set(address, -Infinity);
   }
 
-  /** Takes in that a host spoke; false for a word older than what was heard. */
-  hear(self: PeerMention, sequence: number, now: Milliseconds): boolean {
-    const former = this.#peers.get(self.host);
-    const isSame = former?.incarnation === self.incarnation;
-    if (isSame && sequence <= former.sequence) return false;
-    if (!this.hearMention(self, now)) return false;
-    this.#peers.get(self.host)!.sequence = sequence;
-    this.#seeds.delete(self.address);
+  /**
+   * Records a message received from a host; returns false for an outdated one.
+   */
+  recordMessage(
+    sender: PeerRecord,
+    sequence: number,
+    now: Milliseconds,
+  ): boolean {
+    const previous = this.#peers.get(sender.host);
+    const isSame = previous?.incarnation === sender.incarnation;
+    if (isSame && sequence <= previous.sequence) return false;
+    if (!this.mergeRecord(sender, now)) return false;
+    this.#peers.get(sender.host)!.sequence = sequence;
+    this.#seeds.delete(sender.address);
     return true;
   }
 
-  /** Takes in that a peer speaks of a host; false for one that is over, or this one. */
-  hearMention(mention: PeerMention, now: Milliseconds): boolean {
-    const { host, incarnation, silence, age } = mention;
+  /**
+   * Merges a record of a host; returns false for an older incarnation or this
+   * host.
+   */
+  mergeRecord(record: PeerRecord, now: Milliseconds): boolean {
+    const { host, incarnation, timeSinceHeard, age } = record;
     if (host === this.#options.host) return false;
-    const heardAt = now - silence;
+    const lastHeardAt = now - timeSinceHeard;
     const startedAt = now - age;
-    const former = this.#peers.get(host);
-    if (former?.incarnation === incarnation) {
-      this.#refresh(former, mention, heardAt);
+    const previous = this.#peers.get(host);
+    if (previous?.incarnation === incarnation) {
+      this.#refresh(previous, record, lastHeardAt);
       return true;
     }
-    const isOlder = former !== undefined &&
-      startedAt < former.startedAt + RESTART_MS;
+    const isOlder = previous !== undefined &&
+      startedAt < previous.startedAt + MINIMUM_RESTART_MS;
     if (isOlder) return false;
     this.#peers.set(host, {
       incarnation,
-      address: mention.address,
-      failureDomain: mention.failureDomain,
+      address: record.address,
+      failureDomain: record.failureDomain,
       startedAt,
-      heardAt,
+      lastHeardAt,
       sequence: 0,
-      isLeaving: mention.isLeaving,
-      canRead: mention.canRead,
-      cores: mention.cores,
-      isLost: now - heardAt > this.#lostAfter(),
-      readerWeight: former?.readerWeight ?? rendezvousWeight(READER_KEY, host),
+      isLeaving: record.isLeaving,
+      isStoreReachable: record.isStoreReachable,
+      cores: record.cores,
+      isLost: now - lastHeardAt > this.#lostAfter(),
+      readerWeight: previous?.readerWeight ??
+        rendezvousWeight(READER_KEY, host),
     });
     this.#candidatesAt = -Infinity;
     this.#changes.push({ host, kind: "found" });
     return true;
   }
 
-  /** Addresses of up to `count` peers drawn at random, and of seeds that never spoke. */
-  takeTargets(
+  /**
+   * Returns the addresses of up to `count` random peers and of seeds that have
+   * not replied.
+   */
+  drawTargets(
     { count, random, now }: {
       count: number;
       random: Random;
       now: Milliseconds;
     },
   ): string[] {
-    const targets = this.#draw(count, random);
-    for (const [address, knockedAt] of this.#seeds) {
-      if (now - knockedAt < KNOCK_MS) continue;
+    const targets = this.#drawAddresses(count, random);
+    for (const [address, sentAt] of this.#seeds) {
+      if (now - sentAt < SEED_RETRY_MS) continue;
       this.#seeds.set(address, now);
       targets.push(address);
     }
     return targets;
   }
 
-  /** Notices silence; gives back who was found and lost since the last call. */
+  /**
+   * Detects lost peers, and returns who was found and lost since the last call.
+   */
   takeChanges(now: Milliseconds): PeerChange[] {
     const lostAfter = this.#lostAfter();
     for (const [host, peer] of this.#peers) {
-      const silence = now - peer.heardAt;
+      const silence = now - peer.lastHeardAt;
       if (!peer.isLost && silence > lostAfter) {
         peer.isLost = true;
         this.#candidatesAt = -Infinity;
@@ -170,37 +190,41 @@
     return this.#changes.splice(0);
   }
 
-  /** Peers that live, as far as is known. */
+  /** Number of live peers. */
   get aliveCount(): number {
     let count = 0;
     for (const { isLost } of this.#peers.values()) if (!isLost) count++;
     return count;
   }
 
-  /** Hosts that go before this one in reading the store for all. */
-  get readersAhead(): number {
+  /** Number of hosts that precede this one in the order of store readers. */
+  get precedingReaderCount(): number {
     let count = 0;
     for (const peer of this.#peers.values()) {
-      if (peer.isLost || peer.isLeaving || !peer.canRead) continue;
+      if (peer.isLost || peer.isLeaving || !peer.isStoreReachable) continue;
       if (peer.readerWeight > this.#readerWeight) count++;
     }
     return count;
   }
 
-  /** Peers that live and can read the store themselves. */
-  get readingCount(): number {
+  /** Number of live peers that can read the store. */
+  get storeReaderCount(): number {
     let count = 0;
-    for (const { isLost, canRead } of this.#peers.values()) {
-      if (!isLost && canRead) count++;
+    for (const { isLost, isStoreReachable } of this.#peers.values()) {
+      if (!isLost && isStoreReachable) count++;
     }
     return count;
   }
 
-  /** The hosts that may keep a cell; the same list until something changes. */
+  /**
+   * Returns the hosts that may coordinate a cell; the same array until
+   * something changes.
+   */
   candidates(
     { isLeaving, now }: { isLeaving: boolean; now: Milliseconds },
   ): readonly CoordinatorCandidate[] {
-    const isFresh = !this.#hasYoung || now - this.#candidatesAt < CANDIDATES_MS;
+    const isFresh = !this.#hasYoungCandidate ||
+      now - this.#candidatesAt < CANDIDATES_REFRESH_MS;
     const isSame = Number.isFinite(this.#candidatesAt) &&
       isLeaving === this.#isLeaving;
     if (isSame && isFresh) return this.#candidates;
@@ -215,18 +239,18 @@
       const age = now - startedAt;
       candidates.push({ host: peer, failureDomain, age, cores: rest.cores });
     }
-    this.#hasYoung = candidates.some(({ age }) => age < YOUNG_MS);
+    this.#hasYoungCandidate = candidates.some(({ age }) => age < YOUNG_AGE_MS);
     this.#candidates = candidates;
     return candidates;
   }
 
-  /** Any peer that lives. */
-  pick(random: Random): HostId | undefined {
+  /** Returns a random live peer. */
+  drawAlive(random: Random): HostId | undefined {
     const alive = [...this.#peers].filter(([, { isLost }]) => !isLost);
     return alive.length === 0 ? undefined : random.pick(alive)[0];
   }
 
-  /** Addresses of all peers that live. */
+  /** Returns the addresses of all live peers. */
   aliveAddresses(): string[] {
     const addresses: string[] = [];
     for (const { isLost, address } of this.#peers.values()) {
@@ -239,40 +263,40 @@
     return this.#peers.get(host)?.address;
   }
 
-  /** Up to `count` of the peers that live, others each time. */
-  takeMentions(count: number, now: Milliseconds): PeerMention[] {
+  /** Returns records of up to `count` live peers, rotating through them. */
+  takeRecords(count: number, now: Milliseconds): PeerRecord[] {
     if (count === 0) return [];
     const alive = [...this.#peers].filter(([, { isLost }]) => !isLost);
-    const mentions: PeerMention[] = [];
+    const records: PeerRecord[] = [];
     for (let index = 0; index < Math.min(count, alive.length); index++) {
-      const at = (this.#mentionOffset + index) % alive.length;
+      const at = (this.#recordOffset + index) % alive.length;
       const [host, peer] = alive[at]!;
-      mentions.push(mentionOf(host, peer, now));
+      records.push(createRecord(host, peer, now));
     }
-    this.#mentionOffset = alive.length === 0
+    this.#recordOffset = alive.length === 0
       ? 0
-      : (this.#mentionOffset + mentions.length) % alive.length;
-    return mentions;
+      : (this.#recordOffset + records.length) % alive.length;
+    return records;
   }
 
   #refresh(
     peer: Peer,
-    { host, address, isLeaving, canRead }: PeerMention,
-    heardAt: Milliseconds,
+    { host, address, isLeaving, isStoreReachable }: PeerRecord,
+    lastHeardAt: Milliseconds,
   ): void {
-    if (heardAt < peer.heardAt) return;
+    if (lastHeardAt < peer.lastHeardAt) return;
     if (peer.isLost) this.#changes.push({ host, kind: "found" });
     const isChanged = peer.isLost || peer.isLeaving !== isLeaving;
-    peer.heardAt = heardAt;
+    peer.lastHeardAt = lastHeardAt;
     peer.address = address;
     peer.isLeaving ||= isLeaving;
-    peer.canRead = canRead;
+    peer.isStoreReachable = isStoreReachable;
     peer.isLost = false;
     if (isChanged) this.#candidatesAt = -Infinity;
   }
 
-  /** Peers at random; a lost one now and then, in case it comes back. */
-  #draw(count: number, random: Random): string[] {
+  /** Draws random live peers and one lost peer, in case it has returned. */
+  #drawAddresses(count: number, random: Random): string[] {
     const alive: string[] = [];
     const lost: string[] = [];
     for (const { isLost, address } of this.#peers.values()) {
@@ -290,24 +314,24 @@
   }
 
   #lostAfter(): Milliseconds {
-    return Math.max(LOST_MS, LOST_BY_HOST_MS * this.#peers.size);
+    return Math.max(MINIMUM_LOST_MS, LOST_PER_HOST_MS * this.#peers.size);
   }
 }
 
-function mentionOf(
+function createRecord(
   host: HostId,
   { incarnation, address, failureDomain, ...peer }: Peer,
   now: Milliseconds,
-): PeerMention {
+): PeerRecord {
   return {
     host,
     incarnation,
     address,
     failureDomain,
     age: now - peer.startedAt,
-    silence: now - peer.heardAt,
+    timeSinceHeard: now - peer.lastHeardAt,
     isLeaving: peer.isLeaving,
-    canRead: peer.canRead,
+    isStoreReachable: peer.isStoreReachable,
     cores: peer.cores,
   };
 }
--- a/packages/gateway/src/peerLog.ts
+++ b/packages/gateway/src/peerLog.ts
@@ -1,43 +1,46 @@
 import type { Milliseconds } from "@wasabivane/common";
 import type { GatewayContext } from "./gatewayContext.ts";
-import type { PeerChange } from "./peerBook.ts";
+import type { PeerChange } from "./peerDirectory.ts";
 
-/** Peers that come and go are logged together so often. */
-const PERIOD_MS: Milliseconds = 1_000;
-/** Peers that a line names. */
-const NAMED_PEERS = 8;
+/** Minimum interval between log lines. */
+const LOG_INTERVAL_MS: Milliseconds = 1_000;
+/** Limit on the peers named in a line. */
+const MAXIMUM_NAMED_PEERS = 8;
 
-/** Logs which peers come and go: one line a second at most, however many do together. */
+/**
+ * Logs which peers were found and lost, batched into at most one line per
+ * second.
+ */
 export class PeerLog {
-  readonly #parts: Pick<GatewayContext, "log" | "timer">;
+  readonly #context: Pick<GatewayContext, "log" | "timer">;
   #changes: PeerChange[] = [];
-  #writtenAt: Milliseconds = -Infinity;
+  #loggedAt: Milliseconds = -Infinity;
 
-  constructor(parts: Pick<GatewayContext, "log" | "timer">) {
-    this.#parts = parts;
+  constructor(context: Pick<GatewayContext, "log" | "timer">) {
+    this.#context = context;
   }
 
-  /** Takes in changes; `peers` live now. */
-  note(changes: readonly PeerChange[], peers: number): void {
-    const { log, timer } = this.#parts;
+  /** Adds changes; `peers` is the current number of live peers. */
+  add(changes: readonly PeerChange[], peers: number): void {
+    const { log, timer } = this.#context;
     this.#changes.push(...changes);
     if (this.#changes.length === 0) return;
     const now = timer.now();
-    if (now - this.#writtenAt < PERIOD_MS) return;
-    this.#writtenAt = now;
+    if (now - this.#loggedAt < LOG_INTERVAL_MS) return;
+    this.#loggedAt = now;
     log.write("peers_changed", {
       changes: this.#changes.length,
-      found: this.#named("found"),
-      lost: this.#named("lost"),
+      found: this.#namesOf("found"),
+      lost: this.#namesOf("lost"),
       peers,
     });
     this.#changes = [];
   }
 
-  #named(kind: PeerChange["kind"]): string {
+  #namesOf(kind: PeerChange["kind"]): string {
     return this.#changes.filter((change) => change.kind === kind)
       .map(({ host }) => host)
-      .slice(0, NAMED_PEERS)
+      .slice(0, MAXIMUM_NAMED_PEERS)
       .join(",");
   }
 }
--- a/packages/gateway/src/peerMessage.ts
+++ b/packages/gateway/src/peerMessage.ts
@@ -1,4 +1,4 @@
-/** Datagrams among hosts: their kinds, and how they are packed. */
+/** Messages among hosts and their encoding as datagrams. */
 import { Buffer } from "node:buffer";
 import {
   asId,
@@ -19,297 +19,310 @@
 } from "@wasabivane/admission";
 import { err, ok, type Result } from "neverthrow";
 import {
-  listOf,
-  numberOf,
+  expectArray,
+  expectIds,
+  expectNumber,
+  expectRows,
+  expectString,
   type Row,
-  rowsOf,
-  textOf,
-  textsOf,
-} from "./messageFields.ts";
-import type { PeerWord } from "./peerWord.ts";
+} from "./rowValues.ts";
+import type { GossipMessage } from "./gossipMessage.ts";
 import {
-  packCell,
-  packObservation,
-  packSnapshot,
-  packVerdict,
-  packWish,
-  readCell,
-  readObservation,
-  readSnapshot,
-  readVerdict,
-  readWish,
-} from "./placeRows.ts";
+  decodeCell,
+  decodeDecision,
+  decodeObservation,
+  decodePlacementRequest,
+  decodeSnapshot,
+  encodeCell,
+  encodeDecision,
+  encodeObservation,
+  encodePlacementRequest,
+  encodeSnapshot,
+} from "./cellRows.ts";
 import {
-  packChange,
-  packMention,
-  readChange,
-  readMention,
-} from "./wordRows.ts";
+  decodeListChange,
+  decodePeerRecord,
+  encodeListChange,
+  encodePeerRecord,
+} from "./gossipRows.ts";
 
-const FORMAT = 8;
-const TEXT = new TextDecoder();
+const FORMAT_VERSION = 8;
+const TEXT_DECODER = new TextDecoder();
 
-/** A keeper has begun to keep a cell and asks hosts for what they do there. */
-export interface KeeperCall {
+/**
+ * An announcement that a host coordinates a cell and needs the other hosts'
+ * state there.
+ */
+export interface CoordinatorAnnouncement {
   readonly host: HostId;
   readonly cell: Cell;
 }
 
-/** What the other hosts admitted, for one host. */
-export interface UsageSums {
+/** Usage that all hosts other than the receiver have admitted. */
+export interface UsageTotals {
   readonly host: HostId;
-  /** Start of the process that adds up. */
+  /** Incarnation of the aggregating host. */
   readonly incarnation: Incarnation;
   readonly others: ReadonlyMap<ClientAccountId, number>;
 }
 
-/** A datagram, by its kind. */
+/** A message between hosts. */
 export type PeerMessage =
-  | { readonly kind: "word"; readonly word: PeerWord }
-  | { readonly kind: "ask"; readonly ask: CellUpdate }
-  | { readonly kind: "answer"; readonly answer: CellReply }
-  | { readonly kind: "call"; readonly call: KeeperCall }
+  | { readonly kind: "word"; readonly gossip: GossipMessage }
+  | { readonly kind: "ask"; readonly update: CellUpdate }
+  | { readonly kind: "answer"; readonly reply: CellReply }
+  | { readonly kind: "call"; readonly announcement: CoordinatorAnnouncement }
   | { readonly kind: "snapshots"; readonly snapshots: readonly CellSnapshot[] }
   | { readonly kind: "usage"; readonly usage: UsageReport }
-  | { readonly kind: "sums"; readonly sums: UsageSums };
+  | { readonly kind: "sums"; readonly totals: UsageTotals };
 
-/** A datagram that is none of a peer's. */
+/** The error for a datagram that cannot be decoded. */
 export interface MessageError {
   readonly kind: "malformed-message";
   readonly detail: string;
 }
 
-/** Packs and reads one kind; points in time cross as spans. */
+/** Encodes and decodes one kind of message; times are sent relative to now. */
 interface Codec<Body> {
-  pack(body: Body, now: Milliseconds): Row;
-  read(row: Row, now: Milliseconds): Body;
+  encode(body: Body, now: Milliseconds): Row;
+  decode(row: Row, now: Milliseconds): Body;
 }
 
-const WORD: Codec<PeerWord> = {
-  pack: (word) => [
-    packMention(word.self),
-    word.sequence,
-    word.policyVersion,
-    word.listRevision,
-    word.proofAge === undefined ? -1 : Math.round(word.proofAge),
-    word.left,
-    word.crashes,
-    word.changes.map(packChange),
-    word.silent.map(([host, span]) => [host, Math.round(span)]),
-    word.mentions.map(packMention),
-    word.peers,
+const GOSSIP: Codec<GossipMessage> = {
+  encode: (message) => [
+    encodePeerRecord(message.sender),
+    message.sequence,
+    message.policyVersion,
+    message.listRevision,
+    message.confirmationAge === undefined
+      ? -1
+      : Math.round(message.confirmationAge),
+    message.leavingUpstreams,
+    message.crashes,
+    message.listChanges.map(encodeListChange),
+    message.unresponsiveHosts.map(([host, span]) => [host, Math.round(span)]),
+    message.peerRecords.map(encodePeerRecord),
+    message.peerCount,
   ],
-  read: (row) => {
-    const proofAge = numberOf(row[4]);
+  decode: (row) => {
+    const confirmationAge = expectNumber(row[4]);
     return {
-      self: readMention(listOf(row[0])),
-      sequence: numberOf(row[1]),
-      policyVersion: numberOf(row[2]),
-      listRevision: numberOf(row[3]),
-      proofAge: proofAge < 0 ? undefined : proofAge,
-      left: textsOf<UpstreamId>(row[5]),
-      crashes: rowsOf(row[6]).map(([fingerprint, upstream, age]) => [
-        asId<Digest>(textOf(fingerprint)),
-        asId<UpstreamId>(textOf(upstream)),
-        numberOf(age),
+      sender: decodePeerRecord(expectArray(row[0])),
+      sequence: expectNumber(row[1]),
+      policyVersion: expectNumber(row[2]),
+      listRevision: expectNumber(row[3]),
+      confirmationAge: confirmationAge < 0 ? undefined : confirmationAge,
+      leavingUpstreams: expectIds<UpstreamId>(row[5]),
+      crashes: expectRows(row[6]).map(([fingerprint, upstream, age]) => [
+        asId<Digest>(expectString(fingerprint)),
+        asId<UpstreamId>(expectString(upstream)),
+        expectNumber(age),
       ]),
-      changes: rowsOf(row[7]).map(readChange),
-      silent: rowsOf(row[8]).map(([host, span]) => [
-        asId<HostId>(textOf(host)),
-        numberOf(span),
+      listChanges: expectRows(row[7]).map(decodeListChange),
+      unresponsiveHosts: expectRows(row[8]).map(([host, span]) => [
+        asId<HostId>(expectString(host)),
+        expectNumber(span),
       ]),
-      mentions: rowsOf(row[9]).map(readMention),
-      peers: numberOf(row[10]),
+      peerRecords: expectRows(row[9]).map(decodePeerRecord),
+      peerCount: expectNumber(row[10]),
     };
   },
 };
 
-const ASK: Codec<CellUpdate> = {
-  pack: (ask, now) => [
-    ask.host,
-    ask.incarnation,
-    packCell(ask.cell),
-    ask.sequence,
-    [...ask.inFlight].map((
-      [upstream, { requests, pendingPrefillTokens: unreadTokens }],
+const CELL_UPDATE: Codec<CellUpdate> = {
+  encode: (update, now) => [
+    update.host,
+    update.incarnation,
+    encodeCell(update.cell),
+    update.sequence,
+    [...update.inFlight].map((
+      [upstream, { requests, pendingPrefillTokens }],
     ) => [
       upstream,
       requests,
-      unreadTokens,
+      pendingPrefillTokens,
     ]),
-    ask.requests.map((wish) => packWish(wish, now)),
-    ask.observations.map(packObservation),
-    ask.firstObservation,
-    ask.decisionsSeen,
-    ask.wantsReply,
-    ask.withdrawn,
-    ask.reports,
-    Math.round(ask.replyTime),
-    ...ask.waiting === undefined ? [] : [ask.waiting],
+    update.requests.map((request) => encodePlacementRequest(request, now)),
+    update.observations.map(encodeObservation),
+    update.firstObservation,
+    update.decisionsSeen,
+    update.wantsReply,
+    update.withdrawn,
+    update.reports,
+    Math.round(update.replyTime),
+    ...update.waiting === undefined ? [] : [update.waiting],
   ],
-  read: (row, now) => {
-    const cell = readCell(row[2]);
+  decode: (row, now) => {
+    const cell = decodeCell(row[2]);
     return {
-      host: asId<HostId>(textOf(row[0])),
-      incarnation: asId<Incarnation>(textOf(row[1])),
+      host: asId<HostId>(expectString(row[0])),
+      incarnation: asId<Incarnation>(expectString(row[1])),
       cell,
-      sequence: numberOf(row[3]),
+      sequence: expectNumber(row[3]),
       inFlight: new Map(
-        rowsOf(row[4]).map(([upstream, requests, unreadTokens]) => [
-          asId<UpstreamId>(textOf(upstream)),
+        expectRows(row[4]).map(([upstream, requests, pendingPrefillTokens]) => [
+          asId<UpstreamId>(expectString(upstream)),
           {
-            requests: numberOf(requests),
-            pendingPrefillTokens: numberOf(unreadTokens),
+            requests: expectNumber(requests),
+            pendingPrefillTokens: expectNumber(pendingPrefillTokens),
           },
         ]),
       ),
-      requests: rowsOf(row[5]).map((wish) => readWish(wish, cell.service, now)),
-      observations: rowsOf(row[6]).map((observation) =>
-        readObservation(observation, cell.service)
+      requests: expectRows(row[5]).map((request) =>
+        decodePlacementRequest(request, cell.service, now)
+      ),
+      observations: expectRows(row[6]).map((observation) =>
+        decodeObservation(observation, cell.service)
       ),
-      firstObservation: numberOf(row[7]),
-      decisionsSeen: numberOf(row[8]),
+      firstObservation: expectNumber(row[7]),
+      decisionsSeen: expectNumber(row[8]),
       wantsReply: row[9] === true,
-      withdrawn: textsOf<RequestId>(row[10]),
-      reports: rowsOf(row[11]).map(([upstream, requests]) => [
-        asId<UpstreamId>(textOf(upstream)),
-        numberOf(requests),
+      withdrawn: expectIds<RequestId>(row[10]),
+      reports: expectRows(row[11]).map(([upstream, requests]) => [
+        asId<UpstreamId>(expectString(upstream)),
+        expectNumber(requests),
       ]),
-      replyTime: numberOf(row[12]),
-      ...row[13] !== undefined && { waiting: textsOf<RequestId>(row[13]) },
+      replyTime: expectNumber(row[12]),
+      ...row[13] !== undefined && { waiting: expectIds<RequestId>(row[13]) },
     };
   },
 };
 
-const ANSWER: Codec<CellReply> = {
-  pack: (answer, now) => [
-    answer.host,
-    answer.incarnation,
-    packCell(answer.cell),
-    answer.toIncarnation,
-    answer.sequence,
-    answer.observationsSeen,
-    answer.decisions.map(packVerdict),
-    answer.snapshots.map((snapshot) => packSnapshot(snapshot, now)),
-    answer.isLeaving,
-    answer.unknownRequests,
+const CELL_REPLY: Codec<CellReply> = {
+  encode: (reply, now) => [
+    reply.host,
+    reply.incarnation,
+    encodeCell(reply.cell),
+    reply.toIncarnation,
+    reply.sequence,
+    reply.observationsSeen,
+    reply.decisions.map(encodeDecision),
+    reply.snapshots.map((snapshot) => encodeSnapshot(snapshot, now)),
+    reply.isLeaving,
+    reply.unknownRequests,
   ],
-  read: (row, now) => ({
-    host: asId<HostId>(textOf(row[0])),
-    incarnation: asId<Incarnation>(textOf(row[1])),
-    cell: readCell(row[2]),
-    toIncarnation: asId<Incarnation>(textOf(row[3])),
-    sequence: numberOf(row[4]),
-    observationsSeen: numberOf(row[5]),
-    decisions: rowsOf(row[6]).map(readVerdict),
-    snapshots: rowsOf(row[7]).map((snapshot) => readSnapshot(snapshot, now)),
+  decode: (row, now) => ({
+    host: asId<HostId>(expectString(row[0])),
+    incarnation: asId<Incarnation>(expectString(row[1])),
+    cell: decodeCell(row[2]),
+    toIncarnation: asId<Incarnation>(expectString(row[3])),
+    sequence: expectNumber(row[4]),
+    observationsSeen: expectNumber(row[5]),
+    decisions: expectRows(row[6]).map(decodeDecision),
+    snapshots: expectRows(row[7]).map((snapshot) =>
+      decodeSnapshot(snapshot, now)
+    ),
     isLeaving: row[8] === true,
-    unknownRequests: textsOf<RequestId>(row[9]),
+    unknownRequests: expectIds<RequestId>(row[9]),
   }),
 };
 
-const CALL: Codec<KeeperCall> = {
-  pack: ({ host, cell }) => [host, packCell(cell)],
-  read: ([host, cell]) => ({
-    host: asId<HostId>(textOf(host)),
-    cell: readCell(cell),
+const COORDINATOR_ANNOUNCEMENT: Codec<CoordinatorAnnouncement> = {
+  encode: ({ host, cell }) => [host, encodeCell(cell)],
+  decode: ([host, cell]) => ({
+    host: asId<HostId>(expectString(host)),
+    cell: decodeCell(cell),
   }),
 };
 
-const SNAPSHOTS: Codec<readonly CellSnapshot[]> = {
-  pack: (snapshots, now) =>
-    snapshots.map((snapshot) => packSnapshot(snapshot, now)),
-  read: (row, now) =>
-    rowsOf(row).map((snapshot) => readSnapshot(snapshot, now)),
+const CELL_SNAPSHOTS: Codec<readonly CellSnapshot[]> = {
+  encode: (snapshots, now) =>
+    snapshots.map((snapshot) => encodeSnapshot(snapshot, now)),
+  decode: (row, now) =>
+    expectRows(row).map((snapshot) => decodeSnapshot(snapshot, now)),
 };
 
-const USAGE: Codec<UsageReport> = {
-  pack: ({ host, incarnation, used }) => [host, incarnation, [...used]],
-  read: ([host, incarnation, used]) => ({
-    host: asId<HostId>(textOf(host)),
-    incarnation: asId<Incarnation>(textOf(incarnation)),
-    used: readSums(used),
+const USAGE_REPORT: Codec<UsageReport> = {
+  encode: ({ host, incarnation, used }) => [host, incarnation, [...used]],
+  decode: ([host, incarnation, used]) => ({
+    host: asId<HostId>(expectString(host)),
+    incarnation: asId<Incarnation>(expectString(incarnation)),
+    used: decodeUsage(used),
   }),
 };
 
-const SUMS: Codec<UsageSums> = {
-  pack: ({ host, incarnation, others }) => [
+const USAGE_TOTALS: Codec<UsageTotals> = {
+  encode: ({ host, incarnation, others }) => [
     host,
     incarnation,
     [...others].map(([account, sum]) => [account, Math.round(sum)]),
   ],
-  read: ([host, incarnation, others]) => ({
-    host: asId<HostId>(textOf(host)),
-    incarnation: asId<Incarnation>(textOf(incarnation)),
-    others: readSums(others),
+  decode: ([host, incarnation, others]) => ({
+    host: asId<HostId>(expectString(host)),
+    incarnation: asId<Incarnation>(expectString(incarnation)),
+    others: decodeUsage(others),
   }),
 };
 
 /**
- * A message as the bytes of one datagram: JSON, which the runtime reads and writes in its
- * own compiled code. A codec in JavaScript is not compiled yet when a small host needs it,
- * and takes five times the processor time for a third fewer bytes.
+ * Encodes a message as one datagram. Uses JSON, since the runtime's native
+ * codec is fast from the start, unlike a binary codec in JavaScript.
  */
 export function encodeMessage(message: PeerMessage, now: Milliseconds): Buffer {
-  const row = [FORMAT, message.kind, packBody(message, now)];
+  const row = [FORMAT_VERSION, message.kind, encodeBody(message, now)];
   return Buffer.from(JSON.stringify(row));
 }
 
-/** Reads a datagram. */
+/** Decodes a datagram. */
 export function decodeMessage(
   bytes: Uint8Array,
   now: Milliseconds,
 ): Result<PeerMessage, MessageError> {
   try {
-    const [format, kind, body] = listOf(JSON.parse(TEXT.decode(bytes)));
-    if (format !== FORMAT) return malformed("Its format is not known");
-    return readBody(textOf(kind), listOf(body), now);
+    const [format, kind, body] = expectArray(
+      JSON.parse(TEXT_DECODER.decode(bytes)),
+    );
+    if (format !== FORMAT_VERSION) return malformed("Unknown message format");
+    return decodeBody(expectString(kind), expectArray(body), now);
   } catch (thrown) {
     return malformed(String(thrown));
   }
 }
 
-function packBody(message: PeerMessage, now: Milliseconds): Row {
+function encodeBody(message: PeerMessage, now: Milliseconds): Row {
   switch (message.kind) {
     case "word":
-      return WORD.pack(message.word, now);
+      return GOSSIP.encode(message.gossip, now);
     case "ask":
-      return ASK.pack(message.ask, now);
+      return CELL_UPDATE.encode(message.update, now);
     case "answer":
-      return ANSWER.pack(message.answer, now);
+      return CELL_REPLY.encode(message.reply, now);
     case "call":
-      return CALL.pack(message.call, now);
+      return COORDINATOR_ANNOUNCEMENT.encode(message.announcement, now);
     case "snapshots":
-      return SNAPSHOTS.pack(message.snapshots, now);
+      return CELL_SNAPSHOTS.encode(message.snapshots, now);
     case "usage":
-      return USAGE.pack(message.usage, now);
+      return USAGE_REPORT.encode(message.usage, now);
     case "sums":
-      return SUMS.pack(message.sums, now);
+      return USAGE_TOTALS.encode(message.totals, now);
   }
 }
 
-function readBody(
+function decodeBody(
   kind: string,
   body: Row,
   now: Milliseconds,
 ): Result<PeerMessage, MessageError> {
   switch (kind) {
     case "word":
-      return ok({ kind, word: WORD.read(body, now) });
+      return ok({ kind, gossip: GOSSIP.decode(body, now) });
     case "ask":
-      return ok({ kind, ask: ASK.read(body, now) });
+      return ok({ kind, update: CELL_UPDATE.decode(body, now) });
     case "answer":
-      return ok({ kind, answer: ANSWER.read(body, now) });
+      return ok({ kind, reply: CELL_REPLY.decode(body, now) });
     case "call":
-      return ok({ kind, call: CALL.read(body, now) });
+      return ok({
+        kind,
+        announcement: COORDINATOR_ANNOUNCEMENT.decode(body, now),
+      });
     case "snapshots":
-      return ok({ kind, snapshots: SNAPSHOTS.read(body, now) });
+      return ok({ kind, snapshots: CELL_SNAPSHOTS.decode(body, now) });
     case "usage":
-      return ok({ kind, usage: USAGE.read(body, now) });
+      return ok({ kind, usage: USAGE_REPORT.decode(body, now) });
     case "sums":
-      return ok({ kind, sums: SUMS.read(body, now) });
+      return ok({ kind, totals: USAGE_TOTALS.decode(body, now) });
     default:
-      return malformed("Its kind is not known");
+      return malformed("Unknown message kind");
   }
 }
 
@@ -317,11 +330,11 @@
   return err({ kind: "malformed-message", detail });
 }
 
-function readSums(value: unknown): Map<ClientAccountId, number> {
+function decodeUsage(value: unknown): Map<ClientAccountId, number> {
   return new Map(
-    rowsOf(value).map(([account, sum]) => [
-      asId<ClientAccountId>(textOf(account)),
-      numberOf(sum),
+    expectRows(value).map(([account, sum]) => [
+      asId<ClientAccountId>(expectString(account)),
+      expectNumber(sum),
     ]),
   );
 }
--- a/packages/gateway/src/policyState.ts
+++ b/packages/gateway/src/policyState.ts
@@ -7,15 +7,15 @@
 import { ok, type Result } from "neverthrow";
 import type { Dialect, PolicyError } from "./dialect.ts";
 
-/** What became of the bytes of a policy. */
+/** The result of adopting a policy. */
 export type Adoption = "adopted" | "same" | "older";
 
-/** Called when a newer policy came into force. */
+/** Called when a newer policy takes effect. */
 export type PolicyListener = (index: PolicyIndex) => void;
 
 /**
- * The policy in force on this host, its bytes for peers, and how long ago it was
- * known to be the newest. Versions only grow while the process lives.
+ * Holds the current policy of this host, its encoded bytes, and when it was
+ * last confirmed current. Its version never decreases.
  */
 export class PolicyState {
   readonly freshness: PolicyFreshness;
@@ -31,33 +31,33 @@
     this.freshness = new PolicyFreshness(bounds);
   }
 
-  /** The policy in force; `undefined` until the first one was read. */
+  /** The current policy; `undefined` until one is adopted. */
   get index(): PolicyIndex | undefined {
     return this.#index;
   }
 
-  /** The bytes that the policy in force was read from. */
+  /** The encoded form of the current policy. */
   get bytes(): Uint8Array {
     return this.#bytes;
   }
 
-  /** 0 until the first policy was read. */
+  /** 0 until a policy is adopted. */
   get version(): number {
     return this.#index?.policy.version ?? 0;
   }
 
-  watch(listener: PolicyListener): void {
+  addListener(listener: PolicyListener): void {
     this.#listeners.push(listener);
   }
 
-  /** Takes in a policy that was the newest at `provenAt`. */
+  /** Adopts a policy that was current at `confirmedAt`, unless it is older. */
   adopt(
     bytes: Uint8Array,
-    provenAt: Milliseconds,
+    confirmedAt: Milliseconds,
   ): Result<Adoption, PolicyError> {
     return this.#dialect.decodePolicy(bytes).andThen((policy) => {
       if (policy.version < this.version) return ok("older" as const);
-      this.freshness.confirm(provenAt);
+      this.freshness.confirm(confirmedAt);
       if (policy.version === this.version) return ok("same" as const);
       this.#index = new PolicyIndex(policy);
       this.#bytes = bytes;
--- a/packages/gateway/src/attemptObservations.ts
+++ b/packages/gateway/src/recordAttempt.ts
@@ -6,48 +6,51 @@
 import type { Attempt, AttemptEnd } from "./attempt.ts";
 import { expectedTokensOf, promptTokensOf } from "./attemptPlan.ts";
 import type { GatewayContext } from "./gatewayContext.ts";
-import type { Admitted } from "./intake.ts";
+import type { AdmittedRequest } from "./requestAdmission.ts";
 
-/** What an attempt was about. */
-export interface ObservationContext {
-  readonly parts: GatewayContext;
-  readonly admitted: Admitted;
+/** The request and the outcome that an attempt is recorded with. */
+export interface AttemptRecord {
+  readonly context: GatewayContext;
+  readonly admitted: AdmittedRequest;
   readonly fingerprint: Digest;
   readonly end: AttemptEnd;
 }
 
-/** Takes in what one attempt showed of its upstream: speed, health, crashes, a free place. */
-export function learnFrom(
+/**
+ * Records an attempt's outcome in the upstream's statistics, health and crash
+ * history, and frees its slot.
+ */
+export function recordAttempt(
   attempt: Attempt,
-  { parts, admitted, fingerprint, end: { outcome, wasSent } }:
-    ObservationContext,
+  { context, admitted, fingerprint, end: { outcome, wasSent } }: AttemptRecord,
 ): void {
   const { service } = admitted;
   const { upstream } = attempt.upstream;
-  const now = parts.timer.now();
+  const now = context.timer.now();
   const residence = now - attempt.startedAt;
   if (outcome === "broken" && wasSent) {
-    parts.crashes.recordBrokenResponse({ fingerprint, upstream, at: now });
+    context.crashes.recordBrokenResponse({ fingerprint, upstream, at: now });
   }
-  if (outcome === "replaced") parts.dropReplaced(upstream);
-  if (outcome === "unreachable") confirmCrashes(upstream, parts);
+  if (outcome === "replaced") context.removeReplaced(upstream);
+  if (outcome === "unreachable") confirmCrashes(upstream, context);
   const observation: AttemptObservation = {
     upstream,
     service,
     outcome,
     residence,
-    ...outcome === "whole" && { times: timesOf(attempt, admitted, residence) },
+    ...outcome === "whole" &&
+      { times: createTimings(attempt, admitted, residence) },
   };
-  if (parts.knowledge.record(observation, now)) {
-    parts.metrics.count("upstream_ejected");
-    parts.log.write("upstream_ejected", { upstream, outcome, service });
+  if (context.upstreamStats.record(observation, now)) {
+    context.metrics.count("upstream_ejected");
+    context.log.write("upstream_ejected", { upstream, outcome, service });
   }
-  parts.places.end(attempt.upstream, observation, now);
+  context.placementClient.end(attempt.upstream, observation, now);
 }
 
-function timesOf(
+function createTimings(
   { startedAt, firstEventAt, eventCount, latePauses, promptTokens }: Attempt,
-  admitted: Admitted,
+  admitted: AdmittedRequest,
   residence: Milliseconds,
 ): ResponseTimings {
   return {
@@ -63,10 +66,10 @@
 
 function confirmCrashes(
   upstream: UpstreamId,
-  { crashes, log, tellCrash, timer }: GatewayContext,
+  { crashes, log, announceCrash, timer }: GatewayContext,
 ): void {
   for (const crash of crashes.confirmCrashes(upstream, timer.now())) {
     log.write("crash_confirmed", { upstream, fingerprint: crash.fingerprint });
-    tellCrash(crash);
+    announceCrash(crash);
   }
 }
--- a/packages/gateway/src/intake.ts
+++ b/packages/gateway/src/requestAdmission.ts
@@ -16,7 +16,7 @@
 import { type HeaderLine, headerValue, type HeaderValues } from "./headers.ts";
 import type { PolicyState } from "./policyState.ts";
 
-/** Why a request was not taken in. */
+/** The reason for refusing a request, as sent to the caller. */
 export type RefusalReason =
   | "no-policy"
   | "policy-behind"
@@ -37,104 +37,116 @@
   | "stopping"
   | "internal";
 
-/** A final answer of this host's own. */
+/** A response of this host that refuses a request. */
 export interface Refusal {
   readonly status: number;
   readonly reason: RefusalReason;
-  /** When the caller should come back; only where the request has not run. */
+  /** Delay before the caller should retry; only if the request has not run. */
   readonly retryAfter?: Milliseconds;
 }
 
-/** A request that a route and an account were found for. */
-export interface Admitted {
+/** A request that matched a route and a client account. */
+export interface AdmittedRequest {
   readonly route: Route;
   readonly service: ServiceId;
   readonly account: ClientAccount | undefined;
-  readonly says: RequestMetadata;
+  readonly metadata: RequestMetadata;
   readonly arrivedAt: Milliseconds;
-  /** When the last byte of the answer must have left. */
+  /** Time by which the complete response must have been sent. */
   readonly deadline: Milliseconds;
   readonly policyVersion: number;
 }
 
-/** The head of a request. */
+/** The path and headers of a request. */
 export interface RequestHead {
   readonly path: string;
-  readonly fields: HeaderValues;
-  readonly lines: readonly HeaderLine[];
+  readonly headers: HeaderValues;
+  readonly headerLines: readonly HeaderLine[];
 }
 
-/** What {@link admit} reads. */
-export interface IntakeOptions {
+/** Options of {@link admitRequest}. */
+export interface AdmissionOptions {
   readonly policies: PolicyState;
   readonly dialect: Dialect;
   readonly random: Random;
-  /** Clock of the request's times. */
+  /** Time of the request's arrival. */
   readonly now: Milliseconds;
-  /** Clock of proofs of freshness; it counts time in which the machine was suspended. */
+  /**
+   * Time on the elapsed clock, which includes time while the machine was
+   * suspended.
+   */
   readonly elapsedNow: Milliseconds;
-  /** How long the request may have waited to be read. */
+  /** Time for which the request may have waited to be read. */
   readonly readingDelay: Milliseconds;
 }
 
-/** A belief about this host's delay takes no more of a caller's time than leaves this share. */
-const LEAST_LEFT_SHARE = 0.5;
-/** A host without a usable policy expects to have one after about this time; callers return spread around it. */
+/**
+ * Share of a caller's time that is left whatever the estimated reading delay.
+ */
+const MINIMUM_TIME_SHARE = 0.5;
+/** Mean retry delay given to callers while the host has no usable policy. */
 const POLICY_RETRY_MS: Milliseconds = 600;
 
 /**
- * Finds the route and the client account of a request, or the truthful refusal.
- * "No such route" and "no such key" are said only on a policy that was the newest
- * a moment ago; from a host that may be behind they would be wrong for good, while
- * "not run, come back" is right anywhere.
+ * Finds the route and client account of a request, or refuses it. Permanent
+ * refusals (no such route, no such key) require a policy that is confirmed
+ * current; otherwise the caller is asked to retry.
  */
-export function admit(
+export function admitRequest(
   head: RequestHead,
-  options: IntakeOptions,
-): Result<Admitted, Refusal> {
+  options: AdmissionOptions,
+): Result<AdmittedRequest, Refusal> {
   const { policies, dialect, now } = options;
   const index = policies.index;
-  if (index === undefined) return err(notNow("no-policy", options));
-  if (sizeOf(head.lines) > index.policy.limits.maximumHeaderBytes) {
+  if (index === undefined) return err(retryLater("no-policy", options));
+  if (headerBytes(head.headerLines) > index.policy.limits.maximumHeaderBytes) {
     return err({ status: 431, reason: "fields-too-large" });
   }
-  const route = index.route(headerValue(head.fields, "host") ?? "", head.path);
+  const route = index.route(headerValue(head.headers, "host") ?? "", head.path);
   if (route === undefined) return err(deny(404, "no-route", options));
-  const says = dialect.parseRequest(head.fields);
-  if (says === undefined) return err({ status: 400, reason: "malformed" });
-  return findAccount(says, { index, route, options }).map((account) => ({
+  const metadata = dialect.parseRequest(head.headers);
+  if (metadata === undefined) return err({ status: 400, reason: "malformed" });
+  return findAccount(metadata, { index, route, options }).map((account) => ({
     route,
     service: pickTarget(route.targets, options.random),
     account,
-    says,
+    metadata,
     arrivedAt: now,
-    deadline: deadlineOf(says.timeLeft ?? route.timeout, { route, options }),
+    deadline: deadlineOf(metadata.timeLeft ?? route.timeout, {
+      route,
+      options,
+    }),
     policyVersion: index.policy.version,
   }));
 }
 
-/** The caller's time runs since it sent the request; some of it is always left. */
+/** Deducts the estimated time since the caller sent the request. */
 function deadlineOf(
   timeLeft: Milliseconds,
   { route, options: { now, readingDelay } }: {
     route: Route;
-    options: IntakeOptions;
+    options: AdmissionOptions;
   },
 ): Milliseconds {
-  const left = Math.max(timeLeft - readingDelay, LEAST_LEFT_SHARE * timeLeft);
+  const left = Math.max(timeLeft - readingDelay, MINIMUM_TIME_SHARE * timeLeft);
   return now + Math.min(left, route.timeout);
 }
 
-/** Tokens or requests that a request takes of its account's quota. */
-export function unitsOf(account: ClientAccount, says: RequestMetadata): number {
+/**
+ * Returns the tokens or requests that a request takes from its account's quota.
+ */
+export function quotaUnits(
+  account: ClientAccount,
+  metadata: RequestMetadata,
+): number {
   if (account.quota?.unit !== "tokens") return 1;
-  const { tokens } = says;
+  const { tokens } = metadata;
   return tokens === undefined
     ? account.quota.plainTokens
     : tokens.prompt + tokens.output;
 }
 
-/** Name of an account for logs and series. */
+/** Returns an account's name for logs and metrics. */
 export function accountName(
   account: { account: ClientAccountId } | undefined,
 ): string {
@@ -142,11 +154,11 @@
 }
 
 function findAccount(
-  says: RequestMetadata,
+  metadata: RequestMetadata,
   { index, route, options }: {
     index: PolicyIndex;
     route: Route;
-    options: IntakeOptions;
+    options: AdmissionOptions;
   },
 ): Result<ClientAccount | undefined, Refusal> {
   if (route.isAnonymous || index.policy.accounts.length === 0) {
@@ -154,11 +166,11 @@
   }
   const { freshness } = options.policies;
   if (!freshness.isKeyTrusted(options.elapsedNow)) {
-    return err(notNow("policy-behind", options));
+    return err(retryLater("policy-behind", options));
   }
-  const account = says.apiKey === undefined
+  const account = metadata.apiKey === undefined
     ? undefined
-    : index.accountOfKey(says.apiKey);
+    : index.accountOfKey(metadata.apiKey);
   if (account === undefined) return err(deny(401, "no-account", options));
   return ok(account);
 }
@@ -166,15 +178,18 @@
 function deny(
   status: number,
   reason: RefusalReason,
-  options: IntakeOptions,
+  options: AdmissionOptions,
 ): Refusal {
   const { policies, elapsedNow } = options;
   return policies.freshness.isDenialAllowed(elapsedNow)
     ? { status, reason }
-    : notNow("policy-behind", options);
+    : retryLater("policy-behind", options);
 }
 
-function notNow(reason: RefusalReason, { random }: IntakeOptions): Refusal {
+function retryLater(
+  reason: RefusalReason,
+  { random }: AdmissionOptions,
+): Refusal {
   const retryAfter = POLICY_RETRY_MS * (0.5 + random.float());
   return { status: 503, reason, retryAfter };
 }
@@ -193,8 +208,8 @@
   return targets[targets.length - 1]!.service;
 }
 
-/** Bytes of the fields as they stood on the wire, about. */
-function sizeOf(lines: readonly HeaderLine[]): number {
+/** Returns the approximate size of the headers on the wire. */
+function headerBytes(lines: readonly HeaderLine[]): number {
   let bytes = 0;
   for (const [name, value] of lines) bytes += name.length + value.length + 4;
   return bytes;
--- a/packages/gateway/src/requestBody.ts
+++ b/packages/gateway/src/requestBody.ts
@@ -3,12 +3,14 @@
 import type { Milliseconds, Timer } from "@wasabivane/common";
 import { err, ok, type Result } from "neverthrow";
 
-/** Why a body was not taken in. */
+/** The reason why a body could not be read. */
 export type BodyError = "body-too-large" | "body-too-slow" | "caller-left";
 
 const NO_BODY = Buffer.alloc(0);
 
-/** Reads a whole body within bounds of size and of time between two of its pieces. */
+/**
+ * Reads a complete body, limited in size and in the time between two chunks.
+ */
 export function readBody(
   request: IncomingMessage,
   { maximumBytes, idleTimeout, timer }: {
@@ -22,22 +24,22 @@
     return Promise.resolve(err("body-too-large"));
   }
   return new Promise((resolve) => {
-    const pieces: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let bytes = 0;
-    let idle = timer.after(idleTimeout, () => end(err("body-too-slow")));
+    let idleTimer = timer.after(idleTimeout, () => end(err("body-too-slow")));
     const end = (result: Result<Buffer, BodyError>): void => {
-      idle.cancel();
+      idleTimer.cancel();
       request.removeAllListeners("data");
       resolve(result);
     };
-    request.on("data", (piece: Buffer) => {
-      bytes += piece.length;
+    request.on("data", (chunk: Buffer) => {
+      bytes += chunk.length;
       if (bytes > maximumBytes) return end(err("body-too-large"));
-      pieces.push(piece);
-      idle.cancel();
-      idle = timer.after(idleTimeout, () => end(err("body-too-slow")));
+      chunks.push(chunk);
+      idleTimer.cancel();
+      idleTimer = timer.after(idleTimeout, () => end(err("body-too-slow")));
     });
-    request.once("end", () => end(ok(Buffer.concat(pieces))));
+    request.once("end", () => end(ok(Buffer.concat(chunks))));
     request.once("close", () => end(err("caller-left")));
   });
 }
--- a/packages/gateway/src/requestTimes.ts
+++ b/packages/gateway/src/requestTimings.ts
@@ -1,15 +1,15 @@
 import type { Milliseconds } from "@wasabivane/common";
 import type { LogValues } from "./decisionLog.ts";
 
-/** How long the steps of one request took, for its callers' sake and its log line. */
-export class RequestTimes {
+/** Measures the phases of one request for metrics and logs. */
+export class RequestTimings {
   readonly #arrivedAt: Milliseconds;
   readonly #queuedAt: Milliseconds;
   #waited: Milliseconds = 0;
   #firstByteAt: Milliseconds | undefined;
-  #eventsAt: Milliseconds | undefined;
+  #lastEventsAt: Milliseconds | undefined;
   #longestPause: Milliseconds = 0;
-  #parts = 0;
+  #eventBatches = 0;
 
   constructor(
     { arrivedAt, queuedAt }: {
@@ -21,47 +21,49 @@
     this.#queuedAt = queuedAt;
   }
 
-  /** Time that it waited for its first place. */
+  /** Time in the queue before the first attempt. */
   get waited(): Milliseconds {
     return this.#waited;
   }
 
-  /** Time until the first event or the whole answer; `undefined` before. */
+  /**
+   * Time until the first event or the complete response; `undefined` before.
+   */
   get firstByte(): Milliseconds | undefined {
     return this.#firstByteAt === undefined
       ? undefined
       : this.#firstByteAt - this.#arrivedAt;
   }
 
-  notePlace(now: Milliseconds): void {
+  recordStart(now: Milliseconds): void {
     this.#waited = now - this.#queuedAt;
   }
 
-  noteFirstByte(now: Milliseconds): void {
+  recordFirstByte(now: Milliseconds): void {
     this.#firstByteAt ??= now;
   }
 
-  /** Events were passed on; the time of changing upstreams counts as a pause. */
-  noteEvents(now: Milliseconds): void {
-    const pause = now - (this.#eventsAt ?? now);
+  /** Records forwarded events; a change of upstream counts as a pause. */
+  recordEvents(now: Milliseconds): void {
+    const pause = now - (this.#lastEventsAt ?? now);
     this.#longestPause = Math.max(this.#longestPause, pause);
-    this.#eventsAt = now;
-    this.#parts++;
+    this.#lastEventsAt = now;
+    this.#eventBatches++;
   }
 
-  whole(now: Milliseconds): Milliseconds {
+  total(now: Milliseconds): Milliseconds {
     return now - this.#arrivedAt;
   }
 
-  /** In milliseconds, for the line at the end. */
-  values(now: Milliseconds): LogValues {
+  /** Returns the values for the request's final log line, in milliseconds. */
+  logValues(now: Milliseconds): LogValues {
     const { firstByte } = this;
     return {
       waited: Math.round(this.#waited),
       first: firstByte === undefined ? undefined : Math.round(firstByte),
       pause: Math.round(this.#longestPause),
-      parts: this.#parts,
-      took: Math.round(this.whole(now)),
+      parts: this.#eventBatches,
+      took: Math.round(this.total(now)),
     };
   }
 }
--- a/packages/gateway/src/requestSends.ts
+++ b/packages/gateway/src/retryState.ts
@@ -1,75 +1,90 @@
 import type { Milliseconds, UpstreamId } from "@wasabivane/common";
 import type { UpstreamOutcome } from "@wasabivane/admission";
 import type { GatewayContext } from "./gatewayContext.ts";
-import type { Admitted } from "./intake.ts";
+import type { AdmittedRequest } from "./requestAdmission.ts";
 
-/** Unreachable upstreams cost a request no send; after so many it is refused. */
+/**
+ * Unreachable upstreams after which a request is refused; they do not count as
+ * attempts.
+ */
 const MAXIMUM_UNREACHABLE = 4;
 
 /**
- * Where one request was sent, and whether it may be sent to another upstream: by
- * what it is, by the most attempts of its route and by the shared retry budget.
+ * Tracks the attempts of one request and decides about retries, by the
+ * request's repeatability, its route's attempt limit and the shared retry
+ * budget.
  */
-export class RequestSends {
+export class RetryState {
   readonly excluded = new Set<UpstreamId>();
-  readonly #parts: GatewayContext;
-  readonly #admitted: Admitted;
+  readonly #context: GatewayContext;
+  readonly #admitted: AdmittedRequest;
   #count = 0;
   #unreachable = 0;
   #mayHaveRun = false;
 
   constructor(
-    { parts, admitted }: { parts: GatewayContext; admitted: Admitted },
+    { context, admitted }: {
+      context: GatewayContext;
+      admitted: AdmittedRequest;
+    },
   ) {
-    this.#parts = parts;
+    this.#context = context;
     this.#admitted = admitted;
   }
 
-  /** Upstreams that may have got it. */
+  /** Number of upstreams that may have received the request. */
   get count(): number {
     return this.#count;
   }
 
-  /** Whether some upstream may have run the request. */
+  /** Whether an upstream may have run the request. */
   get mayHaveRun(): boolean {
     return this.#mayHaveRun;
   }
 
-  /** It may have run although nothing was heard of it. */
-  noteMayHaveRun(): void {
+  /** Marks the request as possibly run. */
+  markMayHaveRun(): void {
     this.#mayHaveRun = true;
   }
 
-  noteSend(now: Milliseconds): void {
+  recordSend(now: Milliseconds): void {
     if (this.#count === 0) {
-      this.#parts.retries.countInitial(this.#admitted.service, now);
+      this.#context.retries.countInitial(this.#admitted.service, now);
     }
     this.#count++;
   }
 
-  /** Whether another send would be allowed after this one; `hasStarted`: an answer is under way. */
-  mayFollow(hasStarted: boolean): boolean {
+  /**
+   * Returns whether a retry would be allowed, given whether a response has
+   * started.
+   */
+  canRetry(hasStarted: boolean): boolean {
     return this.#isRepeatable(hasStarted) && this.#hasAttemptsLeft();
   }
 
-  /** Whether an attempt that ends now could go on at another upstream than this one. */
-  hasOther(upstream: UpstreamId): boolean {
-    const { places, retries, timer, hostCount } = this.#parts;
+  /**
+   * Returns whether the request could be retried now at an upstream other than
+   * this one.
+   */
+  hasAlternative(upstream: UpstreamId): boolean {
+    const { placementClient, retries, timer, hostCount } = this.#context;
     const { service } = this.#admitted;
     const now = timer.now();
     const excluded = new Set([...this.excluded, upstream]);
-    return places.hasAlternative(service, { excluded, now }) &&
+    return placementClient.hasAlternative(service, { excluded, now }) &&
       retries.hasRetry(service, { hosts: hostCount(), now });
   }
 
-  /** An attempt did not end whole; true when the request is to be sent again. */
-  takeNext(
+  /**
+   * Records a failed attempt, and returns whether the request is to be retried.
+   */
+  takeRetry(
     upstream: UpstreamId,
-    { outcome, hasStarted, isConvicted }: {
+    { outcome, hasStarted, isQuarantined }: {
       outcome: UpstreamOutcome;
       hasStarted: boolean;
-      /** It crashed so many upstreams that it must not run again. */
-      isConvicted: boolean;
+      /** Whether the request is quarantined for crashing upstreams. */
+      isQuarantined: boolean;
     },
   ): boolean {
     this.excluded.add(upstream);
@@ -81,15 +96,15 @@
     const hasNotRun = isNotRun(outcome);
     if (!hasNotRun) this.#mayHaveRun = true;
     if (!hasNotRun && !this.#isRepeatable(hasStarted)) return false;
-    if (!this.#hasAttemptsLeft() || isConvicted) return false;
-    const { retries, timer, hostCount } = this.#parts;
+    if (!this.#hasAttemptsLeft() || isQuarantined) return false;
+    const { retries, timer, hostCount } = this.#context;
     return retries.takeRetry(this.#admitted.service, {
       hosts: hostCount(),
       now: timer.now(),
     });
   }
 
-  /** Whether a request that may have run can be sent to another upstream. */
+  /** Returns whether a request that may have run can be retried. */
   #isRepeatable(hasStarted: boolean): boolean {
     const { repeatability } = this.#admitted.route;
     if (repeatability === "at-most-once") return false;
@@ -101,7 +116,9 @@
   }
 }
 
-/** The upstream said that it did not run it, or another one has its address. */
+/**
+ * Returns whether an outcome means that the upstream did not run the request.
+ */
 export function isNotRun(outcome: UpstreamOutcome): boolean {
   return outcome === "not-run" || outcome === "replaced";
 }
--- a/packages/gateway/src/standardOutput.ts
+++ b/packages/gateway/src/standardOutput.ts
@@ -1,13 +1,13 @@
 import type { Writable } from "node:stream";
 import type { LogOutput } from "./decisionLog.ts";
 
-/** Standard output, written without waiting for its reader. */
+/** Writes log lines to a stream without waiting for its reader. */
 export class StandardOutput implements LogOutput {
   readonly #stream: Writable;
 
   constructor(stream: Writable) {
     this.#stream = stream;
-    // A reader that goes away must not end the process.
+    // A closed pipe must not end the process.
     stream.on("error", () => {});
   }
 
--- a/packages/gateway/src/storeSharing.ts
+++ b/packages/gateway/src/storeSharing.ts
@@ -2,203 +2,214 @@
 import type { Result } from "neverthrow";
 import type { GatewayContext } from "./gatewayContext.ts";
 import {
-  askBelief,
-  type Belief,
   type FetchError,
-  type KnownBelief,
-} from "./operatorPages.ts";
-import type { PeerBook } from "./peerBook.ts";
+  fetchSnapshot,
+  type SnapshotVersions,
+  type StoreSnapshot,
+} from "./operatorEndpoints.ts";
+import type { PeerDirectory } from "./peerDirectory.ts";
 import type { UpstreamUpdates } from "./upstreamUpdates.ts";
 
-/** Hosts that read the store for all; with one of them lost there are two still. */
+/** Number of hosts that read the store for the fleet. */
 const STORE_READERS = 3;
 /**
- * A host whose readers' proofs are older than this share of the time within which a
- * published policy must be in force reads itself: the readers may be killed or cut off
- * all together. The next in order come first, so that not all read at once.
+ * Age of the last confirmation, as a share of `applyBound`, at which the first
+ * follower reads the store.
  */
 const FIRST_STALE_SHARE = 0.35;
+/** Share at which all remaining followers read the store. */
 const LAST_STALE_SHARE = 0.6;
-/** So many hosts, in their order, come to read between the two shares. */
+/**
+ * Followers that start to read, one after the other, between the two shares.
+ */
 const STALE_RANKS = 16;
 /**
- * A host that has just read everything waits so long before it watches: until it knows
- * its peers it takes itself for one of the few, and hundreds that start together would
- * all watch at once.
+ * Time after the start in which a host discovers its peers before it becomes a
+ * reader.
  */
-const SETTLING_MS: Milliseconds = 600;
-/** A host that cannot read the store asks a peer so often what it holds. */
-const PEER_ASK_MS: Milliseconds = 1_000;
+const DISCOVERY_MS: Milliseconds = 600;
+/** Interval at which a host that cannot read the store fetches from a peer. */
+const PEER_FETCH_MS: Milliseconds = 1_000;
 /**
- * A reading host hears of a change by its own watch at about the same time as its
- * peers. One that has not after this time may watch over a connection that went
- * silent, and takes a peer's word.
+ * Time for a reader's own watch to deliver a change before it is fetched from a
+ * peer.
  */
 const OWN_WATCH_MS: Milliseconds = 300;
-/** Peers asked at once: with one of them hung or killed, the other still answers. */
-const FETCHES_AT_ONCE = 2;
+/** More than one, so that a hung peer does not block fetches from others. */
+const MAXIMUM_CONCURRENT_FETCHES = 2;
 
-/** What a {@link StoreSharing} needs. */
+/** Options of a {@link StoreSharing}. */
 export interface StoreSharingOptions {
-  readonly parts: GatewayContext;
-  readonly book: PeerBook;
-  readonly upstreams: UpstreamUpdates;
-  /** Within this time of being published, a policy must be in force. */
+  readonly context: GatewayContext;
+  readonly peers: PeerDirectory;
+  readonly upstreamUpdates: UpstreamUpdates;
+  /** Time within which a published policy must take effect. */
   readonly applyBound: Milliseconds;
-  /** Takes a policy in that was the newest at a moment of the elapsed clock. */
-  readonly adoptPolicy: (bytes: Uint8Array, provenAt: Milliseconds) => void;
-  /** Fetches what the peer at `ip:port` believes beyond what is known. */
-  readonly ask?: (
+  /** Adopts a policy that was current at `confirmedAt` on the elapsed clock. */
+  readonly adoptPolicy: (bytes: Uint8Array, confirmedAt: Milliseconds) => void;
+  /**
+   * Fetches what is newer than the known versions from the peer at `ip:port`.
+   */
+  readonly requestSnapshot?: (
     address: string,
-    known: KnownBelief,
-  ) => Promise<Result<Belief, FetchError>>;
+    known: SnapshotVersions,
+  ) => Promise<Result<StoreSnapshot, FetchError>>;
 }
 
 /**
- * Few hosts read the store, all hear of it: who reads, and what the others fetch.
+ * Decides whether this host reads the store or follows those that do.
  *
- * Answers the load of a fleet on the store: each call is paid for, and with every
- * host watching, their number grows with the hosts. Whoever rests fetches from the
- * peer that tells of something newer. Any number of readers may be killed or cut off
- * at once; the others see it by silence, or by proofs that grow old, and read.
+ * A few readers bound the load on the store. Followers fetch newer contents
+ * from peers that announce them, and become readers when the readers are lost
+ * or their confirmations grow old.
  */
 export class StoreSharing {
   readonly #options: StoreSharingOptions;
   #isReading = false;
-  /** It does not read because enough peers do. */
-  #isResting = false;
-  /** The last try to read the store failed, or there was none yet. */
+  /** Whether this host follows because enough peers read the store. */
+  #isFollowing = false;
+  /** Whether the last read of the store failed, or there was none yet. */
   #isStoreLost = true;
   #listRevision = 0;
-  /** Since when peers tell of a newer list than this host knows. */
-  #isBehindSince: Milliseconds | undefined;
-  readonly #asked = new Set<HostId>();
+  /** Time at which a peer first announced a newer list than this host has. */
+  #behindSince: Milliseconds | undefined;
+  readonly #pendingFetches = new Set<HostId>();
   readonly #startedAt: Milliseconds;
-  #askedPeerAt: Milliseconds = -Infinity;
+  #fetchedAt: Milliseconds = -Infinity;
 
   constructor(options: StoreSharingOptions) {
     this.#options = options;
-    this.#startedAt = options.parts.timer.now();
+    this.#startedAt = options.context.timer.now();
   }
 
-  /** Whether this host reads the store with success. */
+  /** Whether this host reads the store successfully. */
   get isReading(): boolean {
     return this.#isReading;
   }
 
-  /** Whether the store answered when this host asked it last. */
-  get canRead(): boolean {
+  /** Whether this host's last read of the store succeeded. */
+  get isStoreReachable(): boolean {
     return !this.#isStoreLost;
   }
 
   /** Whether this host should read the store. */
   get shouldReadStore(): boolean {
-    const { book, applyBound, parts } = this.#options;
-    const { policies, elapsed, timer } = parts;
+    const { peers, applyBound, context } = this.#options;
+    const { policies, elapsed, timer } = context;
     if (this.#listRevision === 0) return true;
-    const proofAge = policies.freshness.age(elapsed.now());
-    const rank = book.readersAhead - STORE_READERS;
-    const isSettling = timer.now() - this.#startedAt < SETTLING_MS;
-    if (rank < 0) return !isSettling || proofAge > SETTLING_MS;
-    const late = Math.min(1, rank / STALE_RANKS);
+    const confirmationAge = policies.freshness.age(elapsed.now());
+    const rank = peers.precedingReaderCount - STORE_READERS;
+    const isDiscovering = timer.now() - this.#startedAt < DISCOVERY_MS;
+    if (rank < 0) return !isDiscovering || confirmationAge > DISCOVERY_MS;
+    const progress = Math.min(1, rank / STALE_RANKS);
     const share = FIRST_STALE_SHARE +
-      late * (LAST_STALE_SHARE - FIRST_STALE_SHARE);
-    return proofAge > share * applyBound;
+      progress * (LAST_STALE_SHARE - FIRST_STALE_SHARE);
+    return confirmationAge > share * applyBound;
   }
 
-  /** Peers that read the store themselves and pass on that nothing changed. */
+  /** Number of live peers that can read the store. */
   get storeReaderCount(): number {
-    return this.#options.book.readingCount;
+    return this.#options.peers.storeReaderCount;
   }
 
-  /** Revision of the store up to which all upstreams are known; 0 when they are not. */
+  /** Store revision up to which all upstreams are known; 0 if they are not. */
   get listRevision(): number {
     return this.#listRevision;
   }
 
-  /** All upstreams are known up to this revision of the store. */
+  /** Raises the store revision up to which all upstreams are known. */
   advanceListRevision(revision: number): void {
     if (revision <= this.#listRevision) return;
     this.#listRevision = revision;
-    this.#isBehindSince = undefined;
+    this.#behindSince = undefined;
   }
 
-  /** A peer tells up to which revision it knows all upstreams. */
-  hearOf(
+  /** Handles a peer's list revision, and fetches the list if it is newer. */
+  receiveListRevision(
     peer: HostId,
     { listRevision, now }: { listRevision: number; now: Milliseconds },
   ): void {
     if (listRevision <= this.#listRevision) return;
-    this.#isBehindSince ??= now;
-    const isOwnWatchDue = this.#isReading &&
-      now - this.#isBehindSince < OWN_WATCH_MS;
-    if (!isOwnWatchDue) void this.askPeer(peer);
+    this.#behindSince ??= now;
+    const isAwaitingOwnWatch = this.#isReading &&
+      now - this.#behindSince < OWN_WATCH_MS;
+    if (!isAwaitingOwnWatch) void this.fetchFromPeer(peer);
   }
 
-  /** Whether the store can be read, for the peers and the log. */
+  /** Reports whether a read of the store succeeded. */
   reportStoreRead(isReading: boolean, detail: string): void {
     this.#isReading = isReading;
-    this.#isResting = false;
+    this.#isFollowing = false;
     if (isReading !== this.#isStoreLost) return;
     this.#isStoreLost = !isReading;
     const event = isReading ? "store_regained" : "store_lost";
-    this.#options.parts.log.write(event, { detail });
+    this.#options.context.log.write(event, { detail });
   }
 
-  /** Enough peers read the store; this host lives on what they tell. */
+  /** Switches to following the peers that read the store. */
   followReaders(): void {
     this.#isReading = false;
-    this.#isResting = true;
+    this.#isFollowing = true;
   }
 
-  /** A host that neither reads nor may rest asks a peer now and then. */
+  /**
+   * Fetches from a random peer at intervals while this host neither reads nor
+   * follows.
+   */
   tick(now: Milliseconds): void {
-    if (this.#isReading || this.#isResting) return;
-    if (now - this.#askedPeerAt < PEER_ASK_MS) return;
-    this.#askedPeerAt = now;
-    const { book, parts } = this.#options;
-    const peer = book.pick(parts.random);
-    if (peer !== undefined) void this.askPeer(peer);
+    if (this.#isReading || this.#isFollowing) return;
+    if (now - this.#fetchedAt < PEER_FETCH_MS) return;
+    this.#fetchedAt = now;
+    const { peers, context } = this.#options;
+    const peer = peers.drawAlive(context.random);
+    if (peer !== undefined) void this.fetchFromPeer(peer);
   }
 
-  /** Learns from a peer what the store would say. */
-  async askPeer(peer: HostId): Promise<void> {
-    const { book, parts, ask = askBelief } = this.#options;
-    const address = book.addressOf(peer);
-    if (address === undefined || this.#asked.has(peer)) return;
-    if (this.#asked.size >= FETCHES_AT_ONCE) return;
-    this.#asked.add(peer);
-    const askedAt = parts.elapsed.now();
-    const fetched = await ask(address, {
-      policyVersion: parts.policies.version,
+  /** Fetches the store's contents from a peer and applies them. */
+  async fetchFromPeer(peer: HostId): Promise<void> {
+    const {
+      peers,
+      context,
+      requestSnapshot = fetchSnapshot,
+    } = this.#options;
+    const address = peers.addressOf(peer);
+    if (address === undefined || this.#pendingFetches.has(peer)) return;
+    if (this.#pendingFetches.size >= MAXIMUM_CONCURRENT_FETCHES) return;
+    this.#pendingFetches.add(peer);
+    const requestedAt = context.elapsed.now();
+    const fetched = await requestSnapshot(address, {
+      policyVersion: context.policies.version,
       listRevision: this.#listRevision,
     });
-    this.#asked.delete(peer);
+    this.#pendingFetches.delete(peer);
     fetched.match(
-      (belief) => this.#takeBelief(belief, askedAt),
-      ({ detail }) => parts.log.write("policy_rejected", { peer, detail }),
+      (snapshot) => this.#applySnapshot(snapshot, requestedAt),
+      ({ detail }) => context.log.write("policy_rejected", { peer, detail }),
     );
   }
 
   /**
-   * Takes in what a peer believed when it answered. A list that is not newer changes
-   * nothing: what it names besides has left since, and no later word would say so.
+   * Ignores a list that is not newer, since it would bring back upstreams that
+   * have left.
    */
-  #takeBelief(
-    { policy, proofAge, upstreams, kept, evacuated, listRevision }: Belief,
-    askedAt: Milliseconds,
+  #applySnapshot(
+    { policy, proofAge, upstreams, kept, evacuated, listRevision }:
+      StoreSnapshot,
+    requestedAt: Milliseconds,
   ): void {
-    const { adoptPolicy, upstreams: news, parts } = this.#options;
+    const { adoptPolicy, upstreamUpdates, context } = this.#options;
     if (listRevision > this.#listRevision) {
-      news.applyEvacuation(new Set(evacuated));
-      news.applyAll(upstreams);
-      const now = parts.timer.now();
-      for (const { name, left } of kept) news.drop(name, now + left);
+      upstreamUpdates.applyEvacuation(new Set(evacuated));
+      upstreamUpdates.applyAll(upstreams);
+      const now = context.timer.now();
+      for (const { name, left } of kept) {
+        upstreamUpdates.remove(name, now + left);
+      }
       this.advanceListRevision(listRevision);
     }
-    // The peer's proof speaks of its policy and list together; it serves a host that holds both.
+    // The peer's confirmation covers its policy and list together.
     if (policy.length === 0) return;
-    const isWhole = listRevision >= this.#listRevision;
-    adoptPolicy(policy, isWhole ? askedAt - proofAge : -Infinity);
+    const hasCurrentList = listRevision >= this.#listRevision;
+    adoptPolicy(policy, hasCurrentList ? requestedAt - proofAge : -Infinity);
   }
 }
