--- a/packages/gateway/src/upstreamConnections.ts
+++ b/packages/gateway/src/upstreamConnections.ts
@@ -2,14 +2,14 @@
 import type { Milliseconds } from "@wasabivane/common";
 import { type Dispatcher, Pool } from "undici";
 import type { HeaderLine, HeaderValues } from "./headers.ts";
-import { SocketResets } from "./socketResets.ts";
+import { ResetDetector } from "./resetDetector.ts";
 
-/** Idle connections are kept for so long where the upstream names no time. */
-const IDLE_MS: Milliseconds = 8_000;
-/** The upstream may close so much earlier than it names. */
-const IDLE_MARGIN_MS: Milliseconds = 1_000;
-const MAXIMUM_FIELD_BYTES = 32 * 1_024;
-const LEAST_CONNECTIONS = 4;
+/** Keep-alive timeout if the upstream announces none. */
+const KEEP_ALIVE_MS: Milliseconds = 8_000;
+/** Deducted from an announced keep-alive timeout. */
+const KEEP_ALIVE_MARGIN_MS: Milliseconds = 1_000;
+const MAXIMUM_HEADER_BYTES = 32 * 1_024;
+const MINIMUM_CONNECTIONS = 4;
 
 /** One request to an upstream. */
 export interface UpstreamCall {
@@ -18,57 +18,59 @@
   readonly method: string;
   /** Path and query as the caller wrote them. */
   readonly path: string;
-  readonly fields: readonly HeaderLine[];
+  readonly headers: readonly HeaderLine[];
   readonly body: Buffer | undefined;
 }
 
-/** What happens to an {@link UpstreamCall}; `failed` or `ended` comes last, once. */
+/**
+ * Receives the progress of an {@link UpstreamCall}; ends with one `failed` or
+ * `ended`.
+ */
 export interface UpstreamListener {
-  /** Asked right before the first byte leaves; when false, nothing is sent. */
-  isWanted(): boolean;
-  /** Bytes of the request may have left from now on. */
+  /** Called just before sending; nothing is sent if it returns false. */
+  shouldSend(): boolean;
+  /** Called when bytes of the request may be sent from now on. */
   sent(): void;
-  head(status: number, fields: HeaderValues): void;
+  head(status: number, headers: HeaderValues): void;
   data(chunk: Buffer): void;
   ended(): void;
   failed(detail: string): void;
 }
 
-/** Handle of a call that runs. */
+/** Controls a call in progress. */
 export interface RunningCall {
-  /** Ends the call and its connection; the upstream then drops the request. */
+  /** Closes the call's connection, so that the upstream drops the request. */
   abort(): void;
   pause(): void;
   resume(): void;
 }
 
 /**
- * Connections to upstreams, one request at a time on each. Nothing is ever sent
- * twice here, and no time-out of the library's ends an answer: whoever sends
- * knows how long it is worth waiting.
+ * Pools connections to upstreams, without pipelining, retries or response
+ * timeouts; the sender decides how long to wait.
  */
 export class UpstreamConnections {
   readonly #pools = new Map<string, Pool>();
-  readonly #resets = new SocketResets();
+  readonly #resetDetector = new ResetDetector();
   readonly #maximumConnections: () => number;
 
-  /** `maximumConnections`: connections that this host may have to one upstream. */
+  /** `maximumConnections` returns this host's limit for one upstream. */
   constructor(maximumConnections: () => number) {
     this.#maximumConnections = maximumConnections;
   }
 
   send(call: UpstreamCall, listener: UpstreamListener): RunningCall {
-    const run = new CallRun(listener, this.#resets);
+    const dispatched = new DispatchedCall(listener, this.#resetDetector);
     this.#poolOf(call.address).dispatch({
       method: call.method as Dispatcher.HttpMethod,
       path: call.path,
-      headers: call.fields.flat(),
+      headers: call.headers.flat(),
       body: call.body ?? null,
-    }, run);
-    return run;
+    }, dispatched);
+    return dispatched;
   }
 
-  /** Ends the connections to an address when its last answer is over. */
+  /** Closes the connections to an address once its responses are complete. */
   forget(address: string): void {
     const pool = this.#pools.get(address);
     this.#pools.delete(address);
@@ -85,14 +87,14 @@
     let pool = this.#pools.get(address);
     if (pool === undefined) {
       pool = new Pool(`http://${address}`, {
-        connections: Math.max(LEAST_CONNECTIONS, this.#maximumConnections()),
+        connections: Math.max(MINIMUM_CONNECTIONS, this.#maximumConnections()),
         pipelining: 1,
-        connect: this.#resets.connector,
-        keepAliveTimeout: IDLE_MS,
-        keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
+        connect: this.#resetDetector.connector,
+        keepAliveTimeout: KEEP_ALIVE_MS,
+        keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
         headersTimeout: 0,
         bodyTimeout: 0,
-        maxHeaderSize: MAXIMUM_FIELD_BYTES,
+        maxHeaderSize: MAXIMUM_HEADER_BYTES,
       });
       this.#pools.set(address, pool);
     }
@@ -100,21 +102,21 @@
   }
 }
 
-/** Translates the library's callbacks, and abandons a call that never started. */
-class CallRun implements Dispatcher.DispatchHandler, RunningCall {
+/** Adapts the HTTP library's callbacks to an {@link UpstreamListener}. */
+class DispatchedCall implements Dispatcher.DispatchHandler, RunningCall {
   readonly #listener: UpstreamListener;
-  readonly #resets: SocketResets;
+  readonly #resetDetector: ResetDetector;
   #controller: Dispatcher.DispatchController | undefined;
   #isAborted = false;
 
-  constructor(listener: UpstreamListener, resets: SocketResets) {
+  constructor(listener: UpstreamListener, resetDetector: ResetDetector) {
     this.#listener = listener;
-    this.#resets = resets;
+    this.#resetDetector = resetDetector;
   }
 
   abort(): void {
     this.#isAborted = true;
-    this.#controller?.abort(new Error("The host ended the call"));
+    this.#controller?.abort(new Error("The call was aborted"));
   }
 
   pause(): void {
@@ -127,18 +129,18 @@
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.#controller = controller;
-    const isSent = !this.#isAborted && this.#listener.isWanted();
+    const isSent = !this.#isAborted && this.#listener.shouldSend();
     if (isSent) this.#listener.sent();
-    else controller.abort(new Error("The host ended the call"));
+    else controller.abort(new Error("The call was aborted"));
   }
 
   onResponseStart(
     _controller: Dispatcher.DispatchController,
     status: number,
-    fields: HeaderValues,
+    headers: HeaderValues,
   ): void {
     if (status < 200 || this.#isAborted) return;
-    this.#listener.head(status, fields);
+    this.#listener.head(status, headers);
   }
 
   onResponseData(
@@ -150,7 +152,7 @@
 
   onResponseEnd(): void {
     if (this.#isAborted) return;
-    if (this.#resets.isFailing) this.#listener.failed("connection reset");
+    if (this.#resetDetector.isReset) this.#listener.failed("connection reset");
     else this.#listener.ended();
   }
 
--- a/packages/gateway/src/upstreamUpdates.ts
+++ b/packages/gateway/src/upstreamUpdates.ts
@@ -7,31 +7,34 @@
 import type { Upstream } from "@wasabivane/admission";
 import type { GatewayContext } from "./gatewayContext.ts";
 
-/** Connections of upstreams that are gone are closed so long after; answers may still come on them. */
-const CONNECTION_GRACE_MS: Milliseconds = 30_000;
+/**
+ * Delay before the connections of a removed upstream close, so that responses
+ * can finish.
+ */
+const CONNECTION_CLOSE_DELAY_MS: Milliseconds = 30_000;
 
-/** Takes in what the store and peers say of upstreams, and logs what it changes. */
+/** Applies upstream changes from the store and from peers, and logs them. */
 export class UpstreamUpdates {
-  readonly #parts: GatewayContext;
-  readonly #tellLeft: (upstream: UpstreamId) => void;
-  readonly #graces = new Set<TimerSubscription>();
+  readonly #context: GatewayContext;
+  readonly #announceLeaving: (upstream: UpstreamId) => void;
+  readonly #pendingCloses = new Set<TimerSubscription>();
 
   constructor(
-    parts: GatewayContext,
-    { tellLeft }: { tellLeft: (upstream: UpstreamId) => void },
+    context: GatewayContext,
+    { announceLeaving }: { announceLeaving: (upstream: UpstreamId) => void },
   ) {
-    this.#parts = parts;
-    this.#tellLeft = tellLeft;
+    this.#context = context;
+    this.#announceLeaving = announceLeaving;
   }
 
-  /** Takes in what the store says of one upstream. */
+  /** Adds or updates one upstream from its store entry. */
   apply(upstream: Upstream): void {
-    const { directory, log, reviewPlaces } = this.#parts;
+    const { directory, log, reviewQueues } = this.#context;
     const known = directory.findListed(upstream.upstream);
-    if (upstream.isLeaving) this.#leave(upstream.upstream);
-    const former = directory.set(upstream);
-    this.#hearWarmth(upstream);
-    if (former !== undefined) this.#forget(former, "started again");
+    if (upstream.isLeaving) this.#markLeaving(upstream.upstream);
+    const previous = directory.set(upstream);
+    this.#updateWarmup(upstream);
+    if (previous !== undefined) this.#discard(previous, "started again");
     const isListed = directory.findListed(upstream.upstream) !== undefined;
     if (known === undefined && isListed) {
       log.write("upstream_listed", {
@@ -40,107 +43,117 @@
         slots: upstream.slots,
       });
     }
-    reviewPlaces();
+    reviewQueues();
   }
 
-  /** An entry of the list that names no upstream to use; the others hold. */
+  /** Logs an entry that cannot be decoded and removes its upstream. */
   rejectEntry(name: string, detail: string): void {
-    const { metrics, log } = this.#parts;
+    const { metrics, log } = this.#context;
     metrics.count("upstream_entries_malformed");
     log.write("upstream_malformed", { upstream: name, detail });
-    this.drop(name);
+    this.remove(name);
   }
 
   /**
-   * An upstream's address answered for another one. This life of it is over and never
-   * returns, whatever the store still says; one that starts again is another life.
-   * Listed for seconds more, it would refuse request after request at once.
+   * Removes an upstream whose address now belongs to another one. It is not
+   * added again, even if the store still lists this incarnation.
    */
   removeReplaced(upstream: UpstreamId): void {
-    this.#leave(upstream, "replaced");
+    this.#markLeaving(upstream, "replaced");
   }
 
-  /** A peer tells that an upstream announced its leaving. */
-  takeLeft(upstream: UpstreamId): void {
-    this.#leave(upstream, "told by a peer");
-    this.#parts.reviewPlaces();
+  /** Applies a peer's report that an upstream is leaving. */
+  applyLeaving(upstream: UpstreamId): void {
+    this.#markLeaving(upstream, "reported by a peer");
+    this.#context.reviewQueues();
   }
 
-  /** The store holds an upstream no more; after an outage it is kept for a while. */
-  drop(name: string, keepUntil?: Milliseconds): void {
-    const { directory, log } = this.#parts;
+  /**
+   * Removes an upstream, or keeps it until `keepUntil` after a store outage.
+   */
+  remove(name: string, keepUntil?: Milliseconds): void {
+    const { directory, log } = this.#context;
     const known = directory.findByName(name);
     if (known === undefined) return;
     if (directory.remove(known.upstream, keepUntil)) {
-      return this.#forget(known, "removed");
+      return this.#discard(known, "removed");
     }
     log.write("upstream_left", { upstream: known.upstream, why: "lapsed" });
   }
 
-  /** Takes in a full reading of all upstreams. */
+  /** Replaces the list with a full read of all upstreams. */
   applyAll(upstreams: readonly Upstream[], keepUntil?: Milliseconds): void {
-    const { directory, reviewPlaces, log } = this.#parts;
+    const { directory, reviewQueues, log } = this.#context;
     for (const { upstream, isLeaving } of upstreams) {
-      if (isLeaving) this.#leave(upstream);
+      if (isLeaving) this.#markLeaving(upstream);
     }
-    for (const upstream of upstreams) this.#hearWarmth(upstream);
-    for (const gone of directory.replaceAll(upstreams, keepUntil)) {
-      this.#forget(gone, "not listed");
+    for (const upstream of upstreams) this.#updateWarmup(upstream);
+    for (const removed of directory.replaceAll(upstreams, keepUntil)) {
+      this.#discard(removed, "not listed");
     }
     log.write("upstreams_read", {
       listed: upstreams.length,
       known: directory.size,
       kept: keepUntil !== undefined,
     });
-    reviewPlaces();
+    reviewQueues();
   }
 
   /**
-   * Takes in which failure domains are evacuated. Requests that wait look for places
-   * elsewhere at once; what runs there ends in peace.
+   * Replaces the set of evacuated failure domains. Queued requests move
+   * elsewhere; running ones finish there.
    */
   applyEvacuation(domains: ReadonlySet<FailureDomain>): void {
-    const { directory, log, reviewPlaces } = this.#parts;
+    const { directory, log, reviewQueues } = this.#context;
     if (!directory.evacuate(domains)) return;
     log.write("domains_evacuated", { domains: [...domains].join(",") });
-    reviewPlaces();
+    reviewQueues();
   }
 
-  /** Ends the time for which entries were kept that did not come back. */
+  /** Removes lapsed upstreams that were not listed again in time. */
   expire(): void {
-    const { directory, timer, reviewPlaces } = this.#parts;
-    const gone = directory.expireLapsed(timer.now());
-    for (const upstream of gone) this.#forget(upstream, "did not come back");
-    if (gone.length > 0) reviewPlaces();
+    const { directory, timer, reviewQueues } = this.#context;
+    const removed = directory.expireLapsed(timer.now());
+    for (const upstream of removed) {
+      this.#discard(upstream, "did not come back");
+    }
+    if (removed.length > 0) reviewQueues();
   }
 
+  /** Cancels pending closes of connections. */
   close(): void {
-    for (const grace of this.#graces) grace.cancel();
+    for (const closeTimer of this.#pendingCloses) closeTimer.cancel();
   }
 
-  #hearWarmth({ upstream, coldFor }: Upstream): void {
-    const { knowledge, timer } = this.#parts;
-    knowledge.warmup.update(upstream, { coldFor, now: timer.now() });
+  #updateWarmup({ upstream, coldFor }: Upstream): void {
+    const { upstreamStats, timer } = this.#context;
+    upstreamStats.warmup.update(upstream, { coldFor, now: timer.now() });
   }
 
-  #leave(upstream: UpstreamId, why = "announced"): void {
-    const known = this.#parts.directory.findListed(upstream);
-    if (!this.#parts.directory.markLeaving(upstream)) return;
-    this.#tellLeft(upstream);
-    if (known !== undefined) this.#forget(known, why);
+  #markLeaving(upstream: UpstreamId, why = "announced"): void {
+    const known = this.#context.directory.findListed(upstream);
+    if (!this.#context.directory.markLeaving(upstream)) return;
+    this.#announceLeaving(upstream);
+    if (known !== undefined) this.#discard(known, why);
   }
 
-  #forget({ upstream, address }: Upstream, why: string): void {
-    const { knowledge, signs, connections, directory, timer, log } =
-      this.#parts;
+  #discard({ upstream, address }: Upstream, why: string): void {
+    const {
+      upstreamStats,
+      upstreamActivity,
+      connections,
+      directory,
+      timer,
+      log,
+    } = this.#context;
     log.write("upstream_left", { upstream, why });
-    knowledge.forget(upstream);
-    signs.forget(upstream);
-    const grace = timer.after(CONNECTION_GRACE_MS, () => {
-      this.#graces.delete(grace);
+    upstreamStats.forget(upstream);
+    upstreamActivity.forget(upstream);
+    const closeTimer = timer.after(CONNECTION_CLOSE_DELAY_MS, () => {
+      this.#pendingCloses.delete(closeTimer);
       const isUsed = directory.all().some((other) => other.address === address);
       if (!isUsed) connections.forget(address);
     });
-    this.#graces.add(grace);
+    this.#pendingCloses.add(closeTimer);
   }
 }
--- a/packages/gateway/tests/busyHost.test.ts
+++ b/packages/gateway/tests/busyHost.test.ts
@@ -1,76 +1,82 @@
 import test from "ava";
 import {
-  goodHead,
+  responseHead,
   sendRequest,
   startGateway,
   startUpstream,
 } from "./helpers/fleet.ts";
 
-/** So long that it counts for seconds yet, however slow the machine is that tests run on. */
+/** Long enough to count for seconds on any machine. */
 const STALL_MS = Number.MAX_SAFE_INTEGER;
 const TIME_LEFT_MS = 20_000;
 const LAG_MS = 300;
 
-test("a host that is behind hands on no more time than its callers have left", async (t) => {
-  // Guards against upstreams that work on after the caller's deadline, since the host
-  // counted from when it came to read the request.
+test("an overloaded host forwards no more time than its callers have left", async (t) => {
+  // Guards against upstreams that work past the caller's deadline because it
+  // was counted from when the request was read.
   const upstream = await startUpstream((received) => {
-    received.socket.write(goodHead(received, { "content-length": 2 }) + "ok");
+    received.socket.write(
+      responseHead(received, { "content-length": 2 }) + "ok",
+    );
   });
-  const fleet = await startGateway({
+  const host = await startGateway({
     upstreams: [upstream],
     route: { timeout: TIME_LEFT_MS },
   });
-  const { lag, timer } = fleet.gateway.context;
+  const { lag, timer } = host.gateway.context;
   const headers = { "time-left": String(TIME_LEFT_MS) };
-  await sendRequest(fleet.url, { headers });
+  await sendRequest(host.url, { headers });
   lag.observe(STALL_MS, timer.now());
-  await sendRequest(fleet.url, { headers });
+  await sendRequest(host.url, { headers });
   const [before, after] = upstream.received.map((received) =>
-    Number(received.field("time-left"))
+    Number(received.header("time-left"))
   );
   t.true(before! > 0.7 * TIME_LEFT_MS);
   t.true(after! <= 0.5 * TIME_LEFT_MS);
-  await fleet.close();
+  await host.close();
 });
 
-test("what lay unread behind long turns is refused, not sent on", async (t) => {
-  // Guards against upstreams that get requests whose callers left while the host stood still.
+test("requests that waited unread while the event loop was blocked are refused", async (t) => {
+  // Guards against sending requests whose callers have left meanwhile.
   const upstream = await startUpstream((received) => {
-    received.socket.write(goodHead(received, { "content-length": 2 }) + "ok");
+    received.socket.write(
+      responseHead(received, { "content-length": 2 }) + "ok",
+    );
   });
-  const fleet = await startGateway({ upstreams: [upstream] });
-  const { lag, timer } = fleet.gateway.context;
+  const host = await startGateway({ upstreams: [upstream] });
+  const { lag, timer } = host.gateway.context;
   lag.observe(LAG_MS, timer.now());
-  const asked = Array.from({ length: 12 }, () => sendRequest(fleet.url));
-  // All of them connect while the host stands still.
+  const requests = Array.from({ length: 12 }, () => sendRequest(host.url));
+  // Blocks the event loop after all callers have started to connect.
   await new Promise((resolve) => setTimeout(resolve, 0));
   const until = timer.now() + LAG_MS;
   while (timer.now() < until);
-  const seen = await Promise.all(asked);
+  const seen = await Promise.all(requests);
   const served = seen.filter(({ status }) => status === 200);
   const refused = seen.filter(({ body }) => body.includes("host-behind"));
   t.is(served.length + refused.length, seen.length);
   t.true(refused.length > 0);
   t.is(upstream.received.length, served.length);
-  t.is((await sendRequest(fleet.url)).status, 200);
-  await fleet.close();
+  t.is((await sendRequest(host.url)).status, 200);
+  await host.close();
 });
 
-test("what a host that is behind refuses is not run, and says when to come back", async (t) => {
-  // Guards against refusals at the door that reach an upstream or leave callers without a time.
+test("a request shed by an overloaded host does not run and gets a retry-after", async (t) => {
+  // Guards against shed requests that reach an upstream or lack a retry delay.
   const upstream = await startUpstream((received) => {
-    received.socket.write(goodHead(received, { "content-length": 2 }) + "ok");
+    received.socket.write(
+      responseHead(received, { "content-length": 2 }) + "ok",
+    );
   });
-  const fleet = await startGateway({ upstreams: [upstream], lowestLag: 15 });
-  const { lag, timer } = fleet.gateway.context;
+  const host = await startGateway({ upstreams: [upstream], lowestLag: 15 });
+  const { lag, timer } = host.gateway.context;
   const now = timer.now();
   for (const at of [0, 60, 120, 180]) lag.observe(LAG_MS, now + at);
-  // The host's own timers are on time here and would show no lag.
+  // The host's own timers would report no lag.
   Object.assign(lag, { observe: () => {} });
   const seen = [];
   for (let index = 0; index < 8; index++) {
-    seen.push(await sendRequest(fleet.url));
+    seen.push(await sendRequest(host.url));
   }
   const refused = seen.filter(({ status }) => status === 503);
   t.true(refused.length > 0);
@@ -79,5 +85,5 @@
     t.is(JSON.parse(body).reason, "host-behind");
     t.true(Number(headers["retry-after"]) > 0);
   }
-  await fleet.close();
+  await host.close();
 });
--- a/packages/gateway/tests/decisionLog.test.ts
+++ b/packages/gateway/tests/decisionLog.test.ts
@@ -2,12 +2,12 @@
 import { DecisionLog, type LogOutput } from "@wasabivane/gateway";
 import test from "ava";
 
-interface Lines extends LogOutput {
+interface RecordedOutput extends LogOutput {
   pendingBytes: number;
   readonly events: string[];
 }
 
-function createLines(): Lines {
+function createOutput(): RecordedOutput {
   const events: string[] = [];
   return {
     pendingBytes: 0,
@@ -16,10 +16,9 @@
   };
 }
 
-test("a flood of routine lines leaves room for failures and says what is missing", (t) => {
-  // Load rises a hundredfold. Lines about what goes well must neither slow the
-  // process down nor crowd out the one that tells of a lost store.
-  const output = createLines();
+test("a flood of routine lines leaves room for failures, and dropped lines are reported", (t) => {
+  // Guards against routine lines that displace a failure under high load.
+  const output = createOutput();
   const timer = new VirtualTimer();
   const log = new DecisionLog({ output, timer, host: "h" });
   for (let index = 0; index < 5_000; index++) log.write("request_sent");
@@ -31,8 +30,8 @@
   t.deepEqual(output.events.slice(-2), ["lines_left_out", "request_sent"]);
 });
 
-test("a reader that stops reading costs neither time nor memory", (t) => {
-  const output = createLines();
+test("lines are dropped while the reader of the log is stalled", (t) => {
+  const output = createOutput();
   const log = new DecisionLog({
     output,
     timer: new VirtualTimer(),
--- a/packages/gateway/tests/helpers/fleet.ts
+++ b/packages/gateway/tests/helpers/fleet.ts
@@ -16,29 +16,29 @@
 import { freePorts } from "./freePorts.ts";
 import { PlainDialect } from "./plainDialect.ts";
 
-/** Other tests may take a port between its choice and the start. */
-const MAXIMUM_TRIES = 5;
+/** Attempts to start a gateway; another test may take a chosen port. */
+const MAXIMUM_ATTEMPTS = 5;
 const SERVICE = asId<ServiceId>("plans");
 
-/** What a stand-in upstream got on one connection. */
+/** A request that a {@link RawUpstream} received. */
 export interface ReceivedRequest {
   readonly head: string;
   readonly body: string;
   readonly socket: Socket;
-  /** Value of a header field of the request. */
-  field(name: string): string | undefined;
+  /** Returns the value of a request header. */
+  header(name: string): string | undefined;
 }
 
-/** An upstream that answers with bytes that a test writes itself. */
+/** An upstream whose responses are written by the test as raw bytes. */
 export interface RawUpstream {
   readonly address: string;
   readonly received: ReceivedRequest[];
   close(): void;
 }
 
-/** Starts an upstream; `answer` is called once for each whole request. */
+/** Starts an upstream; `respond` is called once for each complete request. */
 export async function startUpstream(
-  answer: (received: ReceivedRequest) => void,
+  respond: (received: ReceivedRequest) => void,
 ): Promise<RawUpstream> {
   const received: ReceivedRequest[] = [];
   const sockets = new Set<Socket>();
@@ -52,7 +52,7 @@
       const headEnd = text.indexOf("\r\n\r\n");
       if (headEnd < 0) return;
       const head = text.slice(0, headEnd);
-      const length = Number(fieldIn(head, "content-length") ?? 0);
+      const length = Number(headerIn(head, "content-length") ?? 0);
       if (text.length < headEnd + 4 + length) return;
       const body = text.slice(headEnd + 4, headEnd + 4 + length);
       text = "";
@@ -60,10 +60,10 @@
         head,
         body,
         socket,
-        field: (name) => fieldIn(head, name),
+        header: (name) => headerIn(head, name),
       };
       received.push(request);
-      answer(request);
+      respond(request);
     });
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
@@ -78,25 +78,27 @@
   };
 }
 
-function fieldIn(head: string, name: string): string | undefined {
+function headerIn(head: string, name: string): string | undefined {
   const match = new RegExp(`^${name}: *(.*)$`, "im").exec(head);
   return match?.[1]?.trim();
 }
 
-/** Head of a good answer to a request; the body follows. */
-export function goodHead(
+/**
+ * Returns the status line and headers of a successful response to a request.
+ */
+export function responseHead(
   received: ReceivedRequest,
-  fields: Readonly<Record<string, string | number>> = {},
+  headers: Readonly<Record<string, string | number>> = {},
 ): string {
   const lines = Object.entries({
-    id: received.field("id") ?? "",
+    id: received.header("id") ?? "",
     mark: "m",
-    ...fields,
+    ...headers,
   }).map(([name, value]) => `${name}: ${value}\r\n`);
   return `HTTP/1.1 200 OK\r\n${lines.join("")}\r\n`;
 }
 
-/** A plain route to the tests' service. */
+/** Builds a non-streaming route to the tests' service. */
 export function buildRoute(changes: Partial<Route> = {}): Route {
   return {
     route: asId<RouteId>("r"),
@@ -115,7 +117,7 @@
   };
 }
 
-/** A policy with one route and one account that holds the key `k`. */
+/** Builds a policy with one route and one account with the API key `k`. */
 export function buildPolicy(
   { version = 1, routes = [buildRoute()] }: Partial<Policy> = {},
 ): Policy {
@@ -137,43 +139,47 @@
   };
 }
 
-/** A gateway on loopback and what it logged. */
+/** A gateway on the loopback interface and its log lines. */
 export interface RunningGateway {
   readonly gateway: Gateway;
   readonly url: string;
-  readonly peers: string;
-  /** `ip:port` where the balancer asks. */
-  readonly readiness: string;
+  /** `ip:port` for peers. */
+  readonly peerAddress: string;
+  /** `ip:port` of the readiness endpoint. */
+  readonly readinessAddress: string;
   readonly lines: Record<string, unknown>[];
   close(): Promise<void>;
 }
 
 /** Options of {@link startGateway}. */
-export interface GatewayStart {
+export interface GatewayStartOptions {
   readonly upstreams: readonly RawUpstream[];
   readonly route?: Partial<Route>;
   readonly slots?: number;
-  readonly stopGrace?: number;
-  /** Within this time a withdrawn key must have stopped working. */
+  readonly shutdownGrace?: number;
+  /** Time within which a revoked key must stop working. */
   readonly revocationBound?: number;
-  /** Peer addresses to begin with. */
+  /** Initial peer addresses. */
   readonly seeds?: readonly string[];
-  /** Whether the host reads policy and upstreams itself. */
+  /**
+   * Whether the host has its policy and upstreams from the store, not from a
+   * peer.
+   */
   readonly isReading?: boolean;
   readonly host?: string;
-  /** Lag from which on requests are refused. */
+  /** Event-loop lag from which requests are shed. */
   readonly lowestLag?: number;
 }
 
-/** Starts a gateway before the given upstreams. */
+/** Starts a gateway in front of the given upstreams. */
 export async function startGateway(
-  options: GatewayStart,
+  options: GatewayStartOptions,
 ): Promise<RunningGateway> {
-  for (let tries = 0; tries < MAXIMUM_TRIES; tries++) {
+  for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
     const started = await tryToStart(options);
     if (started !== undefined) return started;
   }
-  throw new Error("No free ports were found");
+  throw new Error("No free ports found");
 }
 
 async function tryToStart(
@@ -181,14 +187,14 @@
     upstreams,
     route = {},
     slots = 4,
-    stopGrace = 3_000,
+    shutdownGrace = 3_000,
     revocationBound = 600_000,
     seeds = [],
     isReading = true,
     host = "host",
-    // Tests run beside each other; a busy machine must not make them fail.
+    // Disables shedding by lag, as tests run in parallel on a busy machine.
     lowestLag = Infinity,
-  }: GatewayStart,
+  }: GatewayStartOptions,
 ): Promise<RunningGateway | undefined> {
   const lines: Record<string, unknown>[] = [];
   const output: LogOutput = {
@@ -214,7 +220,7 @@
     quotaTolerance: { overrun: 0.25, slack: 0, span: 8_000 },
     warmupTolerance: { factor: 1, slack: 0 },
     lowestLag,
-    shutdownGrace: stopGrace,
+    shutdownGrace,
     dialect: new PlainDialect(),
     timer,
     random: new SeededRandom(1),
@@ -228,8 +234,8 @@
   const result = {
     gateway,
     url: `http://127.0.0.1:${callers}`,
-    peers: `127.0.0.1:${peers}`,
-    readiness: `127.0.0.1:${readiness}`,
+    peerAddress: `127.0.0.1:${peers}`,
+    readinessAddress: `127.0.0.1:${readiness}`,
     lines,
     close: async () => {
       await gateway.close();
@@ -254,21 +260,20 @@
       isLeaving: false,
     });
   }
-  // A host that reads says up to which revision of the store it knows all upstreams.
   gateway.storeSharing.advanceListRevision(1);
   return result;
 }
 
-/** What a caller saw of one request. */
-export interface Seen {
+/** The response to one request as its caller received it. */
+export interface ReceivedResponse {
   readonly status: number | undefined;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: string;
-  /** Whether the answer came to its proper end. */
-  readonly isWhole: boolean;
+  /** Whether the response ended properly. */
+  readonly isComplete: boolean;
 }
 
-/** Sends a request as a caller would. */
+/** Sends a request to a gateway as a caller. */
 export async function sendRequest(
   url: string,
   { path = "/a/1", method = "POST", headers = {}, body = "hello" }: {
@@ -277,37 +282,40 @@
     headers?: Readonly<Record<string, string>>;
     body?: string;
   } = {},
-): Promise<Seen> {
+): Promise<ReceivedResponse> {
   const { request } = await import("undici");
   let status: number | undefined;
-  let fields: Seen["headers"] = {};
+  let responseHeaders: ReceivedResponse["headers"] = {};
   let text = "";
   try {
-    const answer = await request(url + path, {
+    const response = await request(url + path, {
       method: method as "POST",
       headers: { host: "plans.example", id: "q1", key: "k", ...headers },
       body: method === "POST" ? body : null,
     });
-    status = answer.statusCode;
-    fields = answer.headers;
-    for await (const chunk of answer.body) text += chunk.toString();
-    return { status, headers: fields, body: text, isWhole: true };
+    status = response.statusCode;
+    responseHeaders = response.headers;
+    for await (const chunk of response.body) text += chunk.toString();
+    return { status, headers: responseHeaders, body: text, isComplete: true };
   } catch {
-    return { status, headers: fields, body: text, isWhole: false };
+    return { status, headers: responseHeaders, body: text, isComplete: false };
   }
 }
 
-/** Waits until something holds; the test's own time-out ends a wait in vain. */
-export async function until(holds: () => boolean): Promise<void> {
+/** Polls until a condition holds; the test's timeout is the only limit. */
+export async function waitUntil(holds: () => boolean): Promise<void> {
   while (!holds()) {
     await new Promise((resolve) => setTimeout(resolve, 10));
   }
 }
 
-/** Two hosts: one reads the store, the other knows only what that one tells. */
+/**
+ * A host with access to the store, and one that learns everything from the
+ * first.
+ */
 export interface HostPair {
-  readonly reading: RunningGateway;
-  readonly refused: RunningGateway;
+  readonly reader: RunningGateway;
+  readonly follower: RunningGateway;
   close(): Promise<void>;
 }
 
@@ -315,20 +323,20 @@
 export async function startHostPair(
   upstreams: readonly RawUpstream[],
 ): Promise<HostPair> {
-  const reading = await startGateway({ upstreams, host: "reading" });
-  const refused = await startGateway({
+  const reader = await startGateway({ upstreams, host: "reading" });
+  const follower = await startGateway({
     upstreams: [],
     host: "refused",
     isReading: false,
-    seeds: [reading.peers],
+    seeds: [reader.peerAddress],
   });
-  await until(() => refused.gateway.isReady);
+  await waitUntil(() => follower.gateway.isReady);
   return {
-    reading,
-    refused,
+    reader,
+    follower,
     close: async () => {
-      await refused.close();
-      await reading.close();
+      await follower.close();
+      await reader.close();
     },
   };
 }
--- a/packages/gateway/tests/helpers/freePorts.ts
+++ b/packages/gateway/tests/helpers/freePorts.ts
@@ -1,18 +1,23 @@
 import { randomInt } from "node:crypto";
 import { createServer, type Server } from "node:net";
 
-/** Below the ports of outgoing connections and those of fleets of whole programs. */
+/**
+ * Below the ephemeral port range and the ports of tests that run whole
+ * programs.
+ */
 const FIRST_PORT = 10_000;
-/** Ports of one process of tests; the first of them is held to mark the others as taken. */
+/**
+ * Ports reserved by one test process, which listens at the first to mark the
+ * block as taken.
+ */
 const BLOCK_PORTS = 100;
 const BLOCKS = 50;
 
 let block: { readonly first: number; used: number } | undefined;
 
 /**
- * Ports that were free a moment ago, for TCP and datagrams alike. Test files run at the
- * same time, each in its process, and a port that two of them choose leaves a test
- * waiting for a host that never started; so each process has a block of its own.
+ * Returns ports that are free, from a block that this test process has
+ * reserved, so that test files running in parallel do not choose the same ones.
  */
 export async function freePorts(count: number): Promise<number[]> {
   const ports: number[] = [];
@@ -31,7 +36,7 @@
     const first = FIRST_PORT + BLOCK_PORTS * randomInt(BLOCKS);
     const holder = await listenAt(first);
     if (holder === undefined) continue;
-    // Held until the process ends, which it need not wait for.
+    // Held until the process ends, without keeping it alive.
     holder.unref();
     return { first, used: 0 };
   }
--- a/packages/gateway/tests/helpers/plainDialect.ts
+++ b/packages/gateway/tests/helpers/plainDialect.ts
@@ -12,16 +12,16 @@
 } from "@wasabivane/gateway";
 import { ok, type Result } from "neverthrow";
 
-/** Header names of the tests' own; a policy is its JSON. */
+/** Uses short header names, and JSON as the policy format. */
 export class PlainDialect extends Dialect {
-  override parseRequest(fields: HeaderValues): RequestMetadata | undefined {
-    const id = headerValue(fields, "id");
+  override parseRequest(headers: HeaderValues): RequestMetadata | undefined {
+    const id = headerValue(headers, "id");
     if (id === undefined) return undefined;
-    const timeLeft = headerValue(fields, "time-left");
-    const lastEvent = headerValue(fields, "last-event-id");
+    const timeLeft = headerValue(headers, "time-left");
+    const lastEvent = headerValue(headers, "last-event-id");
     return {
       requestId: asId<RequestId>(id),
-      apiKey: headerValue(fields, "key"),
+      apiKey: headerValue(headers, "key"),
       timeLeft: timeLeft === undefined ? undefined : Number(timeLeft),
       tokens: undefined,
       expectedTokens: undefined,
@@ -31,29 +31,29 @@
   }
 
   override buildUpstreamHeaders(
-    callerFields: readonly HeaderLine[],
-    { upstream, timeLeft, lastEventId: lastEvent }: UpstreamRequestMetadata,
+    callerHeaders: readonly HeaderLine[],
+    { upstream, timeLeft, lastEventId }: UpstreamRequestMetadata,
   ): HeaderLine[] {
-    const lines = callerFields.filter(([name]) =>
+    const lines = callerHeaders.filter(([name]) =>
       !["content-length", "time-left", "key", "last-event-id"].includes(
         name.toLowerCase(),
       )
     );
     lines.push(["upstream", upstream], ["time-left", String(timeLeft)]);
-    if (lastEvent !== undefined) {
-      lines.push(["last-event-id", String(lastEvent)]);
+    if (lastEventId !== undefined) {
+      lines.push(["last-event-id", String(lastEventId)]);
     }
     return lines;
   }
 
   override parseResponse(
     _status: number,
-    fields: HeaderValues,
+    headers: HeaderValues,
   ): ResponseMetadata {
     return {
-      requestId: headerValue(fields, "id"),
-      hasNotRun: headerValue(fields, "not-run") !== undefined,
-      isSealed: headerValue(fields, "mark") !== undefined,
+      requestId: headerValue(headers, "id"),
+      hasNotRun: headerValue(headers, "not-run") !== undefined,
+      isSealed: headerValue(headers, "mark") !== undefined,
       load: undefined,
     };
   }
--- a/packages/gateway/tests/lateSends.test.ts
+++ b/packages/gateway/tests/lateSends.test.ts
@@ -7,18 +7,18 @@
   type UpstreamListener,
 } from "../src/upstreamConnections.ts";
 import { PlainDialect } from "./helpers/plainDialect.ts";
-import { goodHead, startUpstream } from "./helpers/fleet.ts";
+import { responseHead, startUpstream } from "./helpers/fleet.ts";
 
 const DEADLINE_MS = 400;
 const CALL = {
   method: "POST",
   path: "/",
-  fields: [["host", "plans.example"]],
+  headers: [["host", "plans.example"]],
   body: Buffer.from("{}"),
 } as const;
 
-/** Connections that have one open only after a while. */
-class SlowConnections extends UpstreamConnections {
+/** Accepts calls and leaves it to the test when they are sent. */
+class HeldConnections extends UpstreamConnections {
   listener: UpstreamListener | undefined;
 
   override send(_call: unknown, listener: UpstreamListener): {
@@ -31,11 +31,11 @@
   }
 }
 
-test("a request whose caller has no time left when its connection stands is not sent", (t) => {
-  // Guards against upstreams that get work for callers who left while a busy host connected.
+test("a request whose deadline passes while connecting is not sent", (t) => {
+  // Guards against upstreams that work for callers who have left.
   for (const connectingTakes of [DEADLINE_MS - 1, DEADLINE_MS + 1]) {
     const timer = new VirtualTimer();
-    const connections = new SlowConnections(() => 1);
+    const connections = new HeldConnections(() => 1);
     const ends: AttemptEnd[] = [];
     const attempt = new Attempt({
       upstream: {
@@ -54,22 +54,22 @@
       dialect: new PlainDialect(),
       timer,
       deadline: DEADLINE_MS,
-      attempt: "a",
+      requestId: "a",
       isStreaming: false,
       pauseTarget: 0,
       promptTokens: 0,
-      patience: undefined,
+      silenceTimeouts: undefined,
       onLoad: () => {},
       listener: {
-        streamStarted: () => {},
-        events: () => {},
-        ended: (end) => ends.push(end),
+        onStreamStart: () => {},
+        onEvents: () => {},
+        onEnd: (end) => ends.push(end),
       },
     });
     attempt.start();
     timer.advance(connectingTakes);
     const isInTime = connectingTakes < DEADLINE_MS;
-    t.is(connections.listener!.isWanted(), isInTime);
+    t.is(connections.listener!.shouldSend(), isInTime);
     t.deepEqual(
       ends.map(({ outcome, wasSent }) => [outcome, wasSent]),
       isInTime ? [] : [["cancelled", false]],
@@ -77,14 +77,16 @@
   }
 });
 
-test("nothing of a request that is not wanted any more reaches the upstream", async (t) => {
-  // Guards against a library that has written the head by the time it is told.
+test("a request that is rejected just before sending does not reach the upstream", async (t) => {
+  // Guards against an HTTP library that writes the headers before it aborts.
   const upstream = await startUpstream((received) => {
-    received.socket.write(goodHead(received, { "content-length": 2 }) + "ok");
+    received.socket.write(
+      responseHead(received, { "content-length": 2 }) + "ok",
+    );
   });
   const connections = new UpstreamConnections(() => 4);
   const listener = {
-    isWanted: () => false,
+    shouldSend: () => false,
     sent: () => t.fail(),
     head: () => t.fail(),
     data: () => {},
--- a/packages/gateway/tests/peers.test.ts
+++ b/packages/gateway/tests/peers.test.ts
@@ -13,47 +13,47 @@
 } from "@wasabivane/common";
 import type { Cell, RouteId } from "@wasabivane/admission";
 import {
-  askBelief,
   decodeMessage,
   encodeMessage,
-  PeerBook,
-  type PeerMention,
+  fetchSnapshot,
+  PeerDirectory,
   type PeerMessage,
+  type PeerRecord,
 } from "@wasabivane/gateway";
 import test from "ava";
 import {
-  goodHead,
+  responseHead,
   sendRequest,
   startGateway,
   startHostPair,
   startUpstream,
-  until,
+  waitUntil,
 } from "./helpers/fleet.ts";
 
 const SELF = asId<HostId>("self");
 const WEST = asId<FailureDomain>("west");
 const NOW = 10_000;
 
-function mentionOf(
+function createRecord(
   host: string,
-  changes: Partial<PeerMention> = {},
-): PeerMention {
+  changes: Partial<PeerRecord> = {},
+): PeerRecord {
   return {
     host: asId<HostId>(host),
     incarnation: asId<Incarnation>("1"),
     address: `${host}:1`,
     failureDomain: WEST,
     age: 5_000,
-    silence: 0,
+    timeSinceHeard: 0,
     isLeaving: false,
-    canRead: true,
+    isStoreReachable: true,
     cores: 0.675,
     ...changes,
   };
 }
 
-function createBook(seeds: readonly string[] = []): PeerBook {
-  return new PeerBook({
+function createDirectory(seeds: readonly string[] = []): PeerDirectory {
+  return new PeerDirectory({
     host: SELF,
     failureDomain: WEST,
     startedAt: 0,
@@ -62,65 +62,72 @@
   });
 }
 
-function targetsOf(book: PeerBook, now: number): string[] {
+function drawTargets(directory: PeerDirectory, now: number): string[] {
   const random = new SeededRandom(1);
-  return book.takeTargets({ count: 4, random, now }).sort();
+  return directory.drawTargets({ count: 4, random, now }).sort();
 }
 
-test("a host is found through a seed, and others through what it mentions", (t) => {
-  const book = createBook(["seed:1"]);
-  t.deepEqual(targetsOf(book, 0), ["seed:1"]);
-  t.deepEqual(targetsOf(book, 100), []);
-  t.true(book.hear(mentionOf("seed"), 1, 200));
-  t.true(book.hearMention(mentionOf("third", { silence: 100 }), 210));
-  t.deepEqual(targetsOf(book, 300), ["seed:1", "third:1"]);
-  t.is(book.aliveCount, 2);
+test("a host is discovered through a seed, and others through its records", (t) => {
+  const directory = createDirectory(["seed:1"]);
+  t.deepEqual(drawTargets(directory, 0), ["seed:1"]);
+  t.deepEqual(drawTargets(directory, 100), []);
+  t.true(directory.recordMessage(createRecord("seed"), 1, 200));
+  t.true(
+    directory.mergeRecord(createRecord("third", { timeSinceHeard: 100 }), 210),
+  );
+  t.deepEqual(drawTargets(directory, 300), ["seed:1", "third:1"]);
+  t.is(directory.aliveCount, 2);
 });
 
-test("a silent peer is lost, still spoken to, and found again", (t) => {
-  // A host restarts or is cut off for seconds. Forgetting its address at once would
-  // part two hosts for good whose seeds are all down.
-  const book = createBook();
-  book.hear(mentionOf("a"), 1, 0);
+test("a silent peer is lost, is still contacted, and is found again", (t) => {
+  // Guards against two hosts that lose each other for good while all seeds are
+  // down.
+  const directory = createDirectory();
+  directory.recordMessage(createRecord("a"), 1, 0);
   const host = asId<HostId>("a");
-  t.deepEqual(book.takeChanges(1_400), [{ host, kind: "found" }]);
-  t.deepEqual(book.takeChanges(1_600), [{ host, kind: "lost" }]);
-  t.is(book.aliveCount, 0);
-  t.deepEqual(targetsOf(book, 2_000), ["a:1"]);
-  const again = mentionOf("a", { incarnation: asId("2"), age: 50 });
-  t.true(book.hear(again, 1, 2_100));
-  t.deepEqual(book.takeChanges(2_100), [{ host, kind: "found" }]);
+  t.deepEqual(directory.takeChanges(1_400), [{ host, kind: "found" }]);
+  t.deepEqual(directory.takeChanges(1_600), [{ host, kind: "lost" }]);
+  t.is(directory.aliveCount, 0);
+  t.deepEqual(drawTargets(directory, 2_000), ["a:1"]);
+  const again = createRecord("a", { incarnation: asId("2"), age: 50 });
+  t.true(directory.recordMessage(again, 1, 2_100));
+  t.deepEqual(directory.takeChanges(2_100), [{ host, kind: "found" }]);
 });
 
-test("a word that was overtaken by a newer one changes nothing", (t) => {
-  const book = createBook();
-  book.hear(mentionOf("a"), 5, 0);
-  t.false(book.hear(mentionOf("a"), 4, 10));
-  t.true(book.hear(mentionOf("a"), 6, 20));
-  t.false(book.hear(mentionOf("self"), 1, 20));
+test("a message that arrives after a newer one is ignored", (t) => {
+  const directory = createDirectory();
+  directory.recordMessage(createRecord("a"), 5, 0);
+  t.false(directory.recordMessage(createRecord("a"), 4, 10));
+  t.true(directory.recordMessage(createRecord("a"), 6, 20));
+  t.false(directory.recordMessage(createRecord("self"), 1, 20));
 });
 
-test("what peers still tell of a former start does not bring it back", (t) => {
-  // A host restarts. Peers that have not heard of it go on mentioning its former
-  // process; taken for news, its words would be dropped as those of a stranger.
-  const book = createBook();
-  const former = mentionOf("a", { age: 9_000 });
-  const restarted = mentionOf("a", { incarnation: asId("2"), age: 100 });
-  book.hear(former, 40, 9_000);
-  t.true(book.hear(restarted, 1, 10_000));
-  t.false(book.hearMention({ ...former, age: 10_050, silence: 900 }, 10_050));
-  t.true(book.hear(restarted, 2, 10_100));
+test("records of a former incarnation do not replace the current one", (t) => {
+  // Guards against dropping a restarted host's messages because of outdated
+  // records.
+  const directory = createDirectory();
+  const former = createRecord("a", { age: 9_000 });
+  const restarted = createRecord("a", { incarnation: asId("2"), age: 100 });
+  directory.recordMessage(former, 40, 9_000);
+  t.true(directory.recordMessage(restarted, 1, 10_000));
+  t.false(
+    directory.mergeRecord(
+      { ...former, age: 10_050, timeSinceHeard: 900 },
+      10_050,
+    ),
+  );
+  t.true(directory.recordMessage(restarted, 2, 10_100));
 });
 
-test("a host that stops keeps no cell, and one of whom others hear still does", (t) => {
-  const book = createBook();
-  book.hear(mentionOf("a"), 1, 0);
-  book.hearMention(mentionOf("b", { silence: 500 }), 0);
+test("a stopping host may not coordinate a cell, and one known from others' records may", (t) => {
+  const directory = createDirectory();
+  directory.recordMessage(createRecord("a"), 1, 0);
+  directory.mergeRecord(createRecord("b", { timeSinceHeard: 500 }), 0);
   const hosts = (now: number): string[] =>
-    book.candidates({ isLeaving: false, now })
+    directory.candidates({ isLeaving: false, now })
       .map(({ host }) => String(host)).sort();
   t.deepEqual(hosts(0), ["a", "b", "self"]);
-  book.hear(mentionOf("a", { isLeaving: true }), 2, 10);
+  directory.recordMessage(createRecord("a", { isLeaving: true }), 2, 10);
   t.deepEqual(hosts(10), ["b", "self"]);
 });
 
@@ -134,15 +141,15 @@
 const MESSAGES: readonly PeerMessage[] = [
   {
     kind: "word",
-    word: {
-      self: mentionOf("a"),
+    gossip: {
+      sender: createRecord("a"),
       sequence: 7,
       policyVersion: 12,
       listRevision: 41,
-      proofAge: 40,
-      left: [asId<UpstreamId>("u3")],
+      confirmationAge: 40,
+      leavingUpstreams: [asId<UpstreamId>("u3")],
       crashes: [[asId<Digest>("f"), asId<UpstreamId>("u4"), 20]],
-      changes: [{
+      listChanges: [{
         from: 40,
         to: 41,
         upstreams: [{
@@ -159,14 +166,16 @@
         removed: ["u6"],
         evacuated: [WEST],
       }],
-      silent: [[asId<HostId>("c"), 900]],
-      peers: 9,
-      mentions: [mentionOf("b", { silence: 120, canRead: false })],
+      unresponsiveHosts: [[asId<HostId>("c"), 900]],
+      peerCount: 9,
+      peerRecords: [
+        createRecord("b", { timeSinceHeard: 120, isStoreReachable: false }),
+      ],
     },
   },
   {
     kind: "ask",
-    ask: {
+    update: {
       host: asId<HostId>("a"),
       incarnation: asId<Incarnation>("1"),
       cell: CELL,
@@ -225,7 +234,7 @@
   },
   {
     kind: "answer",
-    answer: {
+    reply: {
       host: asId<HostId>("k"),
       incarnation: asId<Incarnation>("2"),
       cell: { ...CELL, failureDomain: undefined },
@@ -264,7 +273,7 @@
       isLeaving: false,
     },
   },
-  { kind: "call", call: { host: asId<HostId>("k"), cell: CELL } },
+  { kind: "call", announcement: { host: asId<HostId>("k"), cell: CELL } },
   {
     kind: "snapshots",
     snapshots: [{ cell: CELL, capacity: 40, free: 0, waiting: 9, at: NOW }],
@@ -279,7 +288,7 @@
   },
   {
     kind: "sums",
-    sums: {
+    totals: {
       host: asId<HostId>("k"),
       incarnation: asId<Incarnation>("2"),
       others: new Map([[asId<ClientAccountId>("family"), 99]]),
@@ -288,13 +297,13 @@
 ];
 
 for (const message of MESSAGES) {
-  test(`a datagram comes through as it was written: ${message.kind}`, (t) => {
+  test(`a message is decoded as it was encoded: ${message.kind}`, (t) => {
     const read = decodeMessage(encodeMessage(message, NOW), NOW);
     t.deepEqual(read._unsafeUnwrap(), message);
   });
 }
 
-test("noise is an error and no message", (t) => {
+test("bytes that are not a message are an error", (t) => {
   t.true(decodeMessage(new Uint8Array([1, 2, 3]), NOW).isErr());
   t.true(decodeMessage(new Uint8Array([0xc1]), NOW).isErr());
   const bytes = encodeMessage(MESSAGES[1]!, NOW);
@@ -303,54 +312,52 @@
   }
 });
 
-test("a host that the store turns away serves on what a peer tells", async (t) => {
-  // The store serves one host and refuses the other, which just started and knows
-  // nothing. It hears of the policy from its peer, fetches it with the upstreams, and
-  // serves while the peer's proofs hold.
+test("a host without access to the store serves with a peer's snapshot", async (t) => {
   const upstream = await startUpstream((received) => {
-    received.socket.write(goodHead(received, { "content-length": 2 }) + "ok");
+    received.socket.write(
+      responseHead(received, { "content-length": 2 }) + "ok",
+    );
   });
-  const { refused, close } = await startHostPair([upstream]);
-  const seen = await sendRequest(refused.url);
+  const { follower, close } = await startHostPair([upstream]);
+  const seen = await sendRequest(follower.url);
   t.deepEqual([seen.status, seen.body], [200, "ok"]);
   await close();
 });
 
-test("an upstream's leaving reaches a host that cannot read the store", async (t) => {
+test("a host that cannot read the store learns that an upstream is leaving", async (t) => {
   const upstream = await startUpstream(() => {});
-  const { reading, refused, close } = await startHostPair([upstream]);
-  const [listed] = reading.gateway.context.directory.all();
-  reading.gateway.upstreamUpdates.apply({ ...listed!, isLeaving: true });
-  await until(() => refused.gateway.context.directory.size === 0);
+  const { reader, follower, close } = await startHostPair([
+    upstream,
+  ]);
+  const [listed] = reader.gateway.context.directory.all();
+  reader.gateway.upstreamUpdates.apply({ ...listed!, isLeaving: true });
+  await waitUntil(() => follower.gateway.context.directory.size === 0);
   t.pass();
   await close();
 });
 
-test("a host that ends while a word is due says nothing any more", async (t) => {
-  // An upstream leaves in the moment in which the host ends: the word that tells of
-  // it is due a few milliseconds later, on a closed socket. An error there would end
-  // the process as a crash instead of an ordered stop.
+test("a host that closes while a message is scheduled does not send it", async (t) => {
+  // Guards against an error from the closed socket that crashes the process.
   const upstream = await startUpstream(() => {});
-  const fleet = await startGateway({
+  const host = await startGateway({
     upstreams: [upstream],
     seeds: ["127.0.0.1:9"],
   });
-  const [listed] = fleet.gateway.context.directory.all();
-  fleet.gateway.upstreamUpdates.apply({ ...listed!, isLeaving: true });
-  await fleet.close();
+  const [listed] = host.gateway.context.directory.all();
+  host.gateway.upstreamUpdates.apply({ ...listed!, isLeaving: true });
+  await host.close();
   await new Promise((resolve) => setTimeout(resolve, 100));
   t.pass();
 });
 
-test("a host is told only what it does not know yet", async (t) => {
-  // Every host fetches a policy that operators change; with the whole list beside it,
-  // and the policy beside each change of the list, a fleet would carry mostly repeats.
+test("a snapshot contains only what the requesting host does not have", async (t) => {
+  // Guards against sending the policy and the whole list with every change.
   const upstream = await startUpstream(() => {});
-  const fleet = await startGateway({ upstreams: [upstream] });
+  const host = await startGateway({ upstreams: [upstream] });
   const fetchWith = async (
     known: { policyVersion: number; listRevision: number },
   ): Promise<[boolean, number]> => {
-    const { policy, upstreams } = (await askBelief(fleet.peers, known))
+    const { policy, upstreams } = (await fetchSnapshot(host.peerAddress, known))
       ._unsafeUnwrap();
     return [policy.length > 0, upstreams.length];
   };
@@ -366,5 +373,5 @@
     true,
     0,
   ]);
-  await fleet.close();
+  await host.close();
 });
--- a/packages/gateway/tests/start.test.ts
+++ b/packages/gateway/tests/start.test.ts
@@ -3,11 +3,15 @@
 import { request } from "undici";
 import { startGateway } from "./helpers/fleet.ts";
 
-/** What the runtime loads its whole `fetch` interface for. */
-const WEB_NAMES = ["fetch", "Headers", "Request", "Response"];
+/**
+ * Globals on whose first access the runtime loads its `fetch` implementation.
+ */
+const FETCH_GLOBALS = ["fetch", "Headers", "Request", "Response"];
 
-/** Notes each look at a global of the web interface, and gives what was there. */
-function watchGlobals(names: readonly string[]): string[] {
+/**
+ * Records each access to the given globals and returns the list of accesses.
+ */
+function recordAccesses(names: readonly string[]): string[] {
   const seen: string[] = [];
   for (const name of names) {
     const { get, value } = Object.getOwnPropertyDescriptor(globalThis, name)!;
@@ -22,18 +26,16 @@
   return seen;
 }
 
-test("a host that starts loads no web interface for its operators' ports", async (t) => {
-  // All hosts were killed and every caller comes back at once. On a small machine the
-  // runtime's `fetch` interface takes a sixth of a second to load; it would keep the host
-  // from its first reading, and callers from any answer.
-  const seen = watchGlobals(WEB_NAMES);
-  const fleet = await startGateway({ upstreams: [] });
-  const answer = await request(`http://${fleet.readiness}/ready`);
-  t.is(answer.statusCode, 503);
-  await answer.body.dump();
-  const other = await request(`http://${fleet.readiness}/other`);
-  t.is(other.statusCode, 404);
-  await other.body.dump();
-  await fleet.close();
+test("a host starts without loading the runtime's fetch API", async (t) => {
+  // Guards against a slower start on small machines.
+  const seen = recordAccesses(FETCH_GLOBALS);
+  const host = await startGateway({ upstreams: [] });
+  const response = await request(`http://${host.readinessAddress}/ready`);
+  t.is(response.statusCode, 503);
+  await response.body.dump();
+  const notFound = await request(`http://${host.readinessAddress}/other`);
+  t.is(notFound.statusCode, 404);
+  await notFound.body.dump();
+  await host.close();
   t.deepEqual(seen, [], `Node.js ${process.version}`);
 });
--- a/packages/gateway/tests/streams.test.ts
+++ b/packages/gateway/tests/streams.test.ts
@@ -1,11 +1,11 @@
 import { once } from "node:events";
 import { connect } from "node:net";
 import test from "ava";
-import { EventFrames } from "@wasabivane/gateway";
+import { EventStreamSplitter } from "@wasabivane/gateway";
 import { Buffer } from "node:buffer";
 import {
-  goodHead,
   type ReceivedRequest,
+  responseHead,
   sendRequest,
   startGateway,
   startUpstream,
@@ -13,109 +13,114 @@
 
 const STREAM = { isStreaming: true, target: 300, pauseTarget: 200 } as const;
 
-function event(id: number, text = `data-${id}`): string {
+function formatEvent(id: number, text = `data-${id}`): string {
   return `id: ${id}\ndata: ${text}\n\n`;
 }
 
-/** A chunked stream of events; `isWhole` closes it properly. */
+/** Sends a chunked event stream; `isComplete` adds its final chunk. */
 function sendStream(
   received: ReceivedRequest,
-  { ids, isWhole }: { ids: readonly number[]; isWhole: boolean },
+  { ids, isComplete }: { ids: readonly number[]; isComplete: boolean },
 ): void {
-  const head = goodHead(received, {
+  const head = responseHead(received, {
     "content-type": "text/event-stream",
     "transfer-encoding": "chunked",
-    mark: `mark-${received.field("upstream")}`,
+    mark: `mark-${received.header("upstream")}`,
   });
   const chunks = ids.map((id) => {
-    const text = event(id);
+    const text = formatEvent(id);
     return `${text.length.toString(16)}\r\n${text}\r\n`;
   });
-  received.socket.write(head + chunks.join("") + (isWhole ? "0\r\n\r\n" : ""));
+  received.socket.write(
+    head + chunks.join("") + (isComplete ? "0\r\n\r\n" : ""),
+  );
 }
 
-test("a stream that breaks off goes on at another upstream without a gap", async (t) => {
-  // The first upstream crashes in the middle of its third event. The caller must
-  // see one stream: head and mark of the first, every event once, a proper end.
-  const answer = (received: ReceivedRequest): void => {
-    const last = received.field("last-event-id");
+test("a stream that breaks off is resumed at another upstream without a gap", async (t) => {
+  // Guards against lost, repeated or partial events and a change of headers.
+  const respond = (received: ReceivedRequest): void => {
+    const last = received.header("last-event-id");
     if (last !== undefined) {
       const ids = [Number(last) + 1, Number(last) + 2];
-      return sendStream(received, { ids, isWhole: true });
+      return sendStream(received, { ids, isComplete: true });
     }
-    sendStream(received, { ids: [1, 2], isWhole: false });
+    sendStream(received, { ids: [1, 2], isComplete: false });
     received.socket.write("5\r\nid: 3\r\n");
     setTimeout(() => received.socket.resetAndDestroy(), 20);
   };
-  const upstreams = [await startUpstream(answer), await startUpstream(answer)];
-  const fleet = await startGateway({
+  const upstreams = [
+    await startUpstream(respond),
+    await startUpstream(respond),
+  ];
+  const host = await startGateway({
     upstreams,
     route: { ...STREAM, repeatability: "resumable" },
   });
-  const seen = await sendRequest(fleet.url);
-  t.true(seen.isWhole);
-  t.is(seen.body, [1, 2, 3, 4].map((id) => event(id)).join(""));
+  const seen = await sendRequest(host.url);
+  t.true(seen.isComplete);
+  t.is(seen.body, [1, 2, 3, 4].map((id) => formatEvent(id)).join(""));
   const [first] =
     upstreams.find(({ received }) =>
-      received[0]?.field("last-event-id") === undefined
+      received[0]?.header("last-event-id") === undefined
     )!.received;
-  t.is(seen.headers.mark, `mark-${first!.field("upstream")}`);
-  await fleet.close();
+  t.is(seen.headers.mark, `mark-${first!.header("upstream")}`);
+  await host.close();
 });
 
-test("a stream that must not run again looks cut when it breaks off", async (t) => {
-  // The upstream crashes after two events. Ending the answer properly would make
-  // half an answer look whole; sending it again could run it twice.
+test("an at-most-once stream that breaks off is visibly cut", async (t) => {
+  // Guards against a truncated stream that looks complete, and against running
+  // twice.
   const upstream = await startUpstream((received) => {
-    sendStream(received, { ids: [1, 2], isWhole: false });
+    sendStream(received, { ids: [1, 2], isComplete: false });
     setTimeout(() => received.socket.resetAndDestroy(), 20);
   });
-  const fleet = await startGateway({
+  const host = await startGateway({
     upstreams: [upstream],
     route: { ...STREAM, repeatability: "at-most-once" },
   });
-  const seen = await sendRequest(fleet.url);
+  const seen = await sendRequest(host.url);
   t.is(seen.status, 200);
-  t.false(seen.isWhole);
+  t.false(seen.isComplete);
   t.is(upstream.received.length, 1);
-  await fleet.close();
+  await host.close();
 });
 
-test("a stream that stalls goes on elsewhere, after the first run was ended", async (t) => {
-  // The first upstream hangs after one event while its connection stands. Its run
-  // is ended, so that no two runs work on one request; the second upstream here
-  // answers only once the connection of the first is closed.
+test("a stalled stream is resumed elsewhere after its first attempt is aborted", async (t) => {
+  // Guards against two upstreams that run one request at the same time.
   let endFirst = (): void => {};
   const firstEnded = new Promise<void>((resolve) => (endFirst = resolve));
-  const answer = (received: ReceivedRequest): void => {
-    if (received.field("last-event-id") === undefined) {
+  const respond = (received: ReceivedRequest): void => {
+    if (received.header("last-event-id") === undefined) {
       received.socket.once("close", () => endFirst());
-      return sendStream(received, { ids: [1], isWhole: false });
+      return sendStream(received, { ids: [1], isComplete: false });
     }
     void firstEnded.then(() =>
-      sendStream(received, { ids: [2], isWhole: true })
+      sendStream(received, { ids: [2], isComplete: true })
     );
   };
-  const upstreams = [await startUpstream(answer), await startUpstream(answer)];
-  const fleet = await startGateway({
+  const upstreams = [
+    await startUpstream(respond),
+    await startUpstream(respond),
+  ];
+  const host = await startGateway({
     upstreams,
     route: { ...STREAM, repeatability: "resumable" },
   });
-  const seen = await sendRequest(fleet.url);
-  t.is(seen.body, event(1) + event(2));
-  t.true(seen.isWhole);
-  await fleet.close();
+  const seen = await sendRequest(host.url);
+  t.is(seen.body, formatEvent(1) + formatEvent(2));
+  t.true(seen.isComplete);
+  await host.close();
 });
 
-test("when the caller leaves, its upstream stops working", async (t) => {
+test("the upstream call is aborted when the caller disconnects", async (t) => {
   const upstream = await startUpstream((received) =>
-    sendStream(received, { ids: [1], isWhole: false })
+    sendStream(received, { ids: [1], isComplete: false })
   );
-  const fleet = await startGateway({
+  const host = await startGateway({
     upstreams: [upstream],
     route: { ...STREAM, repeatability: "at-most-once" },
   });
-  const { port, hostname } = new URL(fleet.url);
+  const { port, hostname } = new URL(host.url);
   const caller = connect(Number(port), hostname);
   caller.write(
     "GET /a/1 HTTP/1.1\r\nhost: plans.example\r\nid: q1\r\nkey: k\r\n\r\n",
@@ -124,20 +129,21 @@
   const ended = once(upstream.received[0]!.socket, "close");
   caller.destroy();
   await ended;
-  t.is(fleet.gateway.context.places.inFlightTotal, 0);
-  await fleet.close();
+  t.is(host.gateway.context.placementClient.inFlightTotal, 0);
+  await host.close();
 });
 
-test("events are cut at blank lines wherever the chunks end", (t) => {
-  const frames = new EventFrames();
-  const whole = event(1) + event(2) + "id: 3\r\ndata: x\r\n\r\n";
+test("events are split at blank lines wherever the chunks end", (t) => {
+  const frames = new EventStreamSplitter();
+  const completeEvents = formatEvent(1) + formatEvent(2) +
+    "id: 3\r\ndata: x\r\n\r\n";
   const seen: [string, number | undefined][] = [];
-  for (const byte of Buffer.from(whole + "id: 4\nda")) {
+  for (const byte of Buffer.from(completeEvents + "id: 4\nda")) {
     for (const frame of frames.push(Buffer.from([byte]))) {
       seen.push([frame.bytes.toString(), frame.id]);
     }
   }
-  t.is(seen.map(([text]) => text).join(""), whole);
+  t.is(seen.map(([text]) => text).join(""), completeEvents);
   t.deepEqual(seen.map(([, id]) => id), [1, 2, 3]);
-  t.is(frames.rest.toString(), "id: 4\nda");
+  t.is(frames.remainder.toString(), "id: 4\nda");
 });
