--- a/apps/entry/tests/callerConnection.test.ts
+++ b/apps/entry/tests/callerConnection.test.ts
@@ -1,5 +1,5 @@
 import test, { type ExecutionContext } from "ava";
-import { expectedAnswer, markTokens } from "@wasabivane/engine-model";
+import { expectedResponse, tokenCountMarker } from "@wasabivane/engine-model";
 import { openChat, sendChat } from "./helpers/chatClient.ts";
 import {
   bearer,
@@ -12,7 +12,7 @@
 import { startScriptedUpstream } from "./helpers/scriptedUpstream.ts";
 
 const TOKENS = 20;
-const LONG_PROMPT = `Draft ${markTokens(500_000)}`;
+const LONG_PROMPT = `Draft ${tokenCountMarker(500_000)}`;
 const KIBIBYTE = 1_024;
 
 async function createFixture(
@@ -194,7 +194,7 @@
 
 test("equal keys of two accounts are independent", async (t) => {
   const fixture = await createFixture(t);
-  const prompt = `Draft ${markTokens(TOKENS)}`;
+  const prompt = `Draft ${tokenCountMarker(TOKENS)}`;
   let key = bareKey();
   let first = await sendChat(fixture, { prompt, headers: keyHeaders(key) });
   // A key's home refuses keys that are older than its tenure, which has just
@@ -203,14 +203,14 @@
     key = bareKey();
     first = await sendChat(fixture, { prompt, headers: keyHeaders(key) });
   }
-  t.is(first.content, expectedAnswer(prompt, TOKENS));
+  t.is(first.content, expectedResponse(prompt, TOKENS));
   const account = "tenjin-family-law";
   const second = await sendChat(fixture, {
     prompt,
     account,
     headers: keyHeaders(key),
   });
-  t.is(second.content, expectedAnswer(prompt, TOKENS));
+  t.is(second.content, expectedResponse(prompt, TOKENS));
   t.deepEqual(runStates(fixture), ["finished", "finished"]);
   t.is(fixture.counter("key.joined"), 0);
   const again = await sendChat(fixture, { prompt, headers: keyHeaders(key) });
@@ -230,7 +230,7 @@
   });
   const { key } = await minted.json() as { key: string };
   const headers = { "idempotency-key": key };
-  const prompt = `Draft ${markTokens(TOKENS)}`;
+  const prompt = `Draft ${tokenCountMarker(TOKENS)}`;
   const own = await sendChat(fixture, { prompt, headers });
   t.true(own.isComplete);
   const account = "tenjin-family-law";
--- a/apps/entry/tests/responseIntegrity.test.ts
+++ b/apps/entry/tests/responseIntegrity.test.ts
@@ -1,6 +1,6 @@
 import { Buffer } from "node:buffer";
 import test, { type ExecutionContext } from "ava";
-import { expectedAnswer, markTokens } from "@wasabivane/engine-model";
+import { expectedResponse, tokenCountMarker } from "@wasabivane/engine-model";
 import {
   type ChatResponse,
   openChat,
@@ -20,7 +20,7 @@
 } from "./helpers/scriptedUpstream.ts";
 
 const TOKENS = 40;
-const PROMPT = `Draft a visiting calendar ${markTokens(TOKENS)}`;
+const PROMPT = `Draft a visiting calendar ${tokenCountMarker(TOKENS)}`;
 
 async function createFixture(
   t: ExecutionContext,
@@ -33,7 +33,7 @@
 
 function assertComplete(t: ExecutionContext, response: ChatResponse): void {
   t.is(response.status, 200);
-  t.is(response.content, expectedAnswer(PROMPT, TOKENS));
+  t.is(response.content, expectedResponse(PROMPT, TOKENS));
   t.true(response.isComplete);
   t.is(response.problem, undefined);
 }
@@ -60,7 +60,7 @@
   test(`a ${form} response with another nonce is not relayed and its run is cancelled`, async (t) => {
     const fixture = await createFixture(t);
     fixture.engines[0]!.control("wrong-nonce");
-    const prompt = `Draft ${markTokens(50_000)}`;
+    const prompt = `Draft ${tokenCountMarker(50_000)}`;
     const response = await sendChat(fixture, {
       prompt: stream ? prompt : PROMPT,
       stream,
@@ -99,10 +99,10 @@
     const fixture = await createFixture(t);
     fixture.engines[0]!.control("second-answer");
     assertComplete(t, await sendChat(fixture, { prompt: PROMPT, stream }));
-    const next = `Another ${markTokens(TOKENS)}`;
+    const next = `Another ${tokenCountMarker(TOKENS)}`;
     const response = await sendChat(fixture, { prompt: next, stream });
     const isOwnResponse = response.isComplete
-      ? response.content === expectedAnswer(next, TOKENS)
+      ? response.content === expectedResponse(next, TOKENS)
       : response.problem?.ending === "unknown" && response.content === "";
     t.true(isOwnResponse, response.text);
     if (stream) t.is(fixture.counter("safeguard.excess_answer"), 1);
@@ -111,7 +111,9 @@
 
 test("an engine crash during a stream ends it with an error event", async (t) => {
   const fixture = await createFixture(t);
-  const response = await openChat(fixture, { prompt: markTokens(100_000) });
+  const response = await openChat(fixture, {
+    prompt: tokenCountMarker(100_000),
+  });
   let text = "";
   const decoder = new TextDecoder();
   for await (const part of response.body!) {
--- a/apps/load/src/callRequest.ts
+++ b/apps/load/src/callRequest.ts
@@ -1,5 +1,5 @@
 import { BYTES_PER_TOKEN } from "@wasabivane/common";
-import { markTokens } from "@wasabivane/engine-model";
+import { tokenCountMarker } from "@wasabivane/engine-model";
 import type { PlannedCall } from "./planCalls.ts";
 
 const WORD_CHARACTERS = 8;
@@ -43,7 +43,7 @@
 }
 
 function promptOf(call: PlannedCall, mark: string): string {
-  const tail = `\n${mark} ${markTokens(call.outputTokens)}`;
+  const tail = `\n${mark} ${tokenCountMarker(call.outputTokens)}`;
   const length = call.promptTokens * BYTES_PER_TOKEN - tail.length;
   const shared = Math.floor(length * SHARED_SHARE);
   return fill(call.caller.account, shared) + fill(mark, length - shared) + tail;
--- a/apps/load/src/sendAttempt.ts
+++ b/apps/load/src/sendAttempt.ts
@@ -1,4 +1,4 @@
-import { expectedAnswer } from "@wasabivane/engine-model";
+import { expectedResponse } from "@wasabivane/engine-model";
 import { type Dispatcher, request } from "undici";
 import type { CallRequest } from "./callRequest.ts";
 import {
@@ -122,7 +122,7 @@
     isEnded: boolean;
   },
 ): CallOutcome {
-  const expected = expectedAnswer(body.prompt, call.outputTokens);
+  const expected = expectedResponse(body.prompt, call.outputTokens);
   if (text === expected) return { kind: isEnded ? "whole" : "cut" };
   return { kind: expected.startsWith(text) ? "cut" : "crossed" };
 }
--- a/apps/load/tests/helpers/fakeEntry.ts
+++ b/apps/load/tests/helpers/fakeEntry.ts
@@ -1,10 +1,10 @@
 import { createServer, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import {
-  answerLength,
-  answerSeed,
-  answerToken,
-  expectedAnswer,
+  expectedResponse,
+  responseLength,
+  responseSeed,
+  responseToken,
 } from "@wasabivane/engine-model";
 
 /** One request as a fake entry got it. */
@@ -130,15 +130,15 @@
 function bodyOf(request: ReceivedRequest): unknown {
   const { prompt, path, body } = request;
   if (prompt === "") return { path, body };
-  const content = expectedAnswer(prompt, answerLength(prompt));
+  const content = expectedResponse(prompt, responseLength(prompt));
   return { choices: [{ message: { content } }] };
 }
 
 function sendTokens(prompt: string, outgoing: ServerResponse): void {
   outgoing.writeHead(200, { "content-type": "text/event-stream" });
-  const seed = answerSeed(prompt);
-  for (let index = 0; index < answerLength(prompt); index++) {
-    const delta = { content: answerToken(seed, index) };
+  const seed = responseSeed(prompt);
+  for (let index = 0; index < responseLength(prompt); index++) {
+    const delta = { content: responseToken(seed, index) };
     outgoing.write(`data: ${JSON.stringify({ choices: [{ delta }] })}\n\n`);
   }
 }
--- a/packages/engine-model/src/cacheEventLog.ts
+++ b/packages/engine-model/src/cacheEventLog.ts
@@ -32,7 +32,7 @@
   }
 
   /** The published events with a greater sequence number. */
-  after(sequence: number): EngineCacheEvent[] {
+  eventsAfter(sequence: number): EngineCacheEvent[] {
     const published = this.#options.timer.now() - this.#options.lagMs;
     const found: EngineCacheEvent[] = [];
     for (let index = this.#events.length - 1; index >= 0; index--) {
--- a/packages/engine-model/src/engineModel.ts
+++ b/packages/engine-model/src/engineModel.ts
@@ -5,7 +5,7 @@
   TimerSubscription,
 } from "@wasabivane/common";
 import { CacheEventLog } from "./cacheEventLog.ts";
-import { EngineRun } from "./engineRun.ts";
+import { RequestExecution } from "./requestExecution.ts";
 import { KvMemory } from "./kvMemory.ts";
 import { LoadHistory } from "./loadHistory.ts";
 import { planSteps } from "./stepPlan.ts";
@@ -16,8 +16,8 @@
   EngineListener,
   EngineLoad,
   EngineModelOptions,
+  EngineProfile,
   EngineRequest,
-  EngineSpeed,
 } from "./types.ts";
 
 /** Guards whole steps against rounding of times. */
@@ -39,10 +39,10 @@
  */
 export class EngineModel {
   readonly #timer: Timer;
-  readonly #speed: EngineSpeed;
+  readonly #speed: EngineProfile;
   readonly #maximumSteps: number;
-  readonly #waiting = new Map<string, EngineRun>();
-  readonly #running = new Map<string, EngineRun>();
+  readonly #waiting = new Map<string, RequestExecution>();
+  readonly #running = new Map<string, RequestExecution>();
   readonly #memory: KvMemory;
   readonly #cacheEvents: CacheEventLog;
   readonly #load: LoadHistory;
@@ -63,7 +63,7 @@
 
   constructor(options: EngineModelOptions) {
     this.#timer = options.timer;
-    this.#speed = options.speed;
+    this.#speed = options.profile;
     this.#maximumSteps = options.maximumStepsPerEvent ?? Infinity;
     this.#load = new LoadHistory(options.reportLagMs ?? 0);
     this.#cacheEvents = new CacheEventLog({
@@ -73,7 +73,7 @@
       lossRate: options.cacheEventLossRate ?? 0,
     });
     this.#memory = new KvMemory(
-      options.speed.kvCapacityTokens,
+      options.profile.kvCapacityTokens,
       this.#cacheEvents,
     );
   }
@@ -96,7 +96,7 @@
     if (this.#waiting.has(request.id) || this.#running.has(request.id)) {
       throw new Error(`Request ${request.id} is in the engine already`);
     }
-    const run = new EngineRun(request, listener);
+    const run = new RequestExecution(request, listener);
     this.#waiting.set(request.id, run);
     this.#recordLoad();
     if (this.#canAdmit(run)) this.#interrupt();
@@ -109,12 +109,12 @@
     const run = this.#waiting.get(id) ?? this.#running.get(id);
     if (run === undefined) return undefined;
     if (this.#running.has(id)) this.#interrupt();
-    if (run.isGone) return undefined;
+    if (run.isEnded) return undefined;
     this.#drop(run);
     this.#counters.cancelled++;
-    this.#counters.wastedPrefillTokens += run.prefilled;
+    this.#counters.wastedPrefillTokens += run.prefilledTokens;
     this.#recordLoad();
-    return run.prefilled;
+    return run.prefilledTokens;
   }
 
   /** Makes every later step so many times as long; 1 is the usual speed. */
@@ -149,7 +149,7 @@
     const lost = [...this.#running.values(), ...this.#waiting.values()];
     for (const run of lost) this.#drop(run);
     this.#recordLoad();
-    for (const { prefilled, listener } of lost) {
+    for (const { prefilledTokens: prefilled, listener } of lost) {
       this.#counters.lost++;
       this.#counters.wastedPrefillTokens += prefilled;
       listener({ kind: "lost", prefilledTokens: prefilled });
@@ -165,17 +165,17 @@
 
   /** The load one report lag ago; `undefined` while the engine is down. */
   loadReport(): EngineLoad | undefined {
-    return this.#isUp ? this.#load.report(this.#timer.now()) : undefined;
+    return this.#isUp ? this.#load.delayedLoad(this.#timer.now()) : undefined;
   }
 
   /** Published cache events past a sequence number. */
   cacheEvents(after: number): EngineCacheEvent[] {
-    return this.#cacheEvents.after(after);
+    return this.#cacheEvents.eventsAfter(after);
   }
 
   /** Those of the blocks that the cache holds. */
   exportBlocks(digests: readonly Digest[]): Digest[] {
-    return this.#memory.held(digests);
+    return this.#memory.cachedBlocks(digests);
   }
 
   /** Takes in blocks of a prompt, the first block first. */
@@ -229,36 +229,36 @@
     }
     this.#isTelling = true;
     for (const { run, event } of told) {
-      if (!run.isGone) run.listener(event);
+      if (!run.isEnded) run.listener(event);
       if (run.isComplete) this.#finish(run);
     }
     this.#isTelling = false;
   }
 
-  #advance(run: EngineRun, steps: number): EngineEvent | undefined {
-    const { prefilled, generated } = run;
+  #advance(run: RequestExecution, steps: number): EngineEvent | undefined {
+    const { prefilledTokens: prefilled, generatedTokens: generated } = run;
     const event = run.advance(steps);
-    this.#counters.prefillTokens += run.prefilled - prefilled;
-    this.#counters.outputTokens += run.generated - generated;
+    this.#counters.prefillTokens += run.prefilledTokens - prefilled;
+    this.#counters.outputTokens += run.generatedTokens - generated;
     if (event?.kind === "firstToken") {
       this.#memory.store(run.request.prefixDigests);
     }
     return event;
   }
 
-  #finish(run: EngineRun): void {
-    if (run.isGone) return;
+  #finish(run: RequestExecution): void {
+    if (run.isEnded) return;
     this.#drop(run);
     this.#counters.finished++;
     this.#recordLoad();
     run.listener({ kind: "finished", cachedTokens: run.cachedTokens });
   }
 
-  #drop(run: EngineRun): void {
-    run.isGone = true;
+  #drop(run: RequestExecution): void {
+    run.isEnded = true;
     this.#waiting.delete(run.request.id);
     if (!this.#running.delete(run.request.id)) return;
-    this.#memory.release(run.lengthTokens);
+    this.#memory.release(run.totalTokens);
   }
 
   #admit(): void {
@@ -270,20 +270,20 @@
     this.#recordLoad();
   }
 
-  #canAdmit(run: EngineRun): boolean {
+  #canAdmit(run: RequestExecution): boolean {
     if (this.#running.size === 0) return true;
     return this.#running.size < this.#speed.maximumBatch &&
-      this.#memory.hasRoom(run.lengthTokens);
+      this.#memory.hasCapacity(run.totalTokens);
   }
 
-  #start(run: EngineRun): void {
+  #start(run: RequestExecution): void {
     const { request } = run;
-    const matchedTokens = this.#memory.match(request.prefixDigests);
+    const matchedTokens = this.#memory.matchPrefix(request.prefixDigests);
     // The last prompt token is always computed; it gives the first answer token.
     run.cachedTokens = Math.min(matchedTokens, request.promptTokens - 1);
-    run.prefillLeft = request.promptTokens - run.cachedTokens;
+    run.remainingPrefillTokens = request.promptTokens - run.cachedTokens;
     this.#counters.cachedTokens += run.cachedTokens;
-    this.#memory.reserve(run.lengthTokens);
+    this.#memory.reserve(run.totalTokens);
     this.#running.set(request.id, run);
   }
 
@@ -292,7 +292,7 @@
       takenAt: this.#timer.now(),
       running: this.#running.size,
       waiting: this.#waiting.size,
-      memoryShare: this.#memory.share,
+      memoryShare: this.#memory.reservedShare,
     });
   }
 }
--- a/packages/engine-model/src/expectedAnswer.ts
+++ b/packages/engine-model/src/expectedResponse.ts
@@ -24,12 +24,12 @@
 }
 
 /** What the answer to a prompt depends on. */
-export function answerSeed(prompt: string): number {
+export function responseSeed(prompt: string): number {
   return createHash("sha256").update(prompt).digest().readUInt32BE();
 }
 
 /** The text of one token of an answer; it needs no escaping in JSON. */
-export function answerToken(seed: number, index: number): string {
+export function responseToken(seed: number, index: number): string {
   let mixed = Math.imul(seed ^ Math.imul(index + 1, MIX_FIRST), MIX_SECOND);
   mixed = Math.imul(mixed ^ (mixed >>> 15), MIX_FIRST);
   const value = ((mixed ^ (mixed >>> 13)) >>> 0) % TOKEN_VALUES;
@@ -37,25 +37,25 @@
 }
 
 /** The first `tokens` tokens of the answer to a prompt, so that receivers can check theirs. */
-export function expectedAnswer(prompt: string, tokens: number): string {
-  const seed = answerSeed(prompt);
+export function expectedResponse(prompt: string, tokens: number): string {
+  const seed = responseSeed(prompt);
   let answer = "";
   for (let index = 0; index < tokens; index++) {
-    answer += answerToken(seed, index);
+    answer += responseToken(seed, index);
   }
   return answer;
 }
 
 /** Asks the stand-in engine for an answer of so many tokens. */
-export function markTokens(tokens: number): string {
+export function tokenCountMarker(tokens: number): string {
   return `[[tokens=${tokens}]]`;
 }
 
 /** How long the stand-in engine's answer to a prompt is, at most `maximum`. */
-export function answerLength(prompt: string, maximum = Infinity): number {
+export function responseLength(prompt: string, maximum = Infinity): number {
   const marked = MARKED_TOKENS.exec(prompt)?.[1];
   const wanted = marked === undefined
-    ? SHORTEST_ANSWER + answerSeed(prompt) % ANSWER_LENGTHS
+    ? SHORTEST_ANSWER + responseSeed(prompt) % ANSWER_LENGTHS
     : Number(marked);
   return Math.max(1, Math.min(wanted, maximum));
 }
--- a/packages/engine-model/src/generations.ts
+++ b/packages/engine-model/src/hardwareGenerations.ts
@@ -1,4 +1,4 @@
-import type { EngineSpeed } from "./types.ts";
+import type { EngineProfile } from "./types.ts";
 
 /**
  * Three hardware generations (like L4, A100 and H100 accelerators) serving a model of eight billion
@@ -8,7 +8,7 @@
  * leave free (of 24, 40 and 80 GB, less a tenth); prefill is bounded by
  * arithmetic at about two fifths of the published peak.
  */
-export const GENERATIONS = {
+export const HARDWARE_GENERATIONS = {
   g1: {
     prefillTokensPerSecond: 3_000,
     decodeStepMs: 54,
@@ -33,7 +33,7 @@
     maximumBatchPrefillTokens: 2_048,
     kvCapacityTokens: 420_000,
   },
-} as const satisfies Record<string, EngineSpeed>;
+} as const satisfies Record<string, EngineProfile>;
 
-/** Name of one entry of {@link GENERATIONS}. */
-export type Generation = keyof typeof GENERATIONS;
+/** Name of one entry of {@link HARDWARE_GENERATIONS}. */
+export type HardwareGeneration = keyof typeof HARDWARE_GENERATIONS;
--- a/packages/engine-model/src/index.ts
+++ b/packages/engine-model/src/index.ts
@@ -1,5 +1,5 @@
 export * from "./engineModel.ts";
-export * from "./expectedAnswer.ts";
-export * from "./generations.ts";
-export { BLOCK_TOKENS } from "./kvMemory.ts";
+export * from "./expectedResponse.ts";
+export * from "./hardwareGenerations.ts";
+export { TOKENS_PER_BLOCK } from "./kvMemory.ts";
 export * from "./types.ts";
--- a/packages/engine-model/src/kvMemory.ts
+++ b/packages/engine-model/src/kvMemory.ts
@@ -7,7 +7,7 @@
 import { PrefixCache } from "./prefixCache.ts";
 
 /** Tokens of prompt that one cached block saves. */
-export const BLOCK_TOKENS = PREFIX_BLOCK_BYTES / BYTES_PER_TOKEN;
+export const TOKENS_PER_BLOCK = PREFIX_BLOCK_BYTES / BYTES_PER_TOKEN;
 
 /** KV memory: what running requests hold comes first, cached prefixes have the rest. */
 export class KvMemory {
@@ -22,11 +22,11 @@
   }
 
   /** Share of the memory that running requests hold, 0 to 1. */
-  get share(): number {
+  get reservedShare(): number {
     return Math.min(1, this.#reservedTokens / this.#capacityTokens);
   }
 
-  hasRoom(tokens: number): boolean {
+  hasCapacity(tokens: number): boolean {
     return this.#reservedTokens + tokens <= this.#capacityTokens;
   }
 
@@ -40,11 +40,11 @@
   }
 
   /** Tokens of a prompt's longest cached prefix. */
-  match(digests: readonly Digest[]): number {
-    return this.#cache.match(digests) * BLOCK_TOKENS;
+  matchPrefix(digests: readonly Digest[]): number {
+    return this.#cache.matchPrefix(digests) * TOKENS_PER_BLOCK;
   }
 
-  held(digests: readonly Digest[]): Digest[] {
+  cachedBlocks(digests: readonly Digest[]): Digest[] {
     return digests.filter((digest) => this.#cache.has(digest));
   }
 
@@ -61,8 +61,8 @@
 
   #shrinkCache(): void {
     const free = this.#capacityTokens - this.#reservedTokens;
-    const bound = Math.max(0, Math.floor(free / BLOCK_TOKENS));
+    const bound = Math.max(0, Math.floor(free / TOKENS_PER_BLOCK));
     if (this.#cache.size <= bound) return;
-    this.#events.record("evicted", this.#cache.shrinkTo(bound));
+    this.#events.record("evicted", this.#cache.evictTo(bound));
   }
 }
--- a/packages/engine-model/src/loadHistory.ts
+++ b/packages/engine-model/src/loadHistory.ts
@@ -19,7 +19,7 @@
   }
 
   /** The load as it stood one lag before `now`. */
-  report(now: Milliseconds): EngineLoad {
+  delayedLoad(now: Milliseconds): EngineLoad {
     this.#forget(now);
     const oldest = this.#readings[0];
     const takenAt = now - this.#lagMs;
--- a/packages/engine-model/src/prefixCache.ts
+++ b/packages/engine-model/src/prefixCache.ts
@@ -17,7 +17,7 @@
   }
 
   /** How many leading blocks of a prompt are held; marks them as used. */
-  match(digests: readonly Digest[]): number {
+  matchPrefix(digests: readonly Digest[]): number {
     let count = 0;
     while (count < digests.length && this.#blocks.has(digests[count]!)) count++;
     for (let index = count - 1; index >= 0; index--) this.#use(digests[index]!);
@@ -34,7 +34,7 @@
   }
 
   /** Drops blocks until at most `bound` are left; returns the dropped ones. */
-  shrinkTo(bound: number): Digest[] {
+  evictTo(bound: number): Digest[] {
     const evicted: Digest[] = [];
     for (const digest of this.#blocks) {
       if (this.#blocks.size <= bound) break;
--- a/packages/engine-model/src/engineRun.ts
+++ b/packages/engine-model/src/requestExecution.ts
@@ -1,19 +1,19 @@
 import type { EngineEvent, EngineListener, EngineRequest } from "./types.ts";
 
 /** One request inside an engine. */
-export class EngineRun {
+export class RequestExecution {
   readonly request: EngineRequest;
   readonly listener: EngineListener;
   cachedTokens = 0;
   /** Prompt tokens still to compute. */
-  prefillLeft = 0;
+  remainingPrefillTokens = 0;
   /** Prompt tokens computed so far. */
-  prefilled = 0;
+  prefilledTokens = 0;
   /** Prompt tokens to compute in each step of the current span. */
-  chunk = 0;
-  generated = 0;
+  prefillChunkTokens = 0;
+  generatedTokens = 0;
   /** Finished, cancelled or lost; nothing more is told about it. */
-  isGone = false;
+  isEnded = false;
 
   constructor(request: EngineRequest, listener: EngineListener) {
     this.request = request;
@@ -21,24 +21,24 @@
   }
 
   /** KV memory that the whole request takes. */
-  get lengthTokens(): number {
+  get totalTokens(): number {
     return this.request.promptTokens + this.request.outputTokens;
   }
 
   get isComplete(): boolean {
-    return this.generated >= this.request.outputTokens;
+    return this.generatedTokens >= this.request.outputTokens;
   }
 
   /** Does `steps` equal steps; the event that they give. */
   advance(steps: number): EngineEvent | undefined {
-    if (this.prefillLeft === 0) {
-      this.generated += steps;
+    if (this.remainingPrefillTokens === 0) {
+      this.generatedTokens += steps;
       return { kind: "tokens", count: steps };
     }
-    this.prefillLeft -= this.chunk * steps;
-    this.prefilled += this.chunk * steps;
-    if (this.prefillLeft > 0) return undefined;
-    this.generated = 1;
+    this.remainingPrefillTokens -= this.prefillChunkTokens * steps;
+    this.prefilledTokens += this.prefillChunkTokens * steps;
+    if (this.remainingPrefillTokens > 0) return undefined;
+    this.generatedTokens = 1;
     return { kind: "firstToken", cachedTokens: this.cachedTokens };
   }
 }
--- a/packages/engine-model/src/stepPlan.ts
+++ b/packages/engine-model/src/stepPlan.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from "@wasabivane/common";
-import type { EngineRun } from "./engineRun.ts";
-import type { EngineSpeed } from "./types.ts";
+import type { RequestExecution } from "./requestExecution.ts";
+import type { EngineProfile } from "./types.ts";
 
 /** Equal steps that a batch can do before it changes. */
 export interface StepPlan {
@@ -13,23 +13,26 @@
  * step then takes and how often it repeats until a run ends or leaves prefill.
  */
 export function planSteps(
-  runs: Iterable<EngineRun>,
-  speed: EngineSpeed,
+  runs: Iterable<RequestExecution>,
+  speed: EngineProfile,
 ): StepPlan {
   let budget = speed.maximumBatchPrefillTokens;
   let stepMs = speed.decodeStepMs;
   let steps = Infinity;
   for (const run of runs) {
-    if (run.prefillLeft === 0) {
+    if (run.remainingPrefillTokens === 0) {
       stepMs += speed.decodeStepPerRequestMs;
-      steps = Math.min(steps, run.request.outputTokens - run.generated);
+      steps = Math.min(steps, run.request.outputTokens - run.generatedTokens);
       continue;
     }
-    run.chunk = Math.min(budget, run.prefillLeft);
-    budget -= run.chunk;
-    if (run.chunk === 0) continue;
-    stepMs += (run.chunk / speed.prefillTokensPerSecond) * 1_000;
-    steps = Math.min(steps, Math.floor(run.prefillLeft / run.chunk));
+    run.prefillChunkTokens = Math.min(budget, run.remainingPrefillTokens);
+    budget -= run.prefillChunkTokens;
+    if (run.prefillChunkTokens === 0) continue;
+    stepMs += (run.prefillChunkTokens / speed.prefillTokensPerSecond) * 1_000;
+    steps = Math.min(
+      steps,
+      Math.floor(run.remainingPrefillTokens / run.prefillChunkTokens),
+    );
   }
   return { stepMs, steps };
 }
--- a/packages/engine-model/src/types.ts
+++ b/packages/engine-model/src/types.ts
@@ -1,7 +1,7 @@
 import type { Digest, Milliseconds, Random, Timer } from "@wasabivane/common";
 
 /** How fast one engine works and how much it holds. */
-export interface EngineSpeed {
+export interface EngineProfile {
   readonly prefillTokensPerSecond: number;
   /** Time of one batch step before any request adds to it. */
   readonly decodeStepMs: Milliseconds;
@@ -20,7 +20,7 @@
   timer: Timer;
   /** Decides which cache events are lost. */
   random: Random;
-  speed: EngineSpeed;
+  profile: EngineProfile;
   /** Age of a load report when it is read. */
   reportLagMs?: Milliseconds;
   /** Time until a cache event can be read. */
--- a/packages/engine-model/tests/engineModel.test.ts
+++ b/packages/engine-model/tests/engineModel.test.ts
@@ -1,14 +1,18 @@
 import test from "ava";
 import { SeededRandom } from "@wasabivane/common";
-import { createBench, digestsOf, SPEED } from "./helpers/engineBench.ts";
+import {
+  createDigests,
+  createEngineFixture,
+  PROFILE,
+} from "./helpers/engineFixture.ts";
 
 test("requests of one batch share its steps", (t) => {
-  const alone = createBench();
-  const single = alone.run("a", { prompt: 100, output: 50 });
+  const alone = createEngineFixture();
+  const single = alone.submit("a", { prompt: 100, output: 50 });
   alone.timer.advance(60_000);
-  const shared = createBench();
+  const shared = createEngineFixture();
   const both = ["a", "b"].map((id) =>
-    shared.run(id, { prompt: 100, output: 50 })
+    shared.submit(id, { prompt: 100, output: 50 })
   );
   shared.timer.advance(60_000);
   t.is(single.finishedAt, 110 + 49 * 11);
@@ -17,7 +21,7 @@
 });
 
 test("a full batch makes the next request wait, in order of arrival", (t) => {
-  const { timer, engine, run } = createBench();
+  const { timer, engine, submit: run } = createEngineFixture();
   const seen = [1, 2, 3, 4, 5, 6].map((index) =>
     run(`r${index}`, { prompt: 50, output: 20 })
   );
@@ -28,7 +32,7 @@
 });
 
 test("KV memory bounds admission below the batch size", (t) => {
-  const { timer, run } = createBench();
+  const { timer, submit: run } = createEngineFixture();
   const first = run("first", { prompt: 6_000, output: 10 });
   const second = run("second", { prompt: 6_000, output: 10 });
   timer.advance(600_000);
@@ -36,14 +40,20 @@
 });
 
 test("a cached prefix saves its prefill, and not another salt's", (t) => {
-  const { timer, engine, run } = createBench();
+  const { timer, engine, submit: run } = createEngineFixture();
   const request = { prompt: 700, output: 1 };
-  run("cold", { ...request, digests: digestsOf("firm-a", 10) });
+  run("cold", { ...request, digests: createDigests("firm-a", 10) });
   timer.advance(60_000);
   const start = timer.now();
-  const warm = run("warm", { ...request, digests: digestsOf("firm-a", 10) });
+  const warm = run("warm", {
+    ...request,
+    digests: createDigests("firm-a", 10),
+  });
   timer.advance(60_000);
-  const other = run("other", { ...request, digests: digestsOf("firm-b", 10) });
+  const other = run("other", {
+    ...request,
+    digests: createDigests("firm-b", 10),
+  });
   timer.advance(60_000);
   t.is(warm.cachedTokens, 640);
   t.is(warm.finishedAt - start, 10 + 60);
@@ -52,11 +62,15 @@
 });
 
 test("the cache evicts the least recently used prompt under memory pressure", (t) => {
-  const { timer, engine, run } = createBench();
-  const digests = digestsOf("old", 60);
+  const { timer, engine, submit: run } = createEngineFixture();
+  const digests = createDigests("old", 60);
   run("old", { prompt: 3_840, output: 1, digests });
   timer.advance(60_000);
-  run("large", { prompt: 9_000, output: 1, digests: digestsOf("new", 140) });
+  run("large", {
+    prompt: 9_000,
+    output: 1,
+    digests: createDigests("new", 140),
+  });
   timer.advance(60_000);
   t.true(engine.exportBlocks(digests).length < 60);
   const kinds = engine.cacheEvents(0).map(({ kind }) => kind);
@@ -64,19 +78,19 @@
 });
 
 test("a long prompt slows the answers beside it", (t) => {
-  const quiet = createBench();
-  const undisturbed = quiet.run("short", { prompt: 10, output: 100 });
+  const quiet = createEngineFixture();
+  const undisturbed = quiet.submit("short", { prompt: 10, output: 100 });
   quiet.timer.advance(60_000);
-  const loud = createBench();
-  const disturbed = loud.run("short", { prompt: 10, output: 100 });
-  loud.run("long", { prompt: 4_000, output: 10 });
+  const loud = createEngineFixture();
+  const disturbed = loud.submit("short", { prompt: 10, output: 100 });
+  loud.submit("long", { prompt: 4_000, output: 10 });
   loud.timer.advance(60_000);
   t.true(disturbed.finishedAt > 3 * undisturbed.finishedAt);
   t.is(disturbed.tokens, 100);
 });
 
 test("a cancel frees its place and counts the computed prompt as wasted", (t) => {
-  const { timer, engine, run } = createBench();
+  const { timer, engine, submit: run } = createEngineFixture();
   const cancelled = run("a", { prompt: 1_000, output: 10 });
   timer.advance(555);
   t.is(engine.cancel("a"), 500);
@@ -89,8 +103,8 @@
 });
 
 test("a crash loses everything in flight and the cache", (t) => {
-  const { timer, engine, run } = createBench();
-  const digests = digestsOf("firm", 2);
+  const { timer, engine, submit: run } = createEngineFixture();
+  const digests = createDigests("firm", 2);
   run("done", { prompt: 130, output: 1, digests });
   timer.advance(1_000);
   const lost = [1, 2, 3, 4, 5].map((index) =>
@@ -98,7 +112,11 @@
   );
   timer.advance(5_000);
   engine.crash();
-  t.true(lost.every(({ lostPrefill }) => lostPrefill !== undefined));
+  t.true(
+    lost.every(({ lostPrefillTokens: lostPrefill }) =>
+      lostPrefill !== undefined
+    ),
+  );
   t.is(engine.loadReport(), undefined);
   t.deepEqual(engine.exportBlocks(digests), []);
   t.true(Number.isNaN(run("down", { prompt: 1, output: 1 }).finishedAt));
@@ -110,7 +128,7 @@
 });
 
 test("a pause stops the work and a slow-down stretches the steps", (t) => {
-  const { timer, engine, run } = createBench();
+  const { timer, engine, submit: run } = createEngineFixture();
   const seen = run("a", { prompt: 100, output: 11 });
   timer.advance(110);
   engine.pause();
@@ -123,7 +141,7 @@
 });
 
 test("load reports lag, cache events come late and with gaps", (t) => {
-  const { timer, engine, run } = createBench({
+  const { timer, engine, submit: run } = createEngineFixture({
     reportLagMs: 500,
     cacheEventLagMs: 2_000,
     cacheEventLossRate: 0.5,
@@ -137,7 +155,7 @@
     run(`c${index}`, {
       prompt: 70,
       output: 1,
-      digests: digestsOf(`salt-${index}`, 1),
+      digests: createDigests(`salt-${index}`, 1),
     });
     timer.advance(200);
   }
@@ -150,7 +168,9 @@
 
 test("joined steps end every request at the same moment as single steps", (t) => {
   const ends = [1, Infinity].map((maximumStepsPerEvent) => {
-    const { timer, engine, run } = createBench({ maximumStepsPerEvent });
+    const { timer, engine, submit: run } = createEngineFixture({
+      maximumStepsPerEvent,
+    });
     const random = new SeededRandom(7);
     const seen = [];
     for (let index = 0; index < 200; index++) {
@@ -161,7 +181,7 @@
     }
     timer.advance(600_000);
     const times = seen.map(({ finishedAt }) => finishedAt.toFixed(3));
-    return { times, counters: engine.counters, speed: SPEED };
+    return { times, counters: engine.counters, speed: PROFILE };
   });
   t.deepEqual(ends[0], ends[1]);
 });
--- a/packages/engine-model/tests/helpers/engineBench.ts
+++ b/packages/engine-model/tests/helpers/engineFixture.ts
@@ -7,10 +7,10 @@
 import {
   EngineModel,
   type EngineModelOptions,
-  type EngineSpeed,
+  type EngineProfile,
 } from "@wasabivane/engine-model";
 
-export const SPEED: EngineSpeed = {
+export const PROFILE: EngineProfile = {
   prefillTokensPerSecond: 1_000,
   decodeStepMs: 10,
   decodeStepPerRequestMs: 1,
@@ -20,40 +20,45 @@
 };
 
 /** What a test saw of one request. */
-export interface Seen {
+export interface ObservedRequest {
   firstTokenAt: number;
   finishedAt: number;
   tokens: number;
   cachedTokens: number;
-  lostPrefill: number | undefined;
+  lostPrefillTokens: number | undefined;
 }
 
-export interface EngineBench {
+export interface EngineFixture {
   timer: VirtualTimer;
   engine: EngineModel;
   /** Submits a request and notes what happens to it. */
-  run(
+  submit(
     id: string,
     length: { prompt: number; output: number; digests?: Digest[] },
-  ): Seen;
+  ): ObservedRequest;
 }
 
-export function createBench(
+export function createEngineFixture(
   options: Partial<EngineModelOptions> = {},
-): EngineBench {
+): EngineFixture {
   const timer = new VirtualTimer();
   const random = new SeededRandom(1);
-  const engine = new EngineModel({ timer, random, speed: SPEED, ...options });
+  const engine = new EngineModel({
+    timer,
+    random,
+    profile: PROFILE,
+    ...options,
+  });
   return {
     timer,
     engine,
-    run(id, { prompt, output, digests = [] }): Seen {
-      const seen: Seen = {
+    submit(id, { prompt, output, digests = [] }): ObservedRequest {
+      const seen: ObservedRequest = {
         firstTokenAt: NaN,
         finishedAt: NaN,
         tokens: 0,
         cachedTokens: 0,
-        lostPrefill: undefined,
+        lostPrefillTokens: undefined,
       };
       const request = {
         id,
@@ -69,7 +74,9 @@
         }
         if (event.kind === "tokens") seen.tokens += event.count;
         if (event.kind === "finished") seen.finishedAt = timer.now();
-        if (event.kind === "lost") seen.lostPrefill = event.prefilledTokens;
+        if (event.kind === "lost") {
+          seen.lostPrefillTokens = event.prefilledTokens;
+        }
       });
       return seen;
     },
@@ -77,6 +84,6 @@
 }
 
 /** Digests of a prompt of so many whole blocks. */
-export function digestsOf(salt: string, blocks: number): Digest[] {
+export function createDigests(salt: string, blocks: number): Digest[] {
   return prefixDigests(salt, "x".repeat(blocks * 256));
 }
--- a/packages/proof/src/arrivals.ts
+++ b/packages/proof/src/arrivals.ts
@@ -11,10 +11,10 @@
   type UpstreamId,
 } from "@wasabivane/common";
 import {
-  BLOCK_TOKENS,
-  type EngineSpeed,
-  type Generation,
-  GENERATIONS,
+  type EngineProfile,
+  HARDWARE_GENERATIONS,
+  type HardwareGeneration,
+  TOKENS_PER_BLOCK,
 } from "@wasabivane/engine-model";
 
 /** A deployment that the experiments are modelled on. */
@@ -51,8 +51,8 @@
 export interface FleetMember {
   readonly upstream: UpstreamId;
   readonly failureDomain: FailureDomain;
-  readonly generation: Generation;
-  readonly speed: EngineSpeed;
+  readonly generation: HardwareGeneration;
+  readonly speed: EngineProfile;
 }
 
 /** Everything an experiment replays for each policy. */
@@ -90,7 +90,7 @@
 export const MAXIMUM_OUTPUT_TOKENS = 1_024;
 
 const ACCOUNT_SHARES = [0.4, 0.3, 0.15, 0.1, 0.05];
-const FLEET: readonly Generation[] = [
+const FLEET: readonly HardwareGeneration[] = [
   ...["g3", "g3", "g3", "g3"] as const,
   ...["g2", "g2", "g2", "g2", "g2", "g2"] as const,
   ...["g1", "g1", "g1", "g1", "g1", "g1"] as const,
@@ -122,7 +122,7 @@
     upstream: asId<UpstreamId>(`${deployment}-${index}`),
     failureDomain: asId<FailureDomain>(domains[index % domains.length]!),
     generation,
-    speed: GENERATIONS[generation],
+    speed: HARDWARE_GENERATIONS[generation],
   }));
 }
 
@@ -166,7 +166,7 @@
   const promptTokens = mean(samples.map((sample) => sample.prompt));
   const outputTokens = mean(samples.map((sample) => sample.output));
   return FLEET.reduce((sum, generation) => {
-    const speed = GENERATIONS[generation];
+    const speed = HARDWARE_GENERATIONS[generation];
     const seconds = promptTokens / speed.prefillTokensPerSecond +
       outputTokens * fullBatchStepMs(speed) / 1_000;
     return sum + 1 / seconds;
@@ -174,7 +174,7 @@
 }
 
 /** Time of one output token when the batch is full. */
-export function fullBatchStepMs(speed: EngineSpeed): Milliseconds {
+export function fullBatchStepMs(speed: EngineProfile): Milliseconds {
   return speed.decodeStepMs / speed.maximumBatch +
     speed.decodeStepPerRequestMs;
 }
@@ -203,7 +203,7 @@
     account,
     tier,
     originDomain: asId<FailureDomain>(random.pick(domains)),
-    promptTokens: prefixDigests.length * BLOCK_TOKENS + ownTokens,
+    promptTokens: prefixDigests.length * TOKENS_PER_BLOCK + ownTokens,
     outputTokens: drawOutput(random, output),
     maximumOutputTokens: MAXIMUM_OUTPUT_TOKENS,
     prefixDigests,
--- a/packages/proof/src/bound.ts
+++ b/packages/proof/src/bound.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds, Tier } from "@wasabivane/common";
-import { BLOCK_TOKENS, type EngineSpeed } from "@wasabivane/engine-model";
+import { type EngineProfile, TOKENS_PER_BLOCK } from "@wasabivane/engine-model";
 import {
   type Arrival,
   fullBatchStepMs,
@@ -89,7 +89,7 @@
   sharedBlocks: ReadonlySet<string>,
 ): number {
   const shared = prefixDigests.filter((digest) => sharedBlocks.has(digest));
-  return Math.max(1, promptTokens - shared.length * BLOCK_TOKENS);
+  return Math.max(1, promptTokens - shared.length * TOKENS_PER_BLOCK);
 }
 
 function blocksOfSeveral(arrivals: readonly Arrival[]): Set<string> {
@@ -122,7 +122,7 @@
 
 /** Time of a request on an engine that runs nothing else. */
 export function timeAlone(
-  speed: EngineSpeed,
+  speed: EngineProfile,
   promptTokens: number,
   outputTokens: number,
 ): Milliseconds {
--- a/packages/proof/src/demoMain.ts
+++ b/packages/proof/src/demoMain.ts
@@ -70,7 +70,7 @@
     endings.push(...await Promise.all(sendings));
   }
   const whole = endings.filter((ending) => ending === "whole").length;
-  const runs = [...fleet.deployment.plains.values()]
+  const runs = [...fleet.deployment.plainServices.values()]
     .flatMap((plain) => Object.values(plain.runs.byKey))
     .reduce((sum, count) => sum + count, 0);
   print(`  ${KEYED_SAVES} saves, each sent through ${SENDINGS} hosts at once`);
--- a/packages/proof/src/experiment.ts
+++ b/packages/proof/src/experiment.ts
@@ -366,7 +366,7 @@
     const model = new EngineModel({
       timer: this.#timer,
       random: this.#random,
-      speed: member.speed,
+      profile: member.speed,
       reportLagMs: this.#scenario.reportLagMs,
       cacheEventLagMs: this.#scenario.cacheEventLagMs,
       cacheEventLossRate: CACHE_EVENT_LOSS_RATE,
--- a/packages/proof/src/liveJudge.ts
+++ b/packages/proof/src/liveJudge.ts
@@ -77,7 +77,7 @@
 /** Runs of each key, over all plain services. */
 function runsByKey({ deployment }: Fleet): Map<string, number> {
   const runs = new Map<string, number>();
-  for (const { runs: { byKey } } of deployment.plains.values()) {
+  for (const { runs: { byKey } } of deployment.plainServices.values()) {
     for (const [key, times] of Object.entries(byKey)) {
       runs.set(key, (runs.get(key) ?? 0) + times);
     }
@@ -86,7 +86,7 @@
 }
 
 function doubledNonces({ deployment }: Fleet): number {
-  const plain = [...deployment.plains.values()].flatMap(({ runs }) =>
+  const plain = [...deployment.plainServices.values()].flatMap(({ runs }) =>
     Object.values(runs.byNonce)
   );
   const engines = [...deployment.engines.values()].flatMap((
--- a/packages/stand-ins/src/chatRequest.ts
+++ b/packages/stand-ins/src/chatRequest.ts
@@ -1,11 +1,11 @@
 import { Buffer } from "node:buffer";
 import { estimateTokens, prefixDigests } from "@wasabivane/common";
 import { type ChatMessage, promptText } from "@wasabivane/engine-model";
-import type { AnswerRequest } from "./engineAnswer.ts";
+import type { CompletionRequest } from "./engineResponse.ts";
 
 /** A chat completions call. */
-export interface ChatRequest extends AnswerRequest {
-  readonly wantsStream: boolean;
+export interface ChatRequest extends CompletionRequest {
+  readonly shouldStream: boolean;
 }
 
 /** Reads a chat completions body; `undefined` when it has no model or messages. */
@@ -24,7 +24,7 @@
     promptTokens: estimateTokens(Buffer.byteLength(prompt)),
     prefixDigests: prefixDigests(typeof salt === "string" ? salt : "", prompt),
     maximumTokens: typeof maximum === "number" ? maximum : Infinity,
-    wantsStream: body["stream"] === true,
+    shouldStream: body["stream"] === true,
   };
 }
 
--- a/packages/stand-ins/src/deployment.ts
+++ b/packages/stand-ins/src/deployment.ts
@@ -4,7 +4,10 @@
   type Upstream,
 } from "@wasabivane/bundle";
 import type { Milliseconds } from "@wasabivane/common";
-import { type Generation, GENERATIONS } from "@wasabivane/engine-model";
+import {
+  HARDWARE_GENERATIONS,
+  type HardwareGeneration,
+} from "@wasabivane/engine-model";
 import { EngineStandIn, type EngineStandInOptions } from "./engineStandIn.ts";
 import { PlainStandIn } from "./plainStandIn.ts";
 import { PlatformStandIn } from "./platformStandIn.ts";
@@ -28,7 +31,7 @@
   /** Urls by upstream id, such as `drafter-01` or `casefile-1`. */
   readonly urls: Readonly<Record<string, string>>;
   readonly engines: ReadonlyMap<string, EngineStandIn>;
-  readonly plains: ReadonlyMap<string, PlainStandIn>;
+  readonly plainServices: ReadonlyMap<string, PlainStandIn>;
   readonly platform: PlatformStandIn;
   readonly platformUrl: string;
   /** Stops all of them. */
@@ -61,7 +64,7 @@
   return {
     urls,
     engines,
-    plains,
+    plainServices: plains,
     platform,
     platformUrl,
     async stop(): Promise<void> {
@@ -82,6 +85,6 @@
   });
 }
 
-function isGeneration(name: string): name is Generation {
-  return name in GENERATIONS;
+function isGeneration(name: string): name is HardwareGeneration {
+  return name in HARDWARE_GENERATIONS;
 }
--- a/packages/stand-ins/src/engineAnswer.ts
+++ b/packages/stand-ins/src/engineResponse.ts
@@ -1,16 +1,16 @@
 import type { Digest } from "@wasabivane/common";
 import {
-  answerLength,
-  answerSeed,
-  answerToken,
   type EngineEvent,
+  responseLength,
+  responseSeed,
+  responseToken,
 } from "@wasabivane/engine-model";
 
 /** How far an answer has come; nothing changes after any but `running`. */
-export type AnswerState = "running" | "finished" | "cancelled" | "lost";
+export type ResponseState = "running" | "finished" | "cancelled" | "lost";
 
 /** A chat completions call as the engine takes it. */
-export interface AnswerRequest {
+export interface CompletionRequest {
   readonly nonce: string;
   readonly model: string;
   readonly prompt: string;
@@ -20,32 +20,32 @@
 }
 
 /** One answer of the engine; it grows whether or not a connection reads it. */
-export class EngineAnswer {
+export class EngineResponse {
   /** Its id in the engine model. */
   readonly id: string;
-  readonly request: AnswerRequest;
+  readonly request: CompletionRequest;
   readonly outputTokens: number;
   /** Whether the caller's maximum cut the answer. */
-  readonly isBounded: boolean;
+  readonly isLengthLimited: boolean;
   readonly #seed: number;
   readonly #readers = new Set<() => void>();
-  #state: AnswerState = "running";
+  #state: ResponseState = "running";
   #generated = 0;
   #cachedTokens = 0;
 
-  constructor(id: string, request: AnswerRequest) {
+  constructor(id: string, request: CompletionRequest) {
     this.id = id;
     this.request = request;
-    this.outputTokens = answerLength(request.prompt, request.maximumTokens);
-    this.isBounded = this.outputTokens < answerLength(request.prompt);
-    this.#seed = answerSeed(request.prompt);
+    this.outputTokens = responseLength(request.prompt, request.maximumTokens);
+    this.isLengthLimited = this.outputTokens < responseLength(request.prompt);
+    this.#seed = responseSeed(request.prompt);
   }
 
-  get state(): AnswerState {
+  get state(): ResponseState {
     return this.#state;
   }
 
-  get generated(): number {
+  get generatedTokens(): number {
     return this.#generated;
   }
 
@@ -53,22 +53,22 @@
     return this.#cachedTokens;
   }
 
-  get isRead(): boolean {
+  get hasReaders(): boolean {
     return this.#readers.size > 0;
   }
 
-  token(index: number): string {
-    return answerToken(this.#seed, index);
+  tokenAt(index: number): string {
+    return responseToken(this.#seed, index);
   }
 
   /** Calls back after each change; the returned function ends that. */
-  read(onChange: () => void): () => void {
+  subscribe(onChange: () => void): () => void {
     this.#readers.add(onChange);
     return () => this.#readers.delete(onChange);
   }
 
   /** Takes in what the engine did. */
-  apply(event: EngineEvent): void {
+  applyEvent(event: EngineEvent): void {
     if (event.kind === "firstToken") {
       this.#cachedTokens = event.cachedTokens;
       this.#generated = 1;
--- a/packages/stand-ins/src/engineHost.ts
+++ b/packages/stand-ins/src/engineRuntime.ts
@@ -10,28 +10,28 @@
   type EngineEvent,
   type EngineLoad,
   EngineModel,
-  type EngineSpeed,
-  type Generation,
-  GENERATIONS,
+  type EngineProfile,
+  HARDWARE_GENERATIONS,
+  type HardwareGeneration,
 } from "@wasabivane/engine-model";
-import { type AnswerRequest, EngineAnswer } from "./engineAnswer.ts";
+import { type CompletionRequest, EngineResponse } from "./engineResponse.ts";
 import { Gate } from "./gate.ts";
 import { RunLog } from "./runLog.ts";
 import { ScaledTimer } from "./scaledTimer.ts";
 
 /** A prompt with this text crashes the engine that runs it. */
-export const POISON_MARK = "[[poison]]";
+export const POISON_MARKER = "[[poison]]";
 
 /** Real time that the steps of one event should at least take. */
 const SHORTEST_EVENT_MS = 4;
 
 /** Options of an engine that runs in scaled real time; lags are in model time. */
-export interface EngineHostOptions {
+export interface EngineRuntimeOptions {
   timer?: Timer;
   random?: Random;
-  generation?: Generation;
+  generation?: HardwareGeneration;
   /** Overrides the generation's. */
-  speed?: EngineSpeed;
+  profile?: EngineProfile;
   /** How many times as fast as real time the engine works. */
   timeScale?: number;
   reportLagMs?: Milliseconds;
@@ -46,7 +46,7 @@
 }
 
 /** The engine model in scaled real time with the answers of its requests, without HTTP. */
-export class EngineHost {
+export class EngineRuntime {
   readonly model: EngineModel;
   readonly runs = new RunLog();
   readonly #timer: Timer;
@@ -54,14 +54,15 @@
   readonly #timeScale: number;
   readonly #resumeWindowMs: Milliseconds;
   readonly #restartAfterMs: Milliseconds | undefined;
-  readonly #answers = new Map<string, EngineAnswer>();
+  readonly #answers = new Map<string, EngineResponse>();
   readonly #pending = new Set<TimerSubscription>();
   readonly #gate = new Gate();
   readonly #onCrash: () => void;
   #submitted = 0;
 
-  constructor(options: EngineHostOptions = {}) {
-    const speed = options.speed ?? GENERATIONS[options.generation ?? "g2"];
+  constructor(options: EngineRuntimeOptions = {}) {
+    const speed = options.profile ??
+      HARDWARE_GENERATIONS[options.generation ?? "g2"];
     this.#timeScale = options.timeScale ?? 1;
     this.#timer = options.timer ?? new SystemTimer();
     this.#scaledTimer = new ScaledTimer(this.#timer, this.#timeScale);
@@ -72,7 +73,7 @@
     this.model = new EngineModel({
       timer: this.#scaledTimer,
       random: options.random ?? new SystemRandom(),
-      speed,
+      profile: speed,
       reportLagMs: options.reportLagMs ?? 1_000,
       cacheEventLagMs: options.cacheEventLagMs ?? 2_000,
       cacheEventLossRate: options.cacheEventLossRate ?? 0.05,
@@ -84,11 +85,11 @@
   }
 
   /** Starts a request; `undefined` when the engine is down. */
-  run(request: AnswerRequest): EngineAnswer | undefined {
+  submit(request: CompletionRequest): EngineResponse | undefined {
     const { nonce, promptTokens, prefixDigests } = request;
     // A nonce that comes twice runs twice, so that a test can see the fault.
     const id = `${nonce}#${this.#submitted++}`;
-    const answer = new EngineAnswer(id, request);
+    const answer = new EngineResponse(id, request);
     const { outputTokens } = answer;
     const isTaken = this.model.submit(
       { id, promptTokens, prefixDigests, outputTokens },
@@ -96,11 +97,11 @@
     );
     if (!isTaken) return undefined;
     this.#answers.set(nonce, answer);
-    this.runs.start(answer);
+    this.runs.recordStart(answer);
     return answer;
   }
 
-  find(nonce: string): EngineAnswer | undefined {
+  findResponse(nonce: string): EngineResponse | undefined {
     return this.#answers.get(nonce);
   }
 
@@ -116,11 +117,13 @@
   }
 
   /** Forgets a request when nothing reads its answer within the resume window. */
-  release(answer: EngineAnswer): void {
-    if (answer.isRead) return;
+  scheduleExpiry(answer: EngineResponse): void {
+    if (answer.hasReaders) return;
     const { nonce } = answer.request;
     this.#later(this.#resumeWindowMs, () => {
-      if (!answer.isRead && this.find(nonce) === answer) this.cancel(nonce);
+      if (!answer.hasReaders && this.findResponse(nonce) === answer) {
+        this.cancel(nonce);
+      }
     });
   }
 
@@ -151,19 +154,19 @@
   }
 
   /** Resolves once the engine is not paused. */
-  whenAwake(): Promise<void> {
-    return this.#gate.pass();
+  whenResumed(): Promise<void> {
+    return this.#gate.whenOpen();
   }
 
   /** The lagging load report; `undefined` while the engine is down. */
-  load(): EngineLoad | undefined {
+  loadReport(): EngineLoad | undefined {
     const load = this.model.loadReport();
     if (load === undefined) return undefined;
     const age = (this.#scaledTimer.now() - load.takenAt) / this.#timeScale;
     return { ...load, takenAt: Math.round(this.#timer.wallNow() - age) };
   }
 
-  wallSeconds(): number {
+  epochSeconds(): number {
     return Math.floor(this.#timer.wallNow() / 1_000);
   }
 
@@ -183,9 +186,9 @@
     this.#pending.add(subscription);
   }
 
-  #apply(answer: EngineAnswer, event: EngineEvent): void {
-    const isPoison = answer.request.prompt.includes(POISON_MARK);
+  #apply(answer: EngineResponse, event: EngineEvent): void {
+    const isPoison = answer.request.prompt.includes(POISON_MARKER);
     if (isPoison && event.kind === "firstToken") this.crash();
-    else answer.apply(event);
+    else answer.applyEvent(event);
   }
 }
--- a/packages/stand-ins/src/engineStandIn.ts
+++ b/packages/stand-ins/src/engineStandIn.ts
@@ -2,15 +2,15 @@
 import { RESPONSE_ALREADY_SENT } from "@hono/node-server/utils/response";
 import { SystemRandom } from "@wasabivane/common";
 import type { EngineCounters } from "@wasabivane/engine-model";
-import { streamAnswer, type StreamCut } from "./answerStream.ts";
-import { ArmedFaults, numberOr } from "./armedFaults.ts";
+import { type ResponseInterruption, streamResponse } from "./responseStream.ts";
+import { FaultInjector, numberOrDefault } from "./faultInjector.ts";
 import { parseChatRequest } from "./chatRequest.ts";
-import type { ShownAnswer } from "./chatShape.ts";
-import type { EngineAnswer } from "./engineAnswer.ts";
-import { EngineHost, type EngineHostOptions } from "./engineHost.ts";
+import type { SentResponse } from "./chatCompletionFormat.ts";
+import type { EngineResponse } from "./engineResponse.ts";
+import { EngineRuntime, type EngineRuntimeOptions } from "./engineRuntime.ts";
 import {
-  answerError,
-  hangUp,
+  closeConnection,
+  createErrorResponse,
   HttpStandIn,
   type HttpStandInOptions,
   NONCE_HEADER,
@@ -24,9 +24,9 @@
   parseBlocks,
   parseDigests,
 } from "./kvBlocks.ts";
-import { OrderBook, type TakenOrder } from "./orderBook.ts";
+import { type AcceptedOrder, FencedOrders } from "./fencedOrders.ts";
 import type { LoggedRun } from "./runLog.ts";
-import { answerWhole } from "./wholeAnswer.ts";
+import { sendNonStreamedResponse } from "./nonStreamedResponse.ts";
 
 const NONCE = /^[A-Za-z0-9_-]{1,128}$/;
 const NONCE_BYTES = 16;
@@ -35,19 +35,19 @@
  * Faults of the next answers; they take `{"count", "afterTokens"}`. An empty
  * body makes `break-streams` break the open connections instead.
  */
-export const ANSWER_FAULTS = [
+export const RESPONSE_FAULTS = [
   "break-streams",
   "truncate",
   "wrong-nonce",
   "second-answer",
   "refuse",
 ] as const;
-/** See {@link ANSWER_FAULTS}. */
-export type AnswerFault = typeof ANSWER_FAULTS[number];
+/** See {@link RESPONSE_FAULTS}. */
+export type ResponseFault = typeof RESPONSE_FAULTS[number];
 
 /** Options of an {@link EngineStandIn}. */
 export interface EngineStandInOptions
-  extends HttpStandInOptions, Omit<EngineHostOptions, "onCrash"> {
+  extends HttpStandInOptions, Omit<EngineRuntimeOptions, "onCrash"> {
   /** Whether orders with an old fencing number are refused. */
   fencing?: "checked" | "ignored";
 }
@@ -58,7 +58,7 @@
   readonly isPaused: boolean;
   readonly counters: EngineCounters;
   readonly runs: Readonly<Record<string, LoggedRun>>;
-  readonly orders: readonly TakenOrder[];
+  readonly orders: readonly AcceptedOrder[];
 }
 
 type ControlBody = Record<string, unknown>;
@@ -66,9 +66,9 @@
 
 /** A model engine over HTTP, as `docs/ARCHITECTURE.md` describes the upstream protocol. */
 export class EngineStandIn extends HttpStandIn {
-  readonly #host: EngineHost;
-  readonly #orders: OrderBook;
-  readonly #faults = new ArmedFaults<AnswerFault>();
+  readonly #host: EngineRuntime;
+  readonly #orders: FencedOrders;
+  readonly #faults = new FaultInjector<ResponseFault>();
   readonly #random = new SystemRandom();
   readonly #actions: ReadonlyMap<string, ControlAction>;
   /** The control request that causes a crash keeps its connection. */
@@ -76,11 +76,11 @@
 
   constructor(options: EngineStandInOptions = {}) {
     super(options);
-    this.#host = new EngineHost({
+    this.#host = new EngineRuntime({
       ...options,
-      onCrash: () => this.breakConnections(this.#spared),
+      onCrash: () => this.closeConnections(this.#spared),
     });
-    this.#orders = new OrderBook(options.fencing ?? "ignored");
+    this.#orders = new FencedOrders(options.fencing ?? "ignored");
     this.#actions = this.#createActions();
     this.#addControlRoutes();
     this.#addEngineRoutes();
@@ -91,8 +91,8 @@
       isUp: this.#host.model.isUp,
       isPaused: this.#host.model.isPaused,
       counters: this.#host.model.counters,
-      runs: this.#host.runs.byNonce(),
-      orders: this.#orders.taken,
+      runs: this.#host.runs.runsByNonce(),
+      orders: this.#orders.accepted,
     };
   }
 
@@ -118,15 +118,22 @@
     const actions = new Map<string, ControlAction>([
       [
         "crash",
-        (body) => host.crash(numberOr(body["restartAfterMs"], undefined)),
+        (body) =>
+          host.crash(numberOrDefault(body["restartAfterMs"], undefined)),
       ],
       ["restart", () => host.restart()],
-      ["slow-down", (body) => host.model.slowDown(numberOr(body["factor"], 1))],
-      ["pause", (body) => host.pause(numberOr(body["forMs"], undefined))],
+      [
+        "slow-down",
+        (body) => host.model.slowDown(numberOrDefault(body["factor"], 1)),
+      ],
+      [
+        "pause",
+        (body) => host.pause(numberOrDefault(body["forMs"], undefined)),
+      ],
       ["resume", () => host.resume()],
       ["clear", () => this.#faults.disarmAll()],
     ]);
-    for (const fault of ANSWER_FAULTS) {
+    for (const fault of RESPONSE_FAULTS) {
       actions.set(fault, (body) => this.#faults.arm(fault, body));
     }
     actions.set("break-streams", (body) => this.#breakStreams(body));
@@ -134,7 +141,7 @@
   }
 
   #breakStreams(body: ControlBody): void {
-    if (Object.keys(body).length === 0) this.breakConnections(this.#spared);
+    if (Object.keys(body).length === 0) this.closeConnections(this.#spared);
     else this.#faults.arm("break-streams", body);
   }
 
@@ -152,8 +159,8 @@
 
   #addEngineRoutes(): void {
     this.app.use("/v1/*", async (context, next) => {
-      await this.#host.whenAwake();
-      if (!this.#host.model.isUp) return hangUp(context);
+      await this.#host.whenResumed();
+      if (!this.#host.model.isUp) return closeConnection(context);
       await next();
     });
     this.app.post("/v1/chat/completions", (context) => this.#chat(context));
@@ -165,7 +172,10 @@
       const isKnown = this.#host.cancel(context.req.param("nonce"));
       return isKnown ? context.body(null, 204) : unknown(context);
     });
-    this.app.get("/v1/load", (context) => context.json(this.#host.load()));
+    this.app.get(
+      "/v1/load",
+      (context) => context.json(this.#host.loadReport()),
+    );
     this.app.get("/v1/cache-events", (context) => {
       const after = Number(context.req.query("after") ?? 0);
       if (!Number.isSafeInteger(after)) return malformed(context);
@@ -184,16 +194,23 @@
       ? parseChatRequest(body, nonce)
       : undefined;
     if (request === undefined) return malformed(context);
-    if (this.#faults.take("refuse") !== undefined) {
-      return answerError(context, { status: 503, message: "Engine refuses" });
+    if (this.#faults.consume("refuse") !== undefined) {
+      return createErrorResponse(context, {
+        status: 503,
+        message: "Engine refuses",
+      });
     }
-    const answer = this.#host.run(request);
-    if (answer === undefined) return hangUp(context);
+    const answer = this.#host.submit(request);
+    if (answer === undefined) return closeConnection(context);
     const shown = this.#show(answer);
     const { outgoing } = context.env;
-    outgoing.on("close", () => this.#host.release(answer));
-    if (request.wantsStream) this.#stream(shown, { outgoing, offset: 0 });
-    else answerWhole({ shown, outgoing, ...this.#takeFaults(shown) });
+    outgoing.on("close", () => this.#host.scheduleExpiry(answer));
+    if (request.shouldStream) this.#stream(shown, { outgoing, offset: 0 });
+    else {sendNonStreamedResponse({
+        response: shown,
+        outgoing,
+        ...this.#takeFaults(shown),
+      });}
     return RESPONSE_ALREADY_SENT;
   }
 
@@ -203,45 +220,57 @@
     if (!Number.isSafeInteger(offset) || Number(offset) < 0) {
       return malformed(context);
     }
-    const answer = this.#host.find(nonce);
+    const answer = this.#host.findResponse(nonce);
     if (answer === undefined) return unknown(context);
     const { outgoing } = context.env;
-    outgoing.on("close", () => this.#host.release(answer));
+    outgoing.on("close", () => this.#host.scheduleExpiry(answer));
     const shown = this.#show(answer);
     this.#stream(shown, { outgoing, offset: Number(offset) });
     return RESPONSE_ALREADY_SENT;
   }
 
   #stream(
-    shown: ShownAnswer,
+    shown: SentResponse,
     { outgoing, offset }: { outgoing: ServerResponse; offset: number },
   ): void {
-    streamAnswer({ shown, outgoing, offset, ...this.#takeFaults(shown) });
+    streamResponse({
+      response: shown,
+      outgoing,
+      offset,
+      ...this.#takeFaults(shown),
+    });
   }
 
   #takeFaults(
-    shown: ShownAnswer,
-  ): { cut: StreamCut | undefined; second: ShownAnswer | undefined } {
+    shown: SentResponse,
+  ): {
+    interruption: ResponseInterruption | undefined;
+    extraResponse: SentResponse | undefined;
+  } {
     const cut = this.#takeCut();
-    if (this.#faults.take("second-answer") === undefined) {
-      return { cut, second: undefined };
+    if (this.#faults.consume("second-answer") === undefined) {
+      return { interruption: cut, extraResponse: undefined };
     }
     const nonce = this.#random.hex(NONCE_BYTES);
-    return { cut, second: { ...shown, nonce } };
+    return { interruption: cut, extraResponse: { ...shown, nonce } };
   }
 
-  #show(answer: EngineAnswer): ShownAnswer {
-    const isWrong = this.#faults.take("wrong-nonce") !== undefined;
+  #show(answer: EngineResponse): SentResponse {
+    const isWrong = this.#faults.consume("wrong-nonce") !== undefined;
     const nonce = isWrong
       ? this.#random.hex(NONCE_BYTES)
       : answer.request.nonce;
-    return { answer, nonce, createdSeconds: this.#host.wallSeconds() };
+    return {
+      response: answer,
+      nonce,
+      createdSeconds: this.#host.epochSeconds(),
+    };
   }
 
-  #takeCut(): StreamCut | undefined {
-    const broken = this.#faults.take("break-streams");
+  #takeCut(): ResponseInterruption | undefined {
+    const broken = this.#faults.consume("break-streams");
     if (broken !== undefined) return { kind: "break", ...broken };
-    const truncated = this.#faults.take("truncate");
+    const truncated = this.#faults.consume("truncate");
     return truncated && { kind: "truncate", ...truncated };
   }
 
@@ -263,16 +292,25 @@
     const body = await readJsonObject(context);
     const fencing = body?.["fencing"];
     if (typeof fencing !== "number") return malformed(context);
-    const isTaken = this.#orders.take({ order: body?.["order"], fencing });
+    const isTaken = this.#orders.accept({ order: body?.["order"], fencing });
     if (isTaken) return context.json({});
-    return answerError(context, { status: 409, message: "Old fencing number" });
+    return createErrorResponse(context, {
+      status: 409,
+      message: "Old fencing number",
+    });
   }
 }
 
 function malformed(context: StandInContext): Response {
-  return answerError(context, { status: 400, message: "Malformed request" });
+  return createErrorResponse(context, {
+    status: 400,
+    message: "Malformed request",
+  });
 }
 
 function unknown(context: StandInContext): Response {
-  return answerError(context, { status: 404, message: "Unknown request" });
+  return createErrorResponse(context, {
+    status: 404,
+    message: "Unknown request",
+  });
 }
--- a/packages/stand-ins/src/armedFaults.ts
+++ b/packages/stand-ins/src/faultInjector.ts
@@ -11,20 +11,20 @@
 }
 
 /** Faults that strike a number of coming requests, by name. */
-export class ArmedFaults<Name extends string> {
+export class FaultInjector<Name extends string> {
   readonly #armed = new Map<Name, ArmedFault>();
 
   /** Arms a fault for the next `count` requests; zero disarms it. */
   arm(name: Name, body: Record<string, unknown>): void {
     this.#armed.set(name, {
-      remaining: numberOr(body["count"], 1),
-      afterTokens: numberOr(body["afterTokens"], 0),
-      delayMs: numberOr(body["delayMs"], 0),
+      remaining: numberOrDefault(body["count"], 1),
+      afterTokens: numberOrDefault(body["afterTokens"], 0),
+      delayMs: numberOrDefault(body["delayMs"], 0),
     });
   }
 
   /** Uses up one strike of a fault, if it is armed. */
-  take(name: Name): FaultDetails | undefined {
+  consume(name: Name): FaultDetails | undefined {
     const fault = this.#armed.get(name);
     if (fault === undefined || fault.remaining <= 0) return undefined;
     fault.remaining--;
@@ -37,6 +37,9 @@
 }
 
 /** A number from a control body, or what it is when the body says none. */
-export function numberOr<Other>(value: unknown, other: Other): number | Other {
+export function numberOrDefault<Other>(
+  value: unknown,
+  other: Other,
+): number | Other {
   return typeof value === "number" && value >= 0 ? value : other;
 }
--- a/packages/stand-ins/src/orderBook.ts
+++ b/packages/stand-ins/src/fencedOrders.ts
@@ -1,12 +1,12 @@
 /** An order as it was taken. */
-export interface TakenOrder {
+export interface AcceptedOrder {
   readonly order: unknown;
   readonly fencing: number;
 }
 
 /** The orders that an engine took; with fencing checked, an old number is refused. */
-export class OrderBook {
-  readonly taken: TakenOrder[] = [];
+export class FencedOrders {
+  readonly accepted: AcceptedOrder[] = [];
   readonly #isChecked: boolean;
   #highest = -Infinity;
 
@@ -15,10 +15,10 @@
   }
 
   /** False when the number is older than one taken before. */
-  take(order: TakenOrder): boolean {
+  accept(order: AcceptedOrder): boolean {
     if (this.#isChecked && order.fencing < this.#highest) return false;
     this.#highest = Math.max(this.#highest, order.fencing);
-    this.taken.push(order);
+    this.accepted.push(order);
     return true;
   }
 }
--- a/packages/stand-ins/src/gate.ts
+++ b/packages/stand-ins/src/gate.ts
@@ -16,7 +16,7 @@
   }
 
   /** Resolves once the gate is open. */
-  pass(): Promise<void> {
+  whenOpen(): Promise<void> {
     return this.#passed;
   }
 }
--- a/packages/stand-ins/src/httpStandIn.ts
+++ b/packages/stand-ins/src/httpStandIn.ts
@@ -69,12 +69,12 @@
     if (server === undefined) return;
     this.#server = undefined;
     const closed = new Promise((resolve) => server.close(resolve));
-    this.breakConnections();
+    this.closeConnections();
     await closed;
   }
 
   /** Closes every connection at once, but for that of one request. */
-  protected breakConnections(spared?: IncomingMessage): void {
+  protected closeConnections(spared?: IncomingMessage): void {
     for (const socket of this.#sockets) {
       if (socket !== spared?.socket) socket.destroy();
     }
@@ -82,13 +82,13 @@
 }
 
 /** Closes the request's connection without an answer. */
-export function hangUp(context: StandInContext): Response {
+export function closeConnection(context: StandInContext): Response {
   context.env.incoming.socket.destroy();
   return RESPONSE_ALREADY_SENT;
 }
 
 /** Aborted once the answer has left or its connection has closed. */
-export function closeSignal(context: StandInContext): AbortSignal {
+export function createCloseSignal(context: StandInContext): AbortSignal {
   const controller = new AbortController();
   context.env.outgoing.on("close", () => controller.abort());
   return controller.signal;
@@ -111,7 +111,7 @@
 }
 
 /** An error answer in the shape of the model engines. */
-export function answerError(
+export function createErrorResponse(
   context: StandInContext,
   { status, message }: {
     status: 400 | 404 | 409 | 413 | 429 | 503;
--- a/packages/stand-ins/src/wholeAnswer.ts
+++ b/packages/stand-ins/src/nonStreamedResponse.ts
@@ -1,27 +1,31 @@
 import { Buffer } from "node:buffer";
 import type { ServerResponse } from "node:http";
-import type { StreamCut } from "./answerStream.ts";
-import { type ShownAnswer, wholeBody } from "./chatShape.ts";
+import type { ResponseInterruption } from "./responseStream.ts";
+import {
+  createResponseBody,
+  type SentResponse,
+} from "./chatCompletionFormat.ts";
 
-/** Options of {@link answerWhole}. */
-export interface WholeAnswerOptions {
-  readonly shown: ShownAnswer;
+/** Options of {@link sendNonStreamedResponse}. */
+export interface NonStreamedResponseOptions {
+  readonly response: SentResponse;
   readonly outgoing: ServerResponse;
-  readonly cut?: StreamCut | undefined;
+  readonly interruption?: ResponseInterruption | undefined;
   /** An answer sent once more behind the first, which the connection's next reader may take. */
-  readonly second?: ShownAnswer | undefined;
+  readonly extraResponse?: SentResponse | undefined;
 }
 
 /** Sends an answer in one piece once it is finished; a lost one breaks the connection. */
-export function answerWhole(
-  { shown, outgoing, cut, second }: WholeAnswerOptions,
+export function sendNonStreamedResponse(
+  { response: shown, outgoing, interruption: cut, extraResponse: second }:
+    NonStreamedResponseOptions,
 ): void {
-  const { answer, nonce } = shown;
-  const stop = answer.read(() => {
+  const { response: answer, nonce } = shown;
+  const stop = answer.subscribe(() => {
     if (answer.state === "running") return;
     stop();
     if (answer.state !== "finished") return void outgoing.destroy();
-    const body = wholeBody(shown);
+    const body = createResponseBody(shown);
     outgoing.writeHead(200, {
       "content-type": "application/json",
       "x-request-nonce": nonce,
@@ -38,8 +42,8 @@
   outgoing.on("close", stop);
 }
 
-function rawAnswer(shown: ShownAnswer): string {
-  const body = wholeBody(shown);
+function rawAnswer(shown: SentResponse): string {
+  const body = createResponseBody(shown);
   return [
     "HTTP/1.1 200 OK",
     "content-type: application/json",
--- a/packages/stand-ins/src/plainStandIn.ts
+++ b/packages/stand-ins/src/plainStandIn.ts
@@ -4,11 +4,11 @@
   SystemTimer,
   type Timer,
 } from "@wasabivane/common";
-import { ArmedFaults } from "./armedFaults.ts";
+import { FaultInjector } from "./faultInjector.ts";
 import {
-  answerError,
-  closeSignal,
-  hangUp,
+  closeConnection,
+  createCloseSignal,
+  createErrorResponse,
   HttpStandIn,
   type HttpStandInOptions,
   NONCE_HEADER,
@@ -20,7 +20,7 @@
 const NONCE_BYTES = 16;
 
 /** Faults of the next calls; they take `{"count", "delayMs"}`. */
-export const CALL_FAULTS = [
+export const REQUEST_FAULTS = [
   /** Answers only after `delayMs`. */
   "slow",
   /** Runs the call, then breaks the connection. */
@@ -30,8 +30,8 @@
   /** Runs the call and answers with another nonce. */
   "wrong-nonce",
 ] as const;
-/** See {@link CALL_FAULTS}. */
-export type CallFault = typeof CALL_FAULTS[number];
+/** See {@link REQUEST_FAULTS}. */
+export type RequestFault = typeof REQUEST_FAULTS[number];
 
 /** Options of a {@link PlainStandIn}. */
 export interface PlainStandInOptions extends HttpStandInOptions {
@@ -41,7 +41,7 @@
 }
 
 /** How often calls ran; `GET /control/runs` tells it. */
-export interface PlainRuns {
+export interface PlainRunCounts {
   readonly total: number;
   readonly byKey: Readonly<Record<string, number>>;
   readonly byNonce: Readonly<Record<string, number>>;
@@ -59,7 +59,7 @@
 export class PlainStandIn extends HttpStandIn {
   readonly #timer: Timer;
   readonly #runMs: Milliseconds;
-  readonly #faults = new ArmedFaults<CallFault>();
+  readonly #faults = new FaultInjector<RequestFault>();
   readonly #random = new SystemRandom();
   readonly #byKey = new Map<string, number>();
   readonly #byNonce = new Map<string, number>();
@@ -76,7 +76,7 @@
     this.app.all("*", (context) => this.#call(context));
   }
 
-  get runs(): PlainRuns {
+  get runs(): PlainRunCounts {
     return {
       total: this.#total,
       byKey: Object.fromEntries(this.#byKey),
@@ -90,7 +90,7 @@
       this.#faults.disarmAll();
       return true;
     }
-    const fault = CALL_FAULTS.find((name) => name === action);
+    const fault = REQUEST_FAULTS.find((name) => name === action);
     if (fault === undefined) return false;
     this.#faults.arm(fault, body);
     return true;
@@ -105,25 +105,34 @@
   async #control(context: StandInContext): Promise<Response> {
     const body = await readJsonObject(context);
     if (body === undefined) {
-      return answerError(context, { status: 400, message: "Malformed body" });
+      return createErrorResponse(context, {
+        status: 400,
+        message: "Malformed body",
+      });
     }
     const isKnown = this.control(context.req.param("action") ?? "", body);
     if (isKnown) return context.json({});
-    return answerError(context, { status: 404, message: "Unknown action" });
+    return createErrorResponse(context, {
+      status: 404,
+      message: "Unknown action",
+    });
   }
 
   async #call(context: StandInContext): Promise<Response> {
     const body = await context.req.text();
-    if (this.#faults.take("refuse") !== undefined) {
-      return answerError(context, { status: 503, message: "Service refuses" });
+    if (this.#faults.consume("refuse") !== undefined) {
+      return createErrorResponse(context, {
+        status: 503,
+        message: "Service refuses",
+      });
     }
     this.#countRun(context);
-    const delay = this.#faults.take("slow")?.delayMs ?? this.#runMs;
+    const delay = this.#faults.consume("slow")?.delayMs ?? this.#runMs;
     this.#running++;
     if (delay > 0) await this.#delay(context, delay);
     this.#running--;
-    if (this.#faults.take("reset-after-run") !== undefined) {
-      return hangUp(context);
+    if (this.#faults.consume("reset-after-run") !== undefined) {
+      return closeConnection(context);
     }
     return this.#echo(context, body);
   }
@@ -131,7 +140,7 @@
   #delay(context: StandInContext, delay: Milliseconds): Promise<void> {
     return new Promise((resolve) => {
       const subscription = this.#timer.after(delay, resolve);
-      closeSignal(context).addEventListener("abort", () => {
+      createCloseSignal(context).addEventListener("abort", () => {
         subscription.cancel();
         resolve();
       });
@@ -145,7 +154,7 @@
   }
 
   #echo(context: StandInContext, body: string): Response {
-    const isWrong = this.#faults.take("wrong-nonce") !== undefined;
+    const isWrong = this.#faults.consume("wrong-nonce") !== undefined;
     const nonce = isWrong
       ? this.#random.hex(NONCE_BYTES)
       : context.req.header(NONCE_HEADER);
--- a/packages/stand-ins/src/platformStandIn.ts
+++ b/packages/stand-ins/src/platformStandIn.ts
@@ -1,16 +1,16 @@
 import type { HostList, SignedBundle } from "@wasabivane/bundle";
 import { type Milliseconds, SystemTimer, type Timer } from "@wasabivane/common";
 import {
-  answerError,
-  closeSignal,
-  hangUp,
+  closeConnection,
+  createCloseSignal,
+  createErrorResponse,
   HttpStandIn,
   type HttpStandInOptions,
   readJsonObject,
   type StandInContext,
 } from "./httpStandIn.ts";
-import { type PublishedMode, PublishedValue } from "./publishedValue.ts";
-import { ReadBudget } from "./readBudget.ts";
+import { type PublicationMode, PublishedValue } from "./publishedValue.ts";
+import { ReadRateLimiter } from "./readRateLimiter.ts";
 
 /** The largest value that the platform holds. */
 const MAXIMUM_VALUE_BYTES = 1_000_000;
@@ -30,7 +30,7 @@
 }
 
 /** How reads ended; `GET /control/reads` tells it. */
-export interface PlatformReads {
+export interface PlatformReadCounts {
   readonly answered: number;
   readonly nothingNewer: number;
   readonly overBudget: number;
@@ -39,14 +39,14 @@
 
 /** The platform's configuration service and host list, read and watch only. */
 export class PlatformStandIn extends HttpStandIn {
-  readonly #budget: ReadBudget;
+  readonly #budget: ReadRateLimiter;
   readonly #values: Readonly<Record<PlatformValueName, PublishedValue>>;
   readonly #reads = { answered: 0, nothingNewer: 0, overBudget: 0, down: 0 };
 
   constructor(options: PlatformStandInOptions = {}) {
     super(options);
     const timer = options.timer ?? new SystemTimer();
-    this.#budget = new ReadBudget(timer, options.readsPerSecond ?? 2_000);
+    this.#budget = new ReadRateLimiter(timer, options.readsPerSecond ?? 2_000);
     const lagMs = options.hostListLagMs ?? 0;
     this.#values = {
       bundle: new PublishedValue({ timer, lagMs: 0 }),
@@ -56,7 +56,7 @@
     this.#addControlRoutes();
   }
 
-  get reads(): PlatformReads {
+  get reads(): PlatformReadCounts {
     return { ...this.#reads };
   }
 
@@ -70,12 +70,12 @@
     return this.#values.hosts.set(hosts);
   }
 
-  setMode(name: PlatformValueName, mode: PublishedMode): void {
+  setMode(name: PlatformValueName, mode: PublicationMode): void {
     this.#values[name].setMode(mode);
   }
 
   override stop(): Promise<void> {
-    this.#values.hosts.settle();
+    this.#values.hosts.publishPending();
     return super.stop();
   }
 
@@ -108,18 +108,24 @@
     const after = Number(context.req.query("after") ?? 0);
     const waitMs = Number(context.req.query("waitMs") ?? 0);
     if (!Number.isSafeInteger(after) || !(waitMs >= 0)) {
-      return answerError(context, { status: 400, message: "Malformed query" });
+      return createErrorResponse(context, {
+        status: 400,
+        message: "Malformed query",
+      });
     }
     if (value.mode === "down") return this.#hangUp(context);
-    if (!this.#budget.take()) {
+    if (!this.#budget.tryAcquire()) {
       this.#reads.overBudget++;
       context.header("retry-after", RETRY_AFTER_SECONDS);
-      return answerError(context, { status: 429, message: "Over the budget" });
+      return createErrorResponse(context, {
+        status: 429,
+        message: "Over the budget",
+      });
     }
     const read = await value.read({
       after,
       waitMs: Math.min(waitMs, LONGEST_WAIT_MS),
-      signal: closeSignal(context),
+      signal: createCloseSignal(context),
     });
     if (read.kind === "down") return this.#hangUp(context);
     if (read.kind === "nothing-newer") {
@@ -132,7 +138,7 @@
 
   #hangUp(context: StandInContext): Response {
     this.#reads.down++;
-    return hangUp(context);
+    return closeConnection(context);
   }
 
   async #putValue(
@@ -141,11 +147,17 @@
   ): Promise<Response> {
     const length = Number(context.req.header("content-length") ?? 0);
     if (length > MAXIMUM_VALUE_BYTES) {
-      return answerError(context, { status: 413, message: "Value too large" });
+      return createErrorResponse(context, {
+        status: 413,
+        message: "Value too large",
+      });
     }
     const value = await readJsonObject(context);
     if (value === undefined) {
-      return answerError(context, { status: 400, message: "Malformed value" });
+      return createErrorResponse(context, {
+        status: 400,
+        message: "Malformed value",
+      });
     }
     return context.json({ revision: this.#values[name].set(value) });
   }
@@ -157,10 +169,13 @@
         name in this.#values && MODES.includes(mode)
       );
     if (!areValid) {
-      return answerError(context, { status: 400, message: "Malformed modes" });
+      return createErrorResponse(context, {
+        status: 400,
+        message: "Malformed modes",
+      });
     }
     for (const [name, mode] of modes) {
-      this.setMode(name as PlatformValueName, mode as PublishedMode);
+      this.setMode(name as PlatformValueName, mode as PublicationMode);
     }
     return context.json({});
   }
--- a/packages/stand-ins/src/publishedValue.ts
+++ b/packages/stand-ins/src/publishedValue.ts
@@ -5,7 +5,7 @@
 } from "@wasabivane/common";
 
 /** Whether a value can be read, and whether what is read is the newest. */
-export type PublishedMode = "up" | "down" | "stale";
+export type PublicationMode = "up" | "down" | "stale";
 
 /** A value with its revision, as readers get it. */
 export interface PublishedRevision {
@@ -14,7 +14,7 @@
 }
 
 /** What became of one read. */
-export type PublishedRead =
+export type PublishedReadResult =
   | { readonly kind: "value"; readonly published: PublishedRevision }
   | { readonly kind: "nothing-newer" }
   | { readonly kind: "down" };
@@ -41,7 +41,7 @@
   readonly #lagMs: Milliseconds;
   readonly #wakers = new Set<() => void>();
   readonly #lagging = new Map<PublishedRevision, TimerSubscription>();
-  #mode: PublishedMode = "up";
+  #mode: PublicationMode = "up";
   #revision = 0;
   /** What readers would see if the mode were up. */
   #newest: PublishedRevision | undefined;
@@ -52,7 +52,7 @@
     this.#lagMs = lagMs;
   }
 
-  get mode(): PublishedMode {
+  get mode(): PublicationMode {
     return this.#mode;
   }
 
@@ -65,7 +65,7 @@
   }
 
   /** Publishes at once what still lags, and leaves no timer behind. */
-  settle(): void {
+  publishPending(): void {
     for (const [published, subscription] of this.#lagging) {
       subscription.cancel();
       this.#publish(published);
@@ -73,7 +73,7 @@
     this.#lagging.clear();
   }
 
-  setMode(mode: PublishedMode): void {
+  setMode(mode: PublicationMode): void {
     this.#mode = mode;
     if (mode === "up") this.#shown = this.#newest;
     this.#wake();
@@ -82,10 +82,10 @@
   /** The value past a revision, waiting for it at most `waitMs`. */
   read(
     { after, waitMs, signal }: PublishedReadOptions,
-  ): Promise<PublishedRead> {
+  ): Promise<PublishedReadResult> {
     return new Promise((resolve) => {
       const giveUp = (): void => finish({ kind: "nothing-newer" });
-      const finish = (read: PublishedRead): void => {
+      const finish = (read: PublishedReadResult): void => {
         signal?.removeEventListener("abort", giveUp);
         this.#wakers.delete(check);
         timeout.cancel();
@@ -103,7 +103,7 @@
     });
   }
 
-  #readNow(after: number): PublishedRead {
+  #readNow(after: number): PublishedReadResult {
     if (this.#mode === "down") return { kind: "down" };
     const published = this.#shown;
     if (published === undefined || published.revision <= after) {
--- a/packages/stand-ins/src/readBudget.ts
+++ b/packages/stand-ins/src/readRateLimiter.ts
@@ -3,7 +3,7 @@
 const SECOND = 1_000;
 
 /** Reads that all readers together may make; a second's worth may come at once. */
-export class ReadBudget {
+export class ReadRateLimiter {
   readonly #timer: Timer;
   readonly #readsPerSecond: number;
   #left: number;
@@ -17,7 +17,7 @@
   }
 
   /** False when the budget is used up. */
-  take(): boolean {
+  tryAcquire(): boolean {
     const now = this.#timer.now();
     const refill = (now - this.#refilledAt) * this.#readsPerSecond / SECOND;
     this.#left = Math.min(this.#readsPerSecond, this.#left + refill);
--- a/packages/stand-ins/src/answerStream.ts
+++ b/packages/stand-ins/src/responseStream.ts
@@ -1,51 +1,52 @@
 import type { ServerResponse } from "node:http";
 import {
+  createFinishEvent,
+  createRoleEvent,
+  createTokenEvents,
   DONE_EVENT,
-  finishEvent,
-  roleEvent,
-  type ShownAnswer,
-  tokenEvents,
-} from "./chatShape.ts";
+  type SentResponse,
+} from "./chatCompletionFormat.ts";
 
 /** How an answer is cut short: its connection breaks, or it ends as if it were whole. */
-export interface StreamCut {
+export interface ResponseInterruption {
   readonly kind: "break" | "truncate";
   readonly afterTokens: number;
 }
 
-/** Options of {@link streamAnswer}. */
-export interface AnswerStreamOptions {
-  readonly shown: ShownAnswer;
+/** Options of {@link streamResponse}. */
+export interface ResponseStreamOptions {
+  readonly response: SentResponse;
   readonly outgoing: ServerResponse;
   /** Tokens that the reader has already. */
   readonly offset: number;
-  readonly cut?: StreamCut | undefined;
+  readonly interruption?: ResponseInterruption | undefined;
   /** An answer sent once more after the end mark, as a faulty engine would. */
-  readonly second?: ShownAnswer | undefined;
+  readonly extraResponse?: SentResponse | undefined;
 }
 
 /** Streams an answer as it grows, at the pace that the reader takes it. */
-export function streamAnswer(options: AnswerStreamOptions): void {
+export function streamResponse(options: ResponseStreamOptions): void {
   new AnswerStream(options).start();
 }
 
 class AnswerStream {
-  readonly #options: AnswerStreamOptions;
+  readonly #options: ResponseStreamOptions;
   readonly #cutAt: number;
   #position: number;
   #isBlocked = false;
   #isEnded = false;
   #stopReading: () => void = () => {};
 
-  constructor(options: AnswerStreamOptions) {
+  constructor(options: ResponseStreamOptions) {
     this.#options = options;
     this.#position = options.offset;
-    this.#cutAt = options.offset + (options.cut?.afterTokens ?? Infinity);
+    this.#cutAt = options.offset +
+      (options.interruption?.afterTokens ?? Infinity);
   }
 
   start(): void {
-    const { outgoing, shown, offset } = this.#options;
-    this.#stopReading = shown.answer.read(() => this.#advance());
+    const { outgoing, response: shown, offset } = this.#options;
+    this.#stopReading = shown.response.subscribe(() => this.#advance());
     outgoing.on("close", () => this.#end());
     outgoing.on("drain", () => {
       this.#isBlocked = false;
@@ -57,16 +58,16 @@
       "x-request-nonce": shown.nonce,
     });
     outgoing.flushHeaders();
-    if (offset === 0) outgoing.write(roleEvent(shown));
+    if (offset === 0) outgoing.write(createRoleEvent(shown));
     this.#advance();
   }
 
   #advance(): void {
     if (this.#isEnded || this.#isBlocked) return;
-    const { outgoing, shown } = this.#options;
-    const end = Math.min(shown.answer.generated, this.#cutAt);
+    const { outgoing, response: shown } = this.#options;
+    const end = Math.min(shown.response.generatedTokens, this.#cutAt);
     if (end > this.#position) {
-      const events = tokenEvents(shown, { start: this.#position, end });
+      const events = createTokenEvents(shown, { start: this.#position, end });
       this.#position = end;
       this.#isBlocked = !outgoing.write(events);
     }
@@ -75,23 +76,23 @@
   }
 
   #endWithAnswer(): void {
-    const { outgoing, shown, second } = this.#options;
-    const { state, generated } = shown.answer;
+    const { outgoing, response: shown, extraResponse: second } = this.#options;
+    const { state, generatedTokens: generated } = shown.response;
     if (state === "running") return;
     this.#end();
     // A lost or cancelled answer gets no end mark, so that it cannot pass for a whole one.
     if (state !== "finished") return void outgoing.destroy();
-    outgoing.write(finishEvent(shown) + DONE_EVENT);
+    outgoing.write(createFinishEvent(shown) + DONE_EVENT);
     if (second !== undefined) {
-      const tokens = tokenEvents(second, { start: 0, end: generated });
-      outgoing.write(tokens + finishEvent(second) + DONE_EVENT);
+      const tokens = createTokenEvents(second, { start: 0, end: generated });
+      outgoing.write(tokens + createFinishEvent(second) + DONE_EVENT);
     }
     outgoing.end();
   }
 
   #cut(): void {
     this.#end();
-    const { outgoing, cut } = this.#options;
+    const { outgoing, interruption: cut } = this.#options;
     if (cut?.kind === "truncate") outgoing.end();
     // Destroyed only after what was written has left.
     else outgoing.write("", () => outgoing.destroy());
--- a/packages/stand-ins/src/runLog.ts
+++ b/packages/stand-ins/src/runLog.ts
@@ -1,4 +1,4 @@
-import type { AnswerState, EngineAnswer } from "./engineAnswer.ts";
+import type { EngineResponse, ResponseState } from "./engineResponse.ts";
 
 const MAXIMUM_NONCES = 50_000;
 
@@ -6,7 +6,7 @@
 export interface LoggedRun {
   /** More than one is a double dispatch. */
   readonly starts: number;
-  readonly state: AnswerState;
+  readonly state: ResponseState;
   readonly promptTokens: number;
   readonly cachedTokens: number;
   readonly generatedTokens: number;
@@ -15,14 +15,14 @@
 
 interface Entry {
   starts: number;
-  last: EngineAnswer;
+  last: EngineResponse;
 }
 
 /** Remembers the latest runs by nonce, for the checks of tests. */
 export class RunLog {
   readonly #entries = new Map<string, Entry>();
 
-  start(answer: EngineAnswer): void {
+  recordStart(answer: EngineResponse): void {
     const { nonce } = answer.request;
     const starts = (this.#entries.get(nonce)?.starts ?? 0) + 1;
     this.#entries.set(nonce, { starts, last: answer });
@@ -33,7 +33,7 @@
     }
   }
 
-  byNonce(): Record<string, LoggedRun> {
+  runsByNonce(): Record<string, LoggedRun> {
     const logged: Record<string, LoggedRun> = {};
     for (const [nonce, { starts, last }] of this.#entries) {
       logged[nonce] = {
@@ -41,7 +41,7 @@
         state: last.state,
         promptTokens: last.request.promptTokens,
         cachedTokens: last.cachedTokens,
-        generatedTokens: last.generated,
+        generatedTokens: last.generatedTokens,
         outputTokens: last.outputTokens,
       };
     }
--- a/packages/stand-ins/src/settings.ts
+++ b/packages/stand-ins/src/settings.ts
@@ -1,5 +1,8 @@
 import { z } from "@wasabivane/bundle";
-import { type Generation, GENERATIONS } from "@wasabivane/engine-model";
+import {
+  HARDWARE_GENERATIONS,
+  type HardwareGeneration,
+} from "@wasabivane/engine-model";
 
 const name = z.string().regex(
   /^[a-z0-9][a-z0-9-]*$/,
@@ -7,7 +10,10 @@
 ).max(64);
 const port = z.number().int().min(0).max(65_535);
 const milliseconds = z.number().min(0).max(86_400_000);
-const generations = Object.keys(GENERATIONS) as [Generation, ...Generation[]];
+const generations = Object.keys(HARDWARE_GENERATIONS) as [
+  HardwareGeneration,
+  ...HardwareGeneration[],
+];
 
 const engineSchema = z.strictObject({
   kind: z.literal("engine"),
--- a/packages/stand-ins/tests/deployment.test.ts
+++ b/packages/stand-ins/tests/deployment.test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
-import { expectedAnswer, markTokens } from "@wasabivane/engine-model";
+import { expectedResponse, tokenCountMarker } from "@wasabivane/engine-model";
 import { startDeployment } from "@wasabivane/stand-ins";
-import { askChat } from "./helpers/chat.ts";
+import { sendChat } from "./helpers/chatClient.ts";
 
 test("a deployment has an engine for each replica, of three speeds", async (t) => {
   const running = await startDeployment({
@@ -10,15 +10,15 @@
   });
   t.teardown(() => running.stop());
   t.is(running.engines.size, 13);
-  t.is(running.plains.size, 3);
+  t.is(running.plainServices.size, 3);
   t.true("press-advisor-13" in running.urls);
   t.true("field-desk-3" in running.urls);
-  const prompt = `Diagnose ${markTokens(20)}`;
+  const prompt = `Diagnose ${tokenCountMarker(20)}`;
   const answers = await Promise.all(
     [...running.engines.keys()].map((upstream) =>
-      askChat(running.urls[upstream]!, { prompt })
+      sendChat(running.urls[upstream]!, { prompt })
     ),
   );
-  const whole = expectedAnswer(prompt, 20);
+  const whole = expectedResponse(prompt, 20);
   t.true(answers.every(({ text, isDone }) => isDone && text === whole));
 });
--- a/packages/stand-ins/tests/engineStandIn.test.ts
+++ b/packages/stand-ins/tests/engineStandIn.test.ts
@@ -2,18 +2,23 @@
 import test, { type ExecutionContext } from "ava";
 import { prefixDigests } from "@wasabivane/common";
 import {
-  type EngineSpeed,
-  expectedAnswer,
-  markTokens,
+  type EngineProfile,
+  expectedResponse,
+  tokenCountMarker,
 } from "@wasabivane/engine-model";
 import {
   EngineStandIn,
   type EngineStandInOptions,
   type EngineStandInState,
 } from "@wasabivane/stand-ins";
-import { askChat, getJson, post, resumeChat } from "./helpers/chat.ts";
+import {
+  getJson,
+  postJson,
+  resumeChat,
+  sendChat,
+} from "./helpers/chatClient.ts";
 
-const FAST: EngineSpeed = {
+const FAST: EngineProfile = {
   prefillTokensPerSecond: 1_000_000,
   decodeStepMs: 1,
   decodeStepPerRequestMs: 0,
@@ -26,7 +31,7 @@
   t: ExecutionContext,
   options: EngineStandInOptions = {},
 ): Promise<{ engine: EngineStandIn; url: string }> {
-  const engine = new EngineStandIn({ speed: FAST, ...options });
+  const engine = new EngineStandIn({ profile: FAST, ...options });
   const { url } = await engine.start();
   t.teardown(() => engine.stop());
   return { engine, url };
@@ -34,11 +39,11 @@
 
 test("a streamed answer is whole, carries its nonce and its usage", async (t) => {
   const { url } = await startEngine(t);
-  const prompt = `Draft the holidays ${markTokens(40)}`;
-  const answer = await askChat(url, { nonce: "abc", prompt });
+  const prompt = `Draft the holidays ${tokenCountMarker(40)}`;
+  const answer = await sendChat(url, { nonce: "abc", prompt });
   t.is(answer.nonceHeader, "abc");
   t.deepEqual([...answer.ids], ["chatcmpl-abc"]);
-  t.is(answer.text, expectedAnswer(prompt, 40));
+  t.is(answer.text, expectedResponse(prompt, 40));
   t.is(answer.tokens, 40);
   t.true(answer.isDone);
   t.like(answer.usage, { completion_tokens: 40 });
@@ -46,13 +51,13 @@
 
 test("an answer in one piece has the same text, up to the caller's maximum", async (t) => {
   const { url } = await startEngine(t);
-  const prompt = `Draft ${markTokens(40)}`;
-  const answer = await askChat(url, {
+  const prompt = `Draft ${tokenCountMarker(40)}`;
+  const answer = await sendChat(url, {
     prompt,
     stream: false,
     maximumTokens: 15,
   });
-  t.is(answer.text, expectedAnswer(prompt, 15));
+  t.is(answer.text, expectedResponse(prompt, 15));
   t.deepEqual([...answer.ids], ["chatcmpl-n1"]);
 });
 
@@ -61,14 +66,14 @@
 // the tokens that were not read.
 test("a resume gives exactly the rest of a broken stream", async (t) => {
   const { engine, url } = await startEngine(t);
-  const prompt = `Draft ${markTokens(30)}`;
+  const prompt = `Draft ${tokenCountMarker(30)}`;
   engine.control("break-streams", { count: 1, afterTokens: 5 });
-  const broken = await askChat(url, { prompt });
+  const broken = await sendChat(url, { prompt });
   t.true(broken.isBroken);
   t.true(broken.tokens <= 5);
-  t.is(broken.text, expectedAnswer(prompt, broken.tokens));
+  t.is(broken.text, expectedResponse(prompt, broken.tokens));
   const rest = await resumeChat(url, { offset: broken.tokens });
-  t.is(broken.text + rest.text, expectedAnswer(prompt, 30));
+  t.is(broken.text + rest.text, expectedResponse(prompt, 30));
   t.is(rest.tokens, 30 - broken.tokens);
   t.true(rest.isDone);
   t.is(engine.state.runs["n1"]?.starts, 1);
@@ -77,7 +82,7 @@
 test("a request that nothing reads is cancelled after the resume window", async (t) => {
   const { engine, url } = await startEngine(t, { resumeWindowMs: 20 });
   engine.control("break-streams", { count: 1 });
-  await askChat(url, { prompt: markTokens(1_000_000) });
+  await sendChat(url, { prompt: tokenCountMarker(1_000_000) });
   while (engine.state.runs["n1"]?.state !== "cancelled") {
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
@@ -86,7 +91,7 @@
 
 test("a cancelled request ends its stream without an end mark", async (t) => {
   const { url } = await startEngine(t);
-  const answer = askChat(url, { prompt: markTokens(1_000_000) });
+  const answer = sendChat(url, { prompt: tokenCountMarker(1_000_000) });
   let status = 404;
   while (status === 404) {
     const { status: answered } = await fetch(`${url}/v1/requests/n1`, {
@@ -103,18 +108,18 @@
 // answers twice. Each must be visible to the reader who knows the protocol.
 test("faults of answers show in the stream", async (t) => {
   const { engine, url } = await startEngine(t);
-  const prompt = markTokens(10);
+  const prompt = tokenCountMarker(10);
   engine.control("truncate", { afterTokens: 3 });
-  const truncated = await askChat(url, { nonce: "n1", prompt });
+  const truncated = await sendChat(url, { nonce: "n1", prompt });
   t.like(truncated, { isDone: false, isBroken: false, tokens: 3 });
   engine.control("wrong-nonce");
-  const wrong = await askChat(url, { nonce: "n2", prompt });
+  const wrong = await sendChat(url, { nonce: "n2", prompt });
   t.false(wrong.ids.has("chatcmpl-n2"));
   t.not(wrong.nonceHeader, "n2");
   engine.control("second-answer");
-  t.is((await askChat(url, { nonce: "n3", prompt })).ids.size, 2);
+  t.is((await sendChat(url, { nonce: "n3", prompt })).ids.size, 2);
   engine.control("refuse");
-  const refused = await askChat(url, { nonce: "n4", prompt });
+  const refused = await sendChat(url, { nonce: "n4", prompt });
   t.like(refused, { status: 503, nonceHeader: "n4" });
 });
 
@@ -143,49 +148,54 @@
 // it lose their connections, and the engine is gone until it is restarted.
 test("a poison prompt crashes the engine with all that runs there", async (t) => {
   const { engine, url } = await startEngine(t);
-  const beside = askChat(url, { nonce: "a", prompt: markTokens(1_000_000) });
+  const beside = sendChat(url, {
+    nonce: "a",
+    prompt: tokenCountMarker(1_000_000),
+  });
   while (engine.state.runs["a"]?.state !== "running") {
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
-  const poison = await askChat(url, { nonce: "b", prompt: "[[poison]]" });
+  const poison = await sendChat(url, { nonce: "b", prompt: "[[poison]]" });
   t.true(poison.isBroken);
   t.true((await beside).isBroken);
   await t.throwsAsync(fetch(`${url}/v1/load`));
   const state = await getJson<EngineStandInState>(`${url}/control/state`);
   t.false(state.isUp);
   t.is(state.runs["a"]?.state, "lost");
-  t.is((await post(`${url}/control/restart`)).status, 200);
-  t.true((await askChat(url, { nonce: "c", prompt: "Again" })).isDone);
+  t.is((await postJson(`${url}/control/restart`)).status, 200);
+  t.true((await sendChat(url, { nonce: "c", prompt: "Again" })).isDone);
 });
 
 test("a paused engine answers nothing until it goes on", async (t) => {
   const { url } = await startEngine(t);
-  await post(`${url}/control/pause`);
+  await postJson(`${url}/control/pause`);
   let isAnswered = false;
-  const answer = askChat(url, { prompt: "Draft" }).finally(() =>
+  const answer = sendChat(url, { prompt: "Draft" }).finally(() =>
     isAnswered = true
   );
   await getJson(`${url}/control/state`);
   t.false(isAnswered);
-  await post(`${url}/control/resume`);
+  await postJson(`${url}/control/resume`);
   t.true((await answer).isDone);
 });
 
 test("cache blocks travel by digest and save the other engine's prefill", async (t) => {
   const [source, target] = [await startEngine(t), await startEngine(t)];
   const prompt = "x".repeat(1_100);
-  await askChat(source.url, { prompt, salt: "firm" });
+  await sendChat(source.url, { prompt, salt: "firm" });
   const digests = prefixDigests("firm", prompt);
-  const exported = await post(`${source.url}/v1/kv/export`, { digests });
+  const exported = await postJson(`${source.url}/v1/kv/export`, { digests });
   const { blocks } = await exported.json() as { blocks: { data: string }[] };
   t.is(blocks.length, 4);
   const forged = [{ ...blocks[0], data: blocks[1]!.data }];
-  const refused = await post(`${target.url}/v1/kv/import`, { blocks: forged });
+  const refused = await postJson(`${target.url}/v1/kv/import`, {
+    blocks: forged,
+  });
   t.is(refused.status, 400);
-  await post(`${target.url}/v1/kv/import`, { blocks });
-  const answer = await askChat(target.url, { prompt, salt: "firm" });
+  await postJson(`${target.url}/v1/kv/import`, { blocks });
+  const answer = await sendChat(target.url, { prompt, salt: "firm" });
   t.like(answer.usage, { prompt_tokens_details: { cached_tokens: 256 } });
-  const rival = await askChat(target.url, { prompt, salt: "rival" });
+  const rival = await sendChat(target.url, { prompt, salt: "rival" });
   t.like(rival.usage, { prompt_tokens_details: { cached_tokens: 0 } });
 });
 
@@ -194,8 +204,11 @@
   const ignoring = await startEngine(t);
   const statuses = [];
   for (const { url } of [checking, ignoring]) {
-    await post(`${url}/v1/orders`, { order: "load", fencing: 7 });
-    const old = await post(`${url}/v1/orders`, { order: "load", fencing: 6 });
+    await postJson(`${url}/v1/orders`, { order: "load", fencing: 7 });
+    const old = await postJson(`${url}/v1/orders`, {
+      order: "load",
+      fencing: 6,
+    });
     statuses.push(old.status);
   }
   t.deepEqual(statuses, [409, 200]);
@@ -205,8 +218,8 @@
   const { url } = await startEngine(t);
   const chat = `${url}/v1/chat/completions`;
   t.is((await fetch(chat, { method: "POST", body: "{" })).status, 400);
-  t.is((await post(chat, { model: "drafter" })).status, 400);
-  t.is((await askChat(url, { nonce: "a b", prompt: "x" })).status, 400);
-  t.is((await post(`${url}/v1/orders`, { fencing: "7" })).status, 400);
-  t.is((await post(`${url}/control/no-such`)).status, 404);
+  t.is((await postJson(chat, { model: "drafter" })).status, 400);
+  t.is((await sendChat(url, { nonce: "a b", prompt: "x" })).status, 400);
+  t.is((await postJson(`${url}/v1/orders`, { fencing: "7" })).status, 400);
+  t.is((await postJson(`${url}/control/no-such`)).status, 404);
 });
--- a/packages/stand-ins/tests/helpers/chat.ts
+++ b/packages/stand-ins/tests/helpers/chatClient.ts
@@ -1,5 +1,5 @@
 /** What a client got from one chat completions call or resume. */
-export interface Received {
+export interface ChatResponse {
   status: number;
   nonceHeader: string | null;
   ids: Set<string>;
@@ -11,7 +11,7 @@
   isBroken: boolean;
 }
 
-export interface ChatOptions {
+export interface ChatRequestOptions {
   nonce?: string;
   prompt: string;
   stream?: boolean;
@@ -19,10 +19,11 @@
   maximumTokens?: number;
 }
 
-export function askChat(
+export function sendChat(
   url: string,
-  { nonce = "n1", prompt, stream = true, salt, maximumTokens }: ChatOptions,
-): Promise<Received> {
+  { nonce = "n1", prompt, stream = true, salt, maximumTokens }:
+    ChatRequestOptions,
+): Promise<ChatResponse> {
   const body = {
     model: "drafter",
     messages: [{ role: "user", content: prompt }],
@@ -36,14 +37,14 @@
 export function resumeChat(
   url: string,
   { nonce = "n1", offset }: { nonce?: string; offset: number },
-): Promise<Received> {
+): Promise<ChatResponse> {
   return send(`${url}/v1/requests/${nonce}/resume`, {
     nonce,
     body: { offset },
   });
 }
 
-export function post(
+export function postJson(
   url: string,
   body: Record<string, unknown> = {},
 ): Promise<Response> {
@@ -57,8 +58,8 @@
 async function send(
   url: string,
   { nonce, body }: { nonce: string; body: Record<string, unknown> },
-): Promise<Received> {
-  const received: Received = {
+): Promise<ChatResponse> {
+  const received: ChatResponse = {
     status: 0,
     nonceHeader: null,
     ids: new Set(),
@@ -89,7 +90,7 @@
   return received;
 }
 
-function takeEvent(received: Received, data: string): void {
+function takeEvent(received: ChatResponse, data: string): void {
   if (data === "[DONE]") {
     received.isDone = true;
     return;
@@ -102,7 +103,7 @@
   received.usage ??= chunk.usage;
 }
 
-function takeWhole(received: Received, raw: string): void {
+function takeWhole(received: ChatResponse, raw: string): void {
   try {
     const answer = JSON.parse(raw);
     received.ids.add(answer.id);
