--- a/packages/coordination/src/claimTable.ts
+++ b/packages/coordination/src/claimTable.ts
@@ -2,37 +2,38 @@
 import { MAX_HOST_CLOCK_SKEW_MS } from "./idempotencyKeys.ts";
 import type { Claim, ClaimReply } from "./keyClaims.ts";
 
-/** What became of one own claim. */
+/** State of a claim made by this process. */
 export type OwnClaimState =
   | "pending"
   | "owned"
   | "dispatched"
   | "released"
-  /** Nobody waits for it any more; a late grant is given back. */
+  /** No caller is waiting; a late grant is returned. */
   | "abandoned";
 
-/** A claim of this process with the home that decides it. */
+/** Claim made by this process, with the home that decides it. */
 export interface OwnClaim {
   readonly claim: Claim;
   readonly home: HostId;
   readonly state: OwnClaimState;
-  /** Updates sent to the home so far. */
+  /** Sequence of the last update sent to the home. */
   readonly lastSequence: number;
 }
 
-/** What to do about an answer of a home. */
+/** Action to take on a home's reply. */
 export type ReplyAction =
   | "ignore"
-  /** The claim ended with it. */
+  /** The reply decides the claim. */
   | "settle"
-  /** The home lacks leases at present; ask again. */
+  /** The home is temporarily inactive; send the claim again. */
   | "retry"
-  /** The grant came too late for anybody to use it. */
+  /** The grant arrived after the claim was given up. */
   | "give-back";
 
 /**
- * The claims of one process. A grant allows one dispatch: it is spent by the
- * first one and void after a release, whatever messages arrive late or twice.
+ * Tracks the claims of this process. A grant allows one dispatch; it cannot be
+ * used after a release or a second time, even if messages are late or
+ * duplicated.
  */
 export class ClaimTable {
   readonly claims: Map<string, OwnClaim>;
@@ -52,36 +53,36 @@
     });
   }
 
-  /** Takes a home's answer. */
+  /** Applies a home's reply and returns the action to take. */
   applyReply(
     claimId: string,
-    answer: ClaimReply,
+    reply: ClaimReply,
     { from }: { from: HostId },
   ): ReplyAction {
     const own = this.claims.get(claimId);
     if (own === undefined || own.home !== from) return "ignore";
-    const isGrant = answer.kind === "granted";
+    const isGrant = reply.kind === "granted";
     if (own.state !== "pending") {
       const isVoid = own.state === "abandoned" || own.state === "released";
       return isVoid && isGrant ? "give-back" : "ignore";
     }
-    const isPassing = answer.kind === "unknown" &&
-      answer.reason === "home-inactive";
-    if (isPassing) return "retry";
+    const isTemporary = reply.kind === "unknown" &&
+      reply.reason === "home-inactive";
+    if (isTemporary) return "retry";
     this.#setState(own, isGrant ? "owned" : "abandoned");
     return "settle";
   }
 
-  /** Nobody waits for the claim any more. */
+  /** Marks a pending claim as abandoned by its caller. */
   abandon(claimId: string): void {
     const own = this.claims.get(claimId);
     if (own?.state === "pending") this.#setState(own, "abandoned");
   }
 
   /**
-   * Spends a grant, right before the first byte is written; false when nothing
-   * may be written. A process that slept past the key's lifetime must not write:
-   * the home forgot the key, and callers were told so.
+   * Uses up a grant, right before the first byte is written; false if nothing
+   * may be written. A grant expires with its key, because the home deletes the
+   * key then.
    */
   consumeGrant(claimId: string, wallNow: EpochMilliseconds): boolean {
     const own = this.claims.get(claimId);
@@ -91,7 +92,10 @@
     return true;
   }
 
-  /** Takes a spent grant back whose connection was refused before a byte left; false when it was not spent. */
+  /**
+   * Restores a used grant after the connection was refused; false if it was not
+   * used.
+   */
   restoreGrant(claimId: string): boolean {
     const own = this.claims.get(claimId);
     if (own?.state !== "dispatched") return false;
@@ -99,16 +103,16 @@
     return true;
   }
 
-  /** Numbers the next update to the home. */
+  /** Returns the sequence of the next update to the home. */
   nextSequence(claimId: string): number {
     const own = this.claims.get(claimId);
     if (own === undefined) return 1;
-    const updates = own.lastSequence + 1;
-    this.claims.set(claimId, { ...own, lastSequence: updates });
-    return updates;
+    const lastSequence = own.lastSequence + 1;
+    this.claims.set(claimId, { ...own, lastSequence });
+    return lastSequence;
   }
 
-  /** Gives up a grant; false when it was spent. */
+  /** Releases a grant; false if it was already used. */
   release(claimId: string): boolean {
     const own = this.claims.get(claimId);
     if (own?.state === "dispatched") return false;
@@ -116,7 +120,10 @@
     return true;
   }
 
-  /** Forgets claims whose key is past use; until then a late grant finds its claim. */
+  /**
+   * Deletes claims whose key has expired. Until then a late grant must find its
+   * claim.
+   */
   removeExpired(wallNow: EpochMilliseconds): void {
     for (const [claimId, { claim, state }] of this.claims) {
       const isOver = expiryOf(claim) + 2 * MAX_HOST_CLOCK_SKEW_MS < wallNow;
@@ -129,7 +136,7 @@
   }
 }
 
-/** When a claim's key may not be dispatched any more. */
+/** Returns when a claim's key expires. */
 export function expiryOf(claim: Claim): EpochMilliseconds {
   return claim.issuedAt + claim.lifetimeMs;
 }
--- a/packages/coordination/src/configurationController.ts
+++ b/packages/coordination/src/configurationController.ts
@@ -41,42 +41,47 @@
 
 const TICK_MS: Milliseconds = 100;
 const NOTICE_PERIOD_MS: Milliseconds = 500;
-/** Peers told per period; push and pull reach 8 hosts within two or three periods. */
+/** Peers that receive each periodic notice. */
 const NOTICE_FANOUT = 2;
-/** Peers told at once of a change; each of them tells as many on. */
+/**
+ * Peers that receive a notice right after a change; each of them forwards it.
+ */
 const CHANGE_FANOUT = 4;
-/** How long a fresh host hears out its peers before the service alone suffices. */
+/**
+ * How long a starting host waits for its peers before it trusts the platform
+ * alone.
+ */
 export const PEER_CONFIRMATION_WAIT_MS: Milliseconds = 1_000;
-/** The same while peers name a newer bundle that they have not passed on yet. */
-const OUTDONE_WAIT_MS: Milliseconds = 4_000;
+/** Wait while peers announce a newer bundle that has not been fetched yet. */
+const NEWER_BUNDLE_WAIT_MS: Milliseconds = 4_000;
 
-/** A version that some host has in force, as last heard. */
+/** Version that a host has in force, as last announced. */
 export interface HostVersion {
   readonly mark: BundleIdentity | undefined;
   readonly hostListVersion: number;
-  /** On this host's monotonic clock. */
+  /** Time of the announcement on this host's monotonic clock. */
   readonly heardAt: Milliseconds;
 }
 
-/** The bundle that this host serves under. */
+/** Bundle in force on this host. */
 export const BUNDLE_IN_FORCE: Topic<SignedBundle | undefined> = createTopic<
   SignedBundle | undefined
 >("bundle-in-force", undefined);
-/** What each live host has in force, this one included. */
+/** Version in force on each live host, including this one. */
 export const BUNDLE_VERSIONS: Topic<ReadonlyMap<HostId, HostVersion>> =
   createTopic<ReadonlyMap<HostId, HostVersion>>("bundle-versions", new Map());
-/** The newest host list known here; its version only grows. */
+/** Newest known host list; its version only increases. */
 export const HOST_LIST: Topic<HostList | undefined> = createTopic<
   HostList | undefined
 >("host-list", undefined);
 
-/** What configuration needs to know of an entry host. */
+/** Fields of a member that the configuration controller uses. */
 export interface ConfigurationMember {
   readonly host: HostId;
   readonly state: "alive" | "suspect" | "dead";
 }
 
-/** What a {@link ConfigurationController} needs from its process. */
+/** Dependencies of a {@link ConfigurationController}. */
 export interface ConfigurationControllerOptions {
   readonly blackboard: Blackboard;
   readonly link: PeerLink;
@@ -86,15 +91,18 @@
   readonly members: Topic<readonly ConfigurationMember[]>;
   readonly bundleSource: BundleSource;
   readonly hostListSource: HostListSource;
-  /** Checks root and signatures; the only ground on which a bundle is taken. */
+  /**
+   * Verifies the root and signatures of a bundle; an invalid bundle is never
+   * used.
+   */
   readonly verify: (
     signed: SignedBundle,
   ) => Result<SignedBundle, { readonly kind: string }>;
-  /** Called at each change of state worth a log line. */
+  /** Logs a change of the configuration state. */
   readonly log?: (change: ConfigurationChange) => void;
 }
 
-/** A change of state worth a log line. */
+/** Change of the configuration state, for the log. */
 export type ConfigurationChange =
   | { readonly kind: "in-force"; readonly mark: BundleIdentity }
   | {
@@ -109,20 +117,20 @@
   };
 
 /**
- * Brings the newest signed bundle and host list into force on this host: a few
- * hosts read the platform, all hosts hear it from each other.
+ * Puts the newest signed bundle and host list into force on this host. A few
+ * hosts read the platform; the others receive updates from their peers.
  */
 export class ConfigurationController extends Controller {
   readonly #options: ConfigurationControllerOptions;
-  readonly #spread: ConfigurationGossip;
+  readonly #gossip: ConfigurationGossip;
   readonly #documents = new ConfigurationDocuments();
   readonly #fetches: ConfigurationFetcher;
   readonly #bundleWatch: PlatformWatch<SignedBundle>;
   readonly #hostListWatch: PlatformWatch<HostList>;
-  readonly #endings: (() => void)[] = [];
+  readonly #subscriptions: (() => void)[] = [];
   readonly #startedAt: Milliseconds;
   readonly #knownConflicts = new Set<string>();
-  #ticking: TimerSubscription[] = [];
+  #timers: TimerSubscription[] = [];
   #unconfirmed: SignedBundle | undefined;
 
   constructor(options: ConfigurationControllerOptions) {
@@ -130,42 +138,42 @@
     const { link, timer, random, metrics } = options;
     this.#options = options;
     this.#startedAt = timer.now();
-    this.#spread = new ConfigurationGossip(link.self, this.#startedAt);
+    this.#gossip = new ConfigurationGossip(link.self, this.#startedAt);
     this.#fetches = new ConfigurationFetcher({
       link,
       timer,
       random,
       metrics,
-      gossip: this.#spread,
+      gossip: this.#gossip,
       documents: this.#documents,
-      onBundle: (signed, from) => this.#onBundleFetched(signed, from),
-      onHostList: (hostList) => this.#takeHostList(hostList),
+      onBundle: (signed, from) => this.#onBundleFromPeer(signed, from),
+      onHostList: (hostList) => this.#applyHostList(hostList),
     });
     const shared = {
       timer,
       random,
       metrics,
-      onResponse: () => this.#spread.recordOwnRead(timer.now()),
+      onResponse: () => this.#gossip.recordOwnRead(timer.now()),
     };
     this.#bundleWatch = new PlatformWatch({
       ...shared,
       value: "bundle",
       read: (watch) => options.bundleSource.read(watch),
-      onValue: (signed) => this.#onBundleRead(signed),
+      onValue: (signed) => this.#onBundleFromPlatform(signed),
     });
     this.#hostListWatch = new PlatformWatch({
       ...shared,
       value: "host-list",
       onResponse: () => {},
       read: (watch) => options.hostListSource.read(watch),
-      onValue: (hostList) => this.#takeHostList(hostList),
+      onValue: (hostList) => this.#applyHostList(hostList),
     });
   }
 
   override start(): void {
     const { blackboard, link, timer, members } = this.#options;
     this.#onMembers(blackboard.read(members));
-    this.#endings.push(
+    this.#subscriptions.push(
       blackboard.watch(members, (value) => this.#onMembers(value)),
       subscribeMessage(
         link,
@@ -187,16 +195,16 @@
         (from, chunk) => this.#fetches.onChunk(from, chunk),
       ),
     );
-    this.#ticking = [
+    this.#timers = [
       timer.every(TICK_MS, () => this.#tick()),
-      timer.every(NOTICE_PERIOD_MS, () => this.#tellSome(NOTICE_FANOUT)),
+      timer.every(NOTICE_PERIOD_MS, () => this.#sendNotices(NOTICE_FANOUT)),
     ];
-    this.#tellSome(CHANGE_FANOUT);
+    this.#sendNotices(CHANGE_FANOUT);
   }
 
   override stop(): void {
-    for (const end of this.#endings.splice(0)) end();
-    for (const subscription of this.#ticking.splice(0)) subscription.cancel();
+    for (const end of this.#subscriptions.splice(0)) end();
+    for (const subscription of this.#timers.splice(0)) subscription.cancel();
   }
 
   get #inForce(): SignedBundle | undefined {
@@ -210,81 +218,84 @@
   #onMembers(members: readonly ConfigurationMember[]): void {
     const hosts = members.filter(({ state }) => state !== "dead");
     const now = this.#options.timer.now();
-    this.#spread.setMembers(hosts.map(({ host }) => host), now);
+    this.#gossip.setMembers(hosts.map(({ host }) => host), now);
     this.#publishVersions();
   }
 
   #tick(): void {
     const now = this.#options.timer.now();
-    this.#confirm();
-    this.#fetches.poll(this.#known());
-    // A fresh host asks its peers first; they may know more than a stale service.
+    this.#confirmUnconfirmed();
+    this.#fetches.poll(this.#localConfiguration());
+    // Peers can have a newer version than an outdated platform replica.
     if (
-      this.#inForce === undefined && this.#age(now) < PEER_CONFIRMATION_WAIT_MS
+      this.#inForce === undefined &&
+      this.#timeSinceStart(now) < PEER_CONFIRMATION_WAIT_MS
     ) return;
-    if (!this.#spread.shouldRead(now)) return;
+    if (!this.#gossip.shouldRead(now)) return;
     this.#bundleWatch.poll();
     this.#hostListWatch.poll();
   }
 
-  #age(now: Milliseconds): Milliseconds {
+  #timeSinceStart(now: Milliseconds): Milliseconds {
     return now - this.#startedAt;
   }
 
-  #known(): LocalConfiguration {
+  #localConfiguration(): LocalConfiguration {
     return { inForce: this.#inForce, hostListVersion: this.#hostListVersion };
   }
 
   #onNotice(from: HostId, notice: ConfigurationNotice): void {
     const now = this.#options.timer.now();
-    this.#spread.applyNotice(from, { notice, now });
+    this.#gossip.applyNotice(from, { notice, now });
     this.#publishVersions();
-    if (this.#isBehind(notice)) this.#tell(from);
-    this.#confirm();
-    this.#fetches.poll(this.#known());
+    if (this.#isPeerBehind(notice)) this.#sendNotice(from);
+    this.#confirmUnconfirmed();
+    this.#fetches.poll(this.#localConfiguration());
   }
 
-  #isBehind(notice: ConfigurationNotice): boolean {
+  #isPeerBehind(notice: ConfigurationNotice): boolean {
     if (notice.hostListVersion < this.#hostListVersion) return true;
     const own = this.#inForce && bundleIdentityOf(this.#inForce);
     return own !== undefined && shouldReplace(own, notice.inForce);
   }
 
-  #onBundleRead(signed: SignedBundle): void {
+  #onBundleFromPlatform(signed: SignedBundle): void {
     const verified = this.#verify(signed, "service");
     if (verified === undefined) return;
-    if (this.#inForce !== undefined) return this.#take(verified);
+    if (this.#inForce !== undefined) return this.#putInForce(verified);
     const isNewer = this.#unconfirmed === undefined ||
       shouldReplace(
         bundleIdentityOf(verified),
         bundleIdentityOf(this.#unconfirmed),
       );
     if (isNewer) this.#unconfirmed = verified;
-    this.#confirm();
+    this.#confirmUnconfirmed();
   }
 
   /**
-   * A fresh host must not serve an old version that a stale service names while
-   * its peers have a newer one in force. It waits until peers have answered and
-   * name nothing newer, or until they have had their time.
+   * Puts the bundle read by a starting host into force once peers have
+   * announced nothing newer, or after a time limit. This avoids serving an
+   * outdated version from an outdated platform replica.
    */
-  #confirm(): void {
+  #confirmUnconfirmed(): void {
     const candidate = this.#unconfirmed;
     if (candidate === undefined) return;
-    const heard = this.#spread.newestAnnouncedBundle(this.#options.timer.now());
-    const isOutdone = heard !== undefined &&
-      shouldReplace(heard.mark, bundleIdentityOf(candidate));
-    const isConfirmed = heard !== undefined && !isOutdone;
-    const wait = isOutdone ? OUTDONE_WAIT_MS : PEER_CONFIRMATION_WAIT_MS;
-    const hasWaited = this.#age(this.#options.timer.now()) >= wait;
+    const announced = this.#gossip.newestAnnouncedBundle(
+      this.#options.timer.now(),
+    );
+    const hasNewer = announced !== undefined &&
+      shouldReplace(announced.mark, bundleIdentityOf(candidate));
+    const isConfirmed = announced !== undefined && !hasNewer;
+    const wait = hasNewer ? NEWER_BUNDLE_WAIT_MS : PEER_CONFIRMATION_WAIT_MS;
+    const hasWaited = this.#timeSinceStart(this.#options.timer.now()) >= wait;
     if (!isConfirmed && !hasWaited) return;
     this.#unconfirmed = undefined;
-    this.#take(candidate);
+    this.#putInForce(candidate);
   }
 
-  #onBundleFetched(signed: SignedBundle, from: HostId): boolean {
+  #onBundleFromPeer(signed: SignedBundle, from: HostId): boolean {
     const verified = this.#verify(signed, from);
-    if (verified !== undefined) this.#take(verified);
+    if (verified !== undefined) this.#putInForce(verified);
     return verified !== undefined;
   }
 
@@ -297,14 +308,14 @@
     return undefined;
   }
 
-  #take(signed: SignedBundle): void {
+  #putInForce(signed: SignedBundle): void {
     const { blackboard, metrics, log } = this.#options;
     const offered = bundleIdentityOf(signed);
     const inForce = this.#inForce && bundleIdentityOf(this.#inForce);
     const order = compareBundles(offered, inForce);
     if (order === "older") metrics.count("bundles_stale");
     if (inForce !== undefined && order.startsWith("conflict")) {
-      this.#alarm(offered, inForce);
+      this.#reportConflict(offered, inForce);
     }
     if (!shouldReplace(offered, inForce)) return;
     this.#documents.setBundle(signed);
@@ -312,10 +323,10 @@
     metrics.count("bundles_in_force");
     log?.({ kind: "in-force", mark: offered });
     this.#publishVersions();
-    this.#tellSome(CHANGE_FANOUT);
+    this.#sendNotices(CHANGE_FANOUT);
   }
 
-  #alarm(offered: BundleIdentity, inForce: BundleIdentity): void {
+  #reportConflict(offered: BundleIdentity, inForce: BundleIdentity): void {
     const key = [offered.root, inForce.root].sort().join(" ");
     this.#options.metrics.count("bundle_conflicts");
     if (this.#knownConflicts.has(key)) return;
@@ -327,41 +338,41 @@
     this.#options.log?.({ kind: "conflict", kept, dropped });
   }
 
-  #takeHostList(hostList: HostList): void {
+  #applyHostList(hostList: HostList): void {
     if (hostList.version <= this.#hostListVersion) return;
     this.#documents.setHostList(hostList);
     this.#options.blackboard.write(HOST_LIST, hostList);
-    this.#tellSome(CHANGE_FANOUT);
+    this.#sendNotices(CHANGE_FANOUT);
   }
 
-  #notice(): ConfigurationNotice {
+  #createNotice(): ConfigurationNotice {
     const signed = this.#inForce;
     return {
       ...(signed && { inForce: bundleIdentityOf(signed) }),
       hostListVersion: this.#hostListVersion,
-      reads: this.#spread.recentReads(this.#options.timer.now()),
+      reads: this.#gossip.recentReads(this.#options.timer.now()),
     };
   }
 
-  #tell(peer: HostId): void {
+  #sendNotice(peer: HostId): void {
     sendMessage(this.#options.link, CONFIGURATION_NOTICE, {
       to: peer,
-      body: this.#notice(),
+      body: this.#createNotice(),
     });
   }
 
-  #tellSome(maximum: number): void {
-    const peers = this.#spread.peers;
-    for (let told = 0; told < maximum && peers.length > 0; told++) {
+  #sendNotices(maximum: number): void {
+    const peers = this.#gossip.peers;
+    for (let sent = 0; sent < maximum && peers.length > 0; sent++) {
       const [peer] = peers.splice(this.#options.random.int(peers.length), 1);
-      if (peer !== undefined) this.#tell(peer);
+      if (peer !== undefined) this.#sendNotice(peer);
     }
   }
 
   #publishVersions(): void {
     const { blackboard, link, timer } = this.#options;
     const versions = new Map<HostId, HostVersion>(
-      this.#spread.announcedVersions(),
+      this.#gossip.announcedVersions(),
     );
     versions.set(link.self, {
       mark: this.#inForce && bundleIdentityOf(this.#inForce),
--- a/packages/coordination/src/configurationDocuments.ts
+++ b/packages/coordination/src/configurationDocuments.ts
@@ -16,16 +16,22 @@
 } from "./configurationMessages.ts";
 import { isHostList } from "./hostListShape.ts";
 
-/** Former bundles that differences can start from; a host further behind takes the whole. */
+/**
+ * Number of former bundles kept as a base for differences; hosts with an older
+ * one receive the whole bundle.
+ */
 const MAX_FORMER_BUNDLES = 8;
 const MAX_CACHED_TEXTS = 4;
 
-/** Why a fetched document is not taken. */
+/** Why a fetched document was rejected. */
 export type DocumentError =
   | { readonly kind: "malformed" }
   | { readonly kind: "not-applicable" };
 
-/** The documents that this host can pass on, as bounded chunks of text. */
+/**
+ * Holds the documents that this host can send to peers, as chunks of limited
+ * size.
+ */
 export class ConfigurationDocuments {
   readonly #bundles = new Map<Digest, SignedBundle>();
   readonly #texts = new Map<string, string>();
@@ -43,7 +49,9 @@
     this.#hostList = hostList;
   }
 
-  /** The chunk that a peer asks for; empty when this host cannot make it. */
+  /**
+   * Returns the requested chunk; empty if this host does not have the document.
+   */
   chunk(request: DocumentRequest): DocumentChunk {
     const text = this.#textOf(request);
     if (text === undefined) return { ...request, count: 0, text: "" };
@@ -55,7 +63,10 @@
     };
   }
 
-  /** The bundle in a fetched text; a difference starts from the newest one here. */
+  /**
+   * Parses a fetched bundle; a difference is applied to the newest bundle held
+   * here.
+   */
   parseBundle(
     request: Pick<DocumentRequest, "document">,
     text: string,
--- a/packages/coordination/src/configurationFetcher.ts
+++ b/packages/coordination/src/configurationFetcher.ts
@@ -19,19 +19,19 @@
 import { DocumentFetch, type DocumentReference } from "./documentFetch.ts";
 import { sendMessage } from "./peerMessages.ts";
 
-/** Timeouts in a row after which a peer is not asked for a while. */
+/** Consecutive timeouts after which a peer is ignored for a while. */
 const MAX_TIMEOUTS = 3;
 
-/** Roots remembered as fetched whole only; forged ones must not fill memory. */
-const MAX_WHOLE_WANTED = 16;
+/** Maximum number of remembered roots, since forged ones could fill memory. */
+const MAX_ROOTS_TO_FETCH_WHOLE = 16;
 
-/** What this host has. */
+/** Configuration that this host has. */
 export interface LocalConfiguration {
   readonly inForce: SignedBundle | undefined;
   readonly hostListVersion: number;
 }
 
-/** What {@link ConfigurationFetcher} needs. */
+/** Dependencies of {@link ConfigurationFetcher}. */
 export interface ConfigurationFetcherOptions {
   readonly link: PeerLink;
   readonly timer: Timer;
@@ -39,37 +39,37 @@
   readonly metrics: Metrics;
   readonly gossip: ConfigurationGossip;
   readonly documents: ConfigurationDocuments;
-  /** False when the bundle did not pass its checks. */
+  /** Receives a bundle; returns false if it is invalid. */
   readonly onBundle: (signed: SignedBundle, from: HostId) => boolean;
   readonly onHostList: (hostList: HostList) => void;
 }
 
 /**
- * Fetches what peers have and this host lacks, one bundle and one host list at
- * a time: a difference where one applies, else the whole in chunks.
+ * Fetches newer configuration from peers, one bundle and one host list at a
+ * time. A bundle is fetched as a difference if possible, otherwise as a whole.
  */
 export class ConfigurationFetcher {
   readonly #options: ConfigurationFetcherOptions;
-  readonly #wholeWanted = new Set<string>();
+  readonly #rootsToFetchWhole = new Set<string>();
   readonly #timeouts = new Map<HostId, number>();
   #bundle: DocumentFetch | undefined;
   #hostList: DocumentFetch | undefined;
-  #known: LocalConfiguration = { inForce: undefined, hostListVersion: 0 };
+  #local: LocalConfiguration = { inForce: undefined, hostListVersion: 0 };
 
   constructor(options: ConfigurationFetcherOptions) {
     this.#options = options;
   }
 
-  /** Drops late fetches and starts those that are due. */
-  poll(known: LocalConfiguration): void {
-    this.#known = known;
-    if (this.#isLate(this.#bundle)) this.#bundle = undefined;
-    if (this.#isLate(this.#hostList)) this.#hostList = undefined;
+  /** Cancels timed-out fetches and starts new ones. */
+  poll(local: LocalConfiguration): void {
+    this.#local = local;
+    if (this.#hasTimedOut(this.#bundle)) this.#bundle = undefined;
+    if (this.#hasTimedOut(this.#hostList)) this.#hostList = undefined;
     this.#bundle ??= this.#startBundle();
     this.#hostList ??= this.#startHostList();
   }
 
-  /** Takes a chunk that a peer sent. */
+  /** Handles a chunk sent by a peer. */
   onChunk(from: HostId, chunk: DocumentChunk): void {
     const isHostList = chunk.document === "host-list";
     const fetch = isHostList ? this.#hostList : this.#bundle;
@@ -89,30 +89,30 @@
     else this.#onBundle(fetch, text);
   }
 
-  #isLate(fetch: DocumentFetch | undefined): boolean {
-    const { timer, gossip: spread } = this.#options;
+  #hasTimedOut(fetch: DocumentFetch | undefined): boolean {
+    const { timer, gossip } = this.#options;
     const now = timer.now();
     if (fetch === undefined || !fetch.hasTimedOut(now)) return false;
     const timeouts = (this.#timeouts.get(fetch.peer) ?? 0) + 1;
     this.#timeouts.set(fetch.peer, timeouts);
     if (timeouts < MAX_TIMEOUTS) return true;
     this.#timeouts.delete(fetch.peer);
-    spread.distrust(fetch.peer, now);
+    gossip.distrust(fetch.peer, now);
     return true;
   }
 
   #startBundle(): DocumentFetch | undefined {
-    const { gossip: spread, timer } = this.#options;
-    const newest = spread.newestAnnouncedBundle(timer.now());
+    const { gossip, timer } = this.#options;
+    const newest = gossip.newestAnnouncedBundle(timer.now());
     if (newest === undefined) return undefined;
     const { mark, holders } = newest;
-    const { inForce } = this.#known;
+    const { inForce } = this.#local;
     if (!shouldReplace(mark, inForce && bundleIdentityOf(inForce))) {
       return undefined;
     }
     const canPatch = inForce !== undefined &&
       mark.version > inForce.bundle.version &&
-      !this.#wholeWanted.has(mark.root);
+      !this.#rootsToFetchWhole.has(mark.root);
     const wanted: DocumentReference = canPatch
       ? { document: "difference", ...mark, fromRoot: inForce.root }
       : { document: "bundle", ...mark };
@@ -120,9 +120,9 @@
   }
 
   #startHostList(): DocumentFetch | undefined {
-    const { gossip: spread, timer } = this.#options;
-    const { version, holders } = spread.newestAnnouncedHostList(timer.now());
-    if (version <= this.#known.hostListVersion) return undefined;
+    const { gossip, timer } = this.#options;
+    const { version, holders } = gossip.newestAnnouncedHostList(timer.now());
+    if (version <= this.#local.hostListVersion) return undefined;
     return this.#start({ document: "host-list", version, root: "" }, holders);
   }
 
@@ -143,33 +143,35 @@
   }
 
   #onHostList(from: HostId, text: string | undefined): void {
-    const { documents, gossip: spread, timer, onHostList } = this.#options;
+    const { documents, gossip, timer, onHostList } = this.#options;
     this.#hostList = undefined;
     const hostList = text === undefined
       ? undefined
       : documents.parseHostList(text).unwrapOr(undefined);
-    if (hostList === undefined) spread.distrust(from, timer.now());
+    if (hostList === undefined) gossip.distrust(from, timer.now());
     else onHostList(hostList);
   }
 
   /**
-   * A difference that does not apply is no proof against its sender: it may
-   * start from a bundle that only one of the two knows. A whole bundle that
-   * does not pass its checks is.
+   * Applies a fetched bundle. A difference that cannot be applied is fetched
+   * again as a whole bundle; a peer that sent an invalid whole bundle is
+   * distrusted.
    */
   #onBundle(fetch: DocumentFetch, text: string | undefined): void {
-    const { documents, gossip: spread, timer, onBundle } = this.#options;
+    const { documents, gossip, timer, onBundle } = this.#options;
     this.#bundle = undefined;
     const signed = text === undefined
       ? undefined
       : documents.parseBundle(fetch.wanted, text).unwrapOr(undefined);
     if (signed !== undefined && onBundle(signed, fetch.peer)) {
-      this.#wholeWanted.clear();
+      this.#rootsToFetchWhole.clear();
     } else if (fetch.wanted.document === "difference") {
-      if (this.#wholeWanted.size >= MAX_WHOLE_WANTED) this.#wholeWanted.clear();
-      this.#wholeWanted.add(fetch.wanted.root);
+      if (this.#rootsToFetchWhole.size >= MAX_ROOTS_TO_FETCH_WHOLE) {
+        this.#rootsToFetchWhole.clear();
+      }
+      this.#rootsToFetchWhole.add(fetch.wanted.root);
     } else {
-      spread.distrust(fetch.peer, timer.now());
+      gossip.distrust(fetch.peer, timer.now());
     }
   }
 }
--- a/packages/coordination/src/configurationGossip.ts
+++ b/packages/coordination/src/configurationGossip.ts
@@ -8,76 +8,75 @@
 } from "@wasabivane/common";
 
 /**
- * Which hosts read the platform and what each one has heard of the others.
- *
- * Load pattern: a rare change that every host needs within seconds, read from a
- * service that counts each call. Without it each host would keep its own watch,
- * so the reads would grow with the fleet, and a host that cannot read would
- * keep the old version. Two readers survive the loss of one; a read counts as
- * fresh for three waits, so that one lost answer wakes nobody else; the stagger
- * is several one-way times, so that the next host is heard before another one
- * joins it.
+ * Number of hosts that read the platform; the others receive changes from
+ * peers, so that reads do not grow with the fleet.
  */
 export const PLATFORM_READERS = 2;
-/** Longest wait of one watch; a watch that ended proves that the service answers. */
+/** Maximum duration of one long poll. */
 export const LONG_POLL_WAIT_MS: Milliseconds = 1_000;
-/** A host that read within this time is taken for a reader. */
+/**
+ * Time since its last successful read within which a host counts as a reader.
+ */
 export const READ_FRESHNESS_MS: Milliseconds = 3_000;
-/** Each further host by rank waits so much longer before it reads, too. */
+/** Additional wait per rank before a host starts to read. */
 export const READ_STAGGER_MS: Milliseconds = 250;
-/** A host that could not prove its claim is not asked for so long. */
+/**
+ * How long announcements of a peer are ignored after it failed to send what it
+ * announced.
+ */
 export const DISTRUST_PERIOD_MS: Milliseconds = 10_000;
-/** Reads that a notice tells of. */
+/** Maximum number of reads in a notice. */
 export const MAX_READS_PER_NOTICE = 2;
 
-/** What identifies one bundle; roots differ when one version was signed twice. */
+/** Identifies a bundle; two bundles of one version have different roots. */
 export interface BundleIdentity {
   readonly version: BundleVersion;
   readonly root: Digest;
 }
 
-/** The version and root of a signed bundle. */
+/** Returns the identity of a signed bundle. */
 export function bundleIdentityOf(signed: SignedBundle): BundleIdentity {
   return { version: signed.bundle.version, root: signed.root };
 }
 
-/** How long ago a host's read of the platform succeeded. */
+/** Time since a host's last successful read of the platform. */
 export interface RecentRead {
   readonly host: HostId;
   readonly ageMs: Milliseconds;
 }
 
-/** What one host tells another about configuration, at each change and each second. */
+/**
+ * Announces a host's configuration, sent periodically and after each change.
+ */
 export interface ConfigurationNotice {
-  /** Absent while nothing is in force. */
+  /** Absent if no bundle is in force. */
   readonly inForce?: BundleIdentity;
-  /** 0 while no list is known. */
+  /** 0 if no host list is known. */
   readonly hostListVersion: number;
   readonly reads: readonly RecentRead[];
 }
 
-/** The last that was heard of a host. */
+/** Last version announced by a host. */
 export interface AnnouncedVersion {
   readonly mark: BundleIdentity | undefined;
   readonly hostListVersion: number;
   readonly heardAt: Milliseconds;
 }
 
-/** How an offered bundle relates to the one in force. */
+/** Order of an offered bundle relative to the one in force. */
 export type BundleOrder =
   | "newer"
   | "same"
   | "older"
-  /** Same version, other content, and the offered one wins. */
+  /** Same version, different content; the offered bundle wins. */
   | "conflict-wins"
-  /** Same version, other content, and the one in force stays. */
+  /** Same version, different content; the bundle in force wins. */
   | "conflict-loses";
 
 /**
- * Compares an offered bundle with the one in force. Versions only grow. Two
- * valid bundles with one version are an operator's mistake; every host takes
- * the one with the lower root, whatever order they came in, so that the fleet
- * agrees and settles.
+ * Compares an offered bundle with the one in force by version. Two valid
+ * bundles of one version are an operator's mistake; the lower root wins on
+ * every host, independent of the order of arrival.
  */
 export function compareBundles(
   offered: BundleIdentity,
@@ -90,7 +89,7 @@
   return offered.root < inForce.root ? "conflict-wins" : "conflict-loses";
 }
 
-/** Whether an offered bundle replaces the one in force. */
+/** Tells whether an offered bundle replaces the one in force. */
 export function shouldReplace(
   offered: BundleIdentity,
   inForce: BundleIdentity | undefined,
@@ -99,10 +98,13 @@
   return order === "newer" || order === "conflict-wins";
 }
 
-/** Keeps who read last and who told which version; no timers and no messages. */
+/**
+ * Tracks which hosts read the platform and which versions peers announce, and
+ * selects the readers.
+ */
 export class ConfigurationGossip {
   readonly #self: HostId;
-  readonly #heard = new Map<HostId, AnnouncedVersion>();
+  readonly #announced = new Map<HostId, AnnouncedVersion>();
   readonly #lastRead = new Map<HostId, Milliseconds>();
   readonly #memberSince = new Map<HostId, Milliseconds>();
   readonly #distrustedUntil = new Map<HostId, Milliseconds>();
@@ -114,21 +116,21 @@
     this.#memberSince.set(self, now);
   }
 
-  /** Peers that may be told and asked. */
+  /** Peers to exchange notices with. */
   get peers(): HostId[] {
     return this.#order.filter((host) => host !== this.#self);
   }
 
-  /** Replaces the live hosts; what was heard of hosts that went is forgotten. */
+  /** Replaces the live hosts and deletes the state of removed ones. */
   setMembers(hosts: readonly HostId[], now: Milliseconds): void {
     const members = new Set([this.#self, ...hosts]);
     this.#order = rendezvousOrder("configuration-readers", [...members]);
     for (const host of members) {
       if (!this.#memberSince.has(host)) this.#memberSince.set(host, now);
     }
-    for (const known of this.#memories()) {
-      for (const host of known.keys()) {
-        if (!members.has(host)) known.delete(host);
+    for (const states of this.#statesByHost()) {
+      for (const host of states.keys()) {
+        if (!members.has(host)) states.delete(host);
       }
     }
   }
@@ -141,7 +143,7 @@
     from: HostId,
     { notice, now }: { notice: ConfigurationNotice; now: Milliseconds },
   ): void {
-    this.#heard.set(from, {
+    this.#announced.set(from, {
       mark: notice.inForce,
       hostListVersion: notice.hostListVersion,
       heardAt: now,
@@ -152,30 +154,29 @@
   }
 
   /**
-   * Ignores what a host claims for a while, after it could not prove it. Else a
-   * host that names a bundle which nobody has would keep all others from
-   * fetching the newest one that exists.
+   * Ignores announcements of a host for a while, so that a version that nobody
+   * can provide does not block fetching the newest available one.
    */
   distrust(host: HostId, now: Milliseconds): void {
     this.#distrustedUntil.set(host, now + DISTRUST_PERIOD_MS);
   }
 
   /**
-   * Whether this host reads: while fewer than {@link PLATFORM_READERS} hosts before it
-   * by rank are known to have read lately. Hosts further back wait longer, so
-   * that a service that is down for all is not asked by all at once.
+   * Tells whether this host reads the platform: it does while fewer than {@link
+   * PLATFORM_READERS} hosts of better rank have read recently. Lower ranks wait
+   * longer, so that not all hosts read at once when the platform is down.
    */
   shouldRead(now: Milliseconds): boolean {
     const rank = this.#order.indexOf(this.#self);
     const lateness = Math.max(0, rank - PLATFORM_READERS + 1) * READ_STAGGER_MS;
     const since = now - READ_FRESHNESS_MS - lateness;
     const reading = this.#order.slice(0, rank).filter((host) =>
-      this.#readOrJoinedAt(host) >= since
+      this.#lastReadOrJoinedAt(host) >= since
     );
     return reading.length < PLATFORM_READERS;
   }
 
-  /** The freshest reads by the hosts of best rank, for a notice. */
+  /** Returns the recent reads of the best-ranked hosts, for a notice. */
   recentReads(now: Milliseconds): RecentRead[] {
     const reads: RecentRead[] = [];
     for (const host of this.#order) {
@@ -187,54 +188,60 @@
     return reads;
   }
 
-  /** What each peer last told. */
+  /** Returns the version last announced by each peer. */
   announcedVersions(): ReadonlyMap<HostId, AnnouncedVersion> {
-    return this.#heard;
+    return this.#announced;
   }
 
-  /** The newest bundle that trusted peers claim to have, with those who claim it. */
+  /**
+   * Returns the newest bundle announced by trusted peers and the hosts that
+   * announced it.
+   */
   newestAnnouncedBundle(
     now: Milliseconds,
   ): { mark: BundleIdentity; holders: HostId[] } | undefined {
-    const trusted = this.#trusted(now);
+    const trusted = this.#trustedAnnouncements(now);
     let mark: BundleIdentity | undefined;
-    for (const [, heard] of trusted) {
-      if (heard.mark !== undefined && shouldReplace(heard.mark, mark)) {
-        mark = heard.mark;
+    for (const [, announced] of trusted) {
+      if (announced.mark !== undefined && shouldReplace(announced.mark, mark)) {
+        mark = announced.mark;
       }
     }
     if (mark === undefined) return undefined;
     const { version, root } = mark;
-    const holders = trusted.filter(([, heard]) =>
-      heard.mark?.version === version && heard.mark.root === root
+    const holders = trusted.filter(([, announced]) =>
+      announced.mark?.version === version && announced.mark.root === root
     );
     return { mark, holders: holders.map(([host]) => host) };
   }
 
-  /** The newest host list that trusted peers claim to have, with those who claim it. */
+  /**
+   * Returns the newest host list version announced by trusted peers and the
+   * hosts that announced it.
+   */
   newestAnnouncedHostList(
     now: Milliseconds,
   ): { version: number; holders: HostId[] } {
-    const trusted = this.#trusted(now);
+    const trusted = this.#trustedAnnouncements(now);
     const version = trusted.reduce(
-      (newest, [, heard]) => Math.max(newest, heard.hostListVersion),
+      (newest, [, announced]) => Math.max(newest, announced.hostListVersion),
       0,
     );
-    const holders = trusted.filter(([, heard]) =>
-      heard.hostListVersion === version
+    const holders = trusted.filter(([, announced]) =>
+      announced.hostListVersion === version
     );
     return { version, holders: holders.map(([host]) => host) };
   }
 
-  #trusted(now: Milliseconds): [HostId, AnnouncedVersion][] {
-    return [...this.#heard].filter(([host]) =>
+  #trustedAnnouncements(now: Milliseconds): [HostId, AnnouncedVersion][] {
+    return [...this.#announced].filter(([host]) =>
       (this.#distrustedUntil.get(host) ?? 0) <= now
     );
   }
 
-  #memories(): Map<HostId, unknown>[] {
+  #statesByHost(): Map<HostId, unknown>[] {
     return [
-      this.#heard,
+      this.#announced,
       this.#lastRead,
       this.#memberSince,
       this.#distrustedUntil,
@@ -247,7 +254,7 @@
     if (known === undefined || at > known) this.#lastRead.set(host, at);
   }
 
-  #readOrJoinedAt(host: HostId): Milliseconds {
+  #lastReadOrJoinedAt(host: HostId): Milliseconds {
     return this.#lastRead.get(host) ?? this.#memberSince.get(host) ?? 0;
   }
 }
--- a/packages/coordination/src/configurationMessages.ts
+++ b/packages/coordination/src/configurationMessages.ts
@@ -14,26 +14,28 @@
 } from "./messageShapes.ts";
 import { defineMessage, type MessageKind } from "./peerMessages.ts";
 
-/** Characters of a document that one message carries. */
+/** Characters of a document per message. */
 export const CHUNK_CHARACTERS = 32 * 1024;
-/** Chunks of the largest document; a bundle is at most a megabyte. */
+/**
+ * Maximum number of chunks of a document; a bundle has at most one megabyte.
+ */
 export const MAX_CHUNKS = 64;
 
-/** What peers fetch from each other, as JSON text in chunks. */
+/** Kind of a document that peers send as chunks of JSON text. */
 export type DocumentKind = "bundle" | "difference" | "host-list";
 
-/** Asks for one chunk of a document. */
+/** Requests one chunk of a document. */
 export interface DocumentRequest {
   readonly document: DocumentKind;
   readonly version: number;
-  /** Root of the wanted bundle; empty for a host list. */
+  /** Root of the requested bundle; empty for a host list. */
   readonly root: string;
-  /** Root of the bundle that a difference starts from. */
+  /** Root of the bundle that a difference applies to. */
   readonly fromRoot?: string;
   readonly index: number;
 }
 
-/** One chunk of a document; no text when the sender does not have it. */
+/** One chunk of a document; `count` is 0 if the sender does not have it. */
 export interface DocumentChunk extends DocumentRequest {
   readonly count: number;
   readonly text: string;
@@ -46,7 +48,7 @@
 const isRead = objectOf({ host: textOf<HostId>(), ageMs: numberOf() });
 const isDocument = oneOf<DocumentKind>("bundle", "difference", "host-list");
 
-/** Tells a peer which version is in force here. */
+/** See {@link ConfigurationNotice}. */
 export const CONFIGURATION_NOTICE: MessageKind<ConfigurationNotice> =
   defineMessage<ConfigurationNotice>(
     "configuration-notice",
--- a/packages/coordination/src/documentFetch.ts
+++ b/packages/coordination/src/documentFetch.ts
@@ -5,13 +5,13 @@
   MAX_CHUNKS,
 } from "./configurationMessages.ts";
 
-/** A fetch without progress for so long turns to another peer. */
+/** Time without progress after which a fetch is retried from another peer. */
 export const FETCH_TIMEOUT_MS: Milliseconds = 400;
 
-/** What a fetch wants, without the index of a chunk. */
+/** Identifies a document. */
 export type DocumentReference = Omit<DocumentRequest, "index">;
 
-/** What a chunk led to. */
+/** Result of adding a chunk. */
 export type FetchProgress =
   | { readonly kind: "ignored" }
   | { readonly kind: "missing" }
@@ -38,7 +38,7 @@
     this.#progressAt = now;
   }
 
-  /** The request that starts the fetch. */
+  /** Returns the request for the first chunk. */
   firstRequest(): DocumentRequest {
     return { ...this.wanted, index: 0 };
   }
@@ -51,7 +51,7 @@
     from: HostId,
     { chunk, now }: { chunk: DocumentChunk; now: Milliseconds },
   ): FetchProgress {
-    if (from !== this.peer || !this.#isWanted(chunk)) {
+    if (from !== this.peer || !this.#matches(chunk)) {
       return { kind: "ignored" };
     }
     if (chunk.count === 0 || chunk.count > MAX_CHUNKS) {
@@ -60,24 +60,27 @@
     if (this.#count !== undefined && this.#count !== chunk.count) {
       return { kind: "missing" };
     }
-    if (!isIndex(chunk.index, chunk.count)) return { kind: "ignored" };
-    const isFirstAnswer = this.#count === undefined;
+    if (!isValidIndex(chunk.index, chunk.count)) return { kind: "ignored" };
+    const isFirstChunk = this.#count === undefined;
     this.#count = chunk.count;
     this.#chunks.set(chunk.index, chunk.text);
     this.#progressAt = now;
     if (this.#chunks.size === chunk.count) {
-      return { kind: "whole", text: this.#text(chunk.count) };
+      return { kind: "whole", text: this.#joinChunks(chunk.count) };
     }
-    return { kind: "more", requests: isFirstAnswer ? this.#rest(chunk) : [] };
+    return {
+      kind: "more",
+      requests: isFirstChunk ? this.#requestsForMissing(chunk) : [],
+    };
   }
 
-  #isWanted(chunk: DocumentChunk): boolean {
+  #matches(chunk: DocumentChunk): boolean {
     const { document, version, root, fromRoot } = this.wanted;
     return chunk.document === document && chunk.version === version &&
       chunk.root === root && chunk.fromRoot === fromRoot;
   }
 
-  #rest({ count }: DocumentChunk): DocumentRequest[] {
+  #requestsForMissing({ count }: DocumentChunk): DocumentRequest[] {
     const requests: DocumentRequest[] = [];
     for (let index = 0; index < count; index++) {
       if (!this.#chunks.has(index)) requests.push({ ...this.wanted, index });
@@ -85,13 +88,13 @@
     return requests;
   }
 
-  #text(count: number): string {
+  #joinChunks(count: number): string {
     let text = "";
     for (let index = 0; index < count; index++) text += this.#chunks.get(index);
     return text;
   }
 }
 
-function isIndex(index: number, count: number): boolean {
+function isValidIndex(index: number, count: number): boolean {
   return Number.isInteger(index) && index >= 0 && index < count;
 }
--- a/packages/coordination/src/frameDecoder.ts
+++ b/packages/coordination/src/frameDecoder.ts
@@ -2,16 +2,19 @@
 import { err, ok, type Result } from "neverthrow";
 import { MESSAGE_STRUCTURES } from "./messageStructures.ts";
 
-/** Why the bytes of a frame hold no value. */
+/** Why a frame could not be decoded. */
 export interface MalformedFrame {
   readonly kind: "malformed";
   readonly detail: string;
 }
 
-/** A packer that leaves the names in {@link MESSAGE_STRUCTURES} out. */
+/**
+ * Creates an encoder that omits field names listed in {@link
+ * MESSAGE_STRUCTURES}.
+ */
 export function createPacker(): Packr {
   return new Packr({
-    structures: copyOfTable(),
+    structures: copyTable(),
     maxSharedStructures: MESSAGE_STRUCTURES.length,
     mapsAsObjects: true,
     encodeUndefinedAsNil: false,
@@ -19,13 +22,15 @@
 }
 
 /**
- * Reads what {@link createPacker} packs. A frame may spell out names of its own,
- * and with them replace an entry of the table: every later frame would then be
- * read under wrong names, from whomever it came. The table is compared after
- * each frame, mended, and the frame that touched it is not taken.
+ * Decodes frames written by {@link createPacker}.
+ *
+ * A frame can define record structures of its own and thereby overwrite an
+ * entry of the shared table, which would corrupt every later frame. The table
+ * is therefore checked and restored after each frame; a frame that changed it
+ * is rejected.
  */
 export class FrameDecoder {
-  readonly #structures = copyOfTable();
+  readonly #structures = copyTable();
   readonly #table: readonly string[][] = [...this.#structures];
   readonly #unpackr = new Unpackr({
     structures: this.#structures,
@@ -36,31 +41,31 @@
   decode(frame: Uint8Array): Result<unknown, MalformedFrame> {
     try {
       const value: unknown = this.#unpackr.unpack(frame);
-      if (this.#isTableWhole()) return ok(value);
-      return malformed("The frame replaces names that all hosts share");
+      if (this.#isTableIntact()) return ok(value);
+      return malformed("The frame overwrites a shared record structure");
     } catch (error) {
       return malformed(String(error));
     } finally {
-      this.#mendTable();
+      this.#restoreTable();
     }
   }
 
-  #isTableWhole(): boolean {
+  #isTableIntact(): boolean {
     return this.#table.every((fields, index) =>
       this.#structures[index] === fields
     );
   }
 
-  #mendTable(): void {
+  #restoreTable(): void {
     this.#structures.length = this.#table.length;
-    if (this.#isTableWhole()) return;
+    if (this.#isTableIntact()) return;
     for (const [index, fields] of this.#table.entries()) {
       this.#structures[index] = fields;
     }
   }
 }
 
-function copyOfTable(): string[][] {
+function copyTable(): string[][] {
   return MESSAGE_STRUCTURES.map((fields) => [...fields]);
 }
 
--- a/packages/coordination/src/hostListShape.ts
+++ b/packages/coordination/src/hostListShape.ts
@@ -10,9 +10,9 @@
   textOf,
 } from "./messageShapes.ts";
 
-const MAX_LISTED = 65_536;
+const MAX_LIST_ENTRIES = 65_536;
 
-/** Whether a value from a peer is a host list; readers have checked theirs. */
+/** Validates a host list received from a peer. */
 export const isHostList: Shape<HostList> = objectOf({
   version: numberOf<number>(),
   entryHosts: listOf<ListedHost>(
@@ -23,13 +23,13 @@
       failureDomain: textOf<FailureDomain>(),
       state: oneOf("live", "leaving"),
     }),
-    MAX_LISTED,
+    MAX_LIST_ENTRIES,
   ),
   upstreams: listOf<ListedUpstream>(
     objectOf({
       upstream: textOf<UpstreamId>(),
       state: oneOf("live", "leaving"),
     }),
-    MAX_LISTED,
+    MAX_LIST_ENTRIES,
   ),
 });
--- a/packages/coordination/src/inboundConnection.ts
+++ b/packages/coordination/src/inboundConnection.ts
@@ -22,7 +22,7 @@
 import type { FrameError, PeerCodec } from "./peerMessages.ts";
 import { HANDSHAKE_TIMEOUT_MS, type LinkIdentity } from "./linkIdentity.ts";
 
-/** What an {@link InboundConnection} needs. */
+/** Dependencies of an {@link InboundConnection}. */
 export interface InboundConnectionOptions {
   readonly socket: WebSocket;
   readonly channelBinding: string;
@@ -33,26 +33,29 @@
   readonly deliver: (from: HostId, message: PeerMessage) => void;
 }
 
-/** The receiving connection from one peer; nothing is delivered before its proof. */
+/**
+ * Receives messages from one peer and delivers them once the peer has
+ * authenticated.
+ */
 export class InboundConnection {
   readonly #options: InboundConnectionOptions;
   readonly #challenge: string;
-  readonly #handshake: TimerSubscription;
+  readonly #handshakeTimeout: TimerSubscription;
   #peer: HostId | undefined;
 
   constructor(options: InboundConnectionOptions) {
     this.#options = options;
     this.#challenge = options.identity.random.hex(CHALLENGE_BYTES);
     const { socket, timer } = options;
-    this.#handshake = timer.after(
+    this.#handshakeTimeout = timer.after(
       HANDSHAKE_TIMEOUT_MS,
       () => socket.terminate(),
     );
     socket.on("error", () => {});
-    socket.on("close", () => this.#handshake.cancel());
+    socket.on("close", () => this.#handshakeTimeout.cancel());
   }
 
-  /** Sends the challenge that the dialer has to answer. */
+  /** Sends the challenge that the dialer has to prove. */
   sendChallenge(): void {
     this.#send({ kind: CHALLENGE.kind, body: { challenge: this.#challenge } });
   }
@@ -65,21 +68,21 @@
       return;
     }
     if (message.value.kind !== HELLO.kind) return this.#reject("handshake");
-    this.#verify(message.value.body as Hello);
+    this.#verifyHello(message.value.body as Hello);
   }
 
-  #verify(hello: Hello): void {
+  #verifyHello(hello: Hello): void {
     const { identity } = this.#options;
     const input = this.#proofInput(hello, { side: "dialer" });
     const isPeer = isVersionSupported(hello.protocolVersion) &&
       isProofValid(identity.sharedSecrets(), hello.proof, input);
     if (!isPeer) return this.#reject("handshake");
-    this.#handshake.cancel();
-    this.#welcome(hello);
+    this.#handshakeTimeout.cancel();
+    this.#sendWelcome(hello);
     this.#peer = hello.host;
   }
 
-  #welcome(hello: Hello): void {
+  #sendWelcome(hello: Hello): void {
     const { identity } = this.#options;
     const input = this.#proofInput(hello, { side: "listener" });
     const body: Hello = {
@@ -110,9 +113,9 @@
   }
 
   #onFrameError(error: FrameError): void {
-    const isNewerRelease = error.kind === "unknown-kind" &&
+    const isFromNewerRelease = error.kind === "unknown-kind" &&
       this.#peer !== undefined;
-    if (!isNewerRelease) return this.#reject(error.kind);
+    if (!isFromNewerRelease) return this.#reject(error.kind);
     this.#options.metrics.count("peer_messages_unknown");
   }
 
--- a/packages/coordination/src/job.ts
+++ b/packages/coordination/src/job.ts
@@ -11,7 +11,7 @@
   UpstreamId,
 } from "@wasabivane/common";
 
-/** What a caller gives to be run later, with everything a dispatch needs. */
+/** Job submitted by a caller, with everything that its dispatch needs. */
 export interface JobSubmission {
   readonly account: ClientAccountId;
   readonly service: ServiceId;
@@ -21,18 +21,20 @@
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
-  /** When the job and its answer may be forgotten. */
+  /** When the job and its response may be deleted. */
   readonly expiresAt: EpochMilliseconds;
 }
 
-/** An offer that was accepted. */
+/** An accepted job. */
 export interface Job extends JobSubmission {
-  /** Names the hosts that took it, so that any entry finds it again. */
+  /**
+   * Contains the hosts that accepted it, so that any entry host can find it.
+   */
   readonly id: JobId;
   readonly acceptedAt: EpochMilliseconds;
 }
 
-/** How a job ended; an answer only where one arrived. */
+/** Response of an ended job; empty unless one was received. */
 export interface JobResponse {
   readonly ending: RequestOutcome;
   readonly status: number;
@@ -40,99 +42,113 @@
   readonly body: Uint8Array;
 }
 
-/** Where a job was dispatched. */
+/** Upstream and nonce of a job's dispatch. */
 export interface JobDispatch {
   readonly upstream: UpstreamId;
   readonly nonce: Nonce;
 }
 
-/** Why a job was not taken. */
+/** Why a job was not accepted. */
 export type JobRefusal =
   | { readonly kind: "full"; readonly retryAfterMs: Milliseconds }
   | { readonly kind: "too-large"; readonly maximumBytes: number }
   | { readonly kind: "too-long"; readonly maximumAgeMs: Milliseconds }
-  /** No peer of another failure domain took a copy; the job has not run. */
+  /**
+   * Too few hosts of other failure domains accepted a copy; the job has not
+   * run.
+   */
   | { readonly kind: "no-copies" }
   | { readonly kind: "stopping" }
-  /** The copies may or may not keep it; the job's ending is unknown. */
+  /** Some replicas may have accepted the job; its outcome is unknown. */
   | { readonly kind: "unconfirmed"; readonly id: JobId };
 
-/** Why a dispatch must not be made. */
+/** Why a dispatch is not allowed. */
 export type DispatchRefusal =
   | { readonly kind: "not-held" }
-  /** Another process has the right, or the job has run or ended. */
+  /** Another process may dispatch it, or the job has run or ended. */
   | { readonly kind: "settled" }
   | { readonly kind: "busy" }
   /**
-   * Too few copies answered in time. The job comes back from `readyJobs` once
-   * it is clear whether the dispatch counts; then perhaps `pinned`.
+   * Too few replicas replied in time. Once the outcome is clear, the job is
+   * returned by `readyJobs` again, possibly with `pinned` set.
    */
   | { readonly kind: "unconfirmed" };
 
-/** What is known of a job. */
+/** Status of a job. */
 export type JobStatus =
   | { readonly kind: "waiting" }
   | { readonly kind: "running"; readonly upstream: UpstreamId }
   | { readonly kind: "ended"; readonly answer: JobResponse };
 
-/** Why a job was not found. */
+/** Why a job's status is not available. */
 export type JobLookUpError =
-  /** No host that may have it knows it: fetched, expired or lost with all copies. */
+  /** No host has it: fetched, expired, or lost with all replicas. */
   | { readonly kind: "not-found" }
-  /** Some host that may have it did not answer. */
+  /** A host that may have it did not reply. */
   | { readonly kind: "unreachable" };
 
-/** A job that this host may ask the scheduler for. */
+/** A job that this host may submit to the scheduler. */
 export interface ReadyJob {
   readonly job: Job;
   /**
-   * The copies hold this dispatch already, but it was never made. Only this
-   * upstream and nonce may be used.
+   * Recorded dispatch that was not made; only this upstream and nonce may be
+   * used.
    */
   readonly pinned?: JobDispatch;
 }
 
-/** A job that this host took over from another one. */
+/** A job taken over from another host. */
 export interface JobTakeover {
   readonly job: Job;
-  /** Resume there; never dispatch. Absent when the job has not been dispatched. */
+  /**
+   * Dispatch to resume instead of dispatching again; absent if the job has not
+   * been dispatched.
+   */
   readonly resumeAt?: JobDispatch;
 }
 
-/** Jobs that outlive the host that took them, as the daemon sees them. */
+/** Accepts jobs and keeps them available when their host fails. */
 export abstract class JobService {
-  /** Resolves once copies hold the job; only then is it accepted. */
-  abstract accept(offer: JobSubmission): Promise<Result<Job, JobRefusal>>;
-  /** Jobs that this host holds and that nobody has dispatched. */
+  /** Accepts a job. Resolves once enough replicas hold it. */
+  abstract accept(submission: JobSubmission): Promise<Result<Job, JobRefusal>>;
+  /**
+   * Returns the jobs that this host holds and that have not been dispatched.
+   */
   abstract readyJobs(): ReadyJob[];
-  /** Must succeed before any byte of the job is written to the upstream. */
+  /**
+   * Records a dispatch. It must succeed before any byte of the job is written
+   * to the upstream.
+   */
   abstract recordDispatch(
     id: JobId,
     dispatch: JobDispatch,
   ): Promise<Result<void, DispatchRefusal>>;
   /**
-   * A recorded dispatch was not made: no byte left, and none will. The job may
-   * be dispatched again; it comes back from `readyJobs`.
+   * Cancels a recorded dispatch of which no byte was sent. The job may then be
+   * dispatched again and is returned by `readyJobs`.
    */
   abstract recordUnsent(id: JobId): Promise<Result<void, DispatchRefusal>>;
-  /** The dispatch, or a resume, has ended; copies keep the answer. */
-  abstract recordFinished(id: JobId, answer: JobResponse): void;
-  /** Ends a job that has not been dispatched; it ends as not run. */
+  /**
+   * Records the end of a dispatch or a resumed one; the replicas keep the
+   * response.
+   */
+  abstract recordFinished(id: JobId, response: JobResponse): void;
+  /** Withdraws a job that has not been dispatched; it ends as not run. */
   abstract withdraw(id: JobId): Promise<Result<void, DispatchRefusal>>;
-  /** What the hosts know of a job of this client account. */
+  /** Returns the status of a job of the client account. */
   abstract lookUp(
     id: JobId,
     account: ClientAccountId,
   ): Promise<Result<JobStatus, JobLookUpError>>;
-  /** The caller has the whole answer; every copy goes. */
+  /** Deletes all copies of a job whose response the caller has received. */
   abstract recordFetched(id: JobId, account: ClientAccountId): void;
-  /** As `lookUp`, and forgets the job at once if it has ended. */
+  /** Returns the status of a job and deletes the job if it has ended. */
   abstract fetchOnce(
     id: JobId,
     account: ClientAccountId,
   ): Promise<Result<JobStatus, JobLookUpError>>;
-  /** Moves all jobs to other hosts for a planned stop; false when some are left. */
+  /** Moves all jobs to other hosts for a planned stop; false if some remain. */
   abstract handOver(withinMs: Milliseconds): Promise<boolean>;
-  /** Called for each job that this host takes over from another one. */
+  /** Subscribes to jobs that this host takes over. */
   abstract onTakeover(listener: (takeover: JobTakeover) => void): () => void;
 }
--- a/packages/coordination/src/jobAcceptance.ts
+++ b/packages/coordination/src/jobAcceptance.ts
@@ -20,18 +20,18 @@
 import { type Epoch, hostOfMember, type MemberId } from "./jobRegister.ts";
 import type { JobRecord, JobStore } from "./jobStore.ts";
 
-const COPY_WAIT_MS: Milliseconds = 800;
-const CONFIRM_WAIT_MS: Milliseconds = 1_500;
-const FULL_RETRY_MS: Milliseconds = 30_000;
+const COPY_TIMEOUT_MS: Milliseconds = 800;
+const CONFIRM_TIMEOUT_MS: Milliseconds = 1_500;
+const FULL_RETRY_AFTER_MS: Milliseconds = 30_000;
 const ID_BYTES = 16;
 
-/** What one job may take. */
+/** Limits of one job. */
 export interface JobLimits {
   readonly maximumBodyBytes: number;
   readonly maximumAgeMs: Milliseconds;
 }
 
-/** What {@link JobAcceptance} needs. */
+/** Dependencies of {@link JobAcceptance}. */
 export interface JobAcceptanceOptions extends JobLimits {
   readonly self: MemberId;
   readonly timer: Timer;
@@ -44,9 +44,9 @@
 }
 
 /**
- * Takes new jobs. A job is accepted once its copies hold it and know that it
- * counts. Until then the copies never act, so that a refusal may
- * say "not run" whatever becomes of its messages.
+ * Accepts new jobs. A job is accepted once its replicas hold it and know its
+ * epoch. Until then copies are inactive, so a refused job is certain not to
+ * run.
  */
 export class JobAcceptance {
   readonly #options: JobAcceptanceOptions;
@@ -55,71 +55,77 @@
     this.#options = options;
   }
 
-  async accept(offer: JobSubmission): Promise<Result<Job, JobRefusal>> {
-    const result = await this.#accept(offer);
+  async accept(submission: JobSubmission): Promise<Result<Job, JobRefusal>> {
+    const result = await this.#accept(submission);
     const { metrics } = this.#options;
     if (result.isOk()) metrics.count("jobs_accepted");
     else metrics.count("jobs_refused", 1, { reason: result.error.kind });
     return result;
   }
 
-  async #accept(offer: JobSubmission): Promise<Result<Job, JobRefusal>> {
+  async #accept(submission: JobSubmission): Promise<Result<Job, JobRefusal>> {
     const { self, timer, store, lifecycle, members } = this.#options;
-    const refusal = this.#check(offer);
+    const refusal = this.#checkLimits(submission);
     if (refusal !== undefined) return err(refusal);
     const needed = copiesNeeded(self, members);
     if (needed === 0) return err({ kind: "no-copies" });
     const key = asId<JobId>(this.#options.random.hex(ID_BYTES));
-    const places = this.#places(key, []);
+    const targets = this.#chooseHosts(key, []);
     const id = asId<JobId>(
-      [key, hostOfMember(self), ...places.map(({ host }) => host)].join("~"),
+      [key, hostOfMember(self), ...targets.map(({ host }) => host)].join("~"),
     );
-    const job: Job = { ...offer, id, acceptedAt: timer.wallNow() };
-    if (!store.hasCapacityFor(job)) return err(FULL);
+    const job: Job = { ...submission, id, acceptedAt: timer.wallNow() };
+    if (!store.hasCapacityFor(job)) return err(FULL_REFUSAL);
     const record = store.install(job, { now: timer.now() });
-    const copies = await this.#copy(job, { places, needed });
+    const copies = await this.#replicate(job, { targets, needed });
     record.replicas = [self, ...copies];
-    if (!this.#areEnough(copies, needed)) {
+    if (!this.#hasEnoughCopies(copies, needed)) {
       lifecycle.remove(record);
       return err({ kind: "no-copies" });
     }
     return this.#confirm(record, [self, ...copies]);
   }
 
-  #check(offer: JobSubmission): JobRefusal | undefined {
+  #checkLimits(submission: JobSubmission): JobRefusal | undefined {
     const { maximumBodyBytes, maximumAgeMs, timer } = this.#options;
-    if (offer.body.length > maximumBodyBytes) {
+    if (submission.body.length > maximumBodyBytes) {
       return { kind: "too-large", maximumBytes: maximumBodyBytes };
     }
-    if (offer.expiresAt - timer.wallNow() > maximumAgeMs) {
+    if (submission.expiresAt - timer.wallNow() > maximumAgeMs) {
       return { kind: "too-long", maximumAgeMs };
     }
     return undefined;
   }
 
-  /** Copies at the first places; where one does not answer, at others. */
-  async #copy(
+  /**
+   * Replicates to the preferred hosts and, if some of them do not reply, to
+   * others.
+   */
+  async #replicate(
     job: Job,
-    { places, needed }: { places: readonly JobMember[]; needed: number },
+    { targets, needed }: { targets: readonly JobMember[]; needed: number },
   ): Promise<MemberId[]> {
-    const { replication: copying } = this.#options;
-    const first = places.map(memberIdOf);
-    const copies = await copying.replicateTo(first, {
+    const { replication } = this.#options;
+    const preferred = targets.map(memberIdOf);
+    const copies = await replication.replicateTo(preferred, {
       job,
-      withinMs: COPY_WAIT_MS,
+      withinMs: COPY_TIMEOUT_MS,
     });
-    if (copies.length === first.length || this.#areEnough(copies, needed)) {
+    if (
+      copies.length === preferred.length ||
+      this.#hasEnoughCopies(copies, needed)
+    ) {
       return copies;
     }
-    const others = this.#places(job.id, places).map(memberIdOf);
-    const more = await copying.replicateTo(others, {
+    const others = this.#chooseHosts(job.id, targets).map(memberIdOf);
+    const more = await replication.replicateTo(others, {
       job,
-      withinMs: COPY_WAIT_MS,
+      withinMs: COPY_TIMEOUT_MS,
     });
     return [...copies, ...more].slice(0, REPLICAS_PER_JOB - 1);
   }
 
-  #places(id: JobId, excluded: readonly JobMember[]): JobMember[] {
+  #chooseHosts(id: JobId, excluded: readonly JobMember[]): JobMember[] {
     const { self, members } = this.#options;
     const candidates = members.availableMembers().filter((member) =>
       memberIdOf(member) !== self && !excluded.includes(member)
@@ -131,7 +137,7 @@
     });
   }
 
-  #areEnough(copies: readonly MemberId[], needed: number): boolean {
+  #hasEnoughCopies(copies: readonly MemberId[], needed: number): boolean {
     const { self, members } = this.#options;
     const [own] = members.domainsOf([self]);
     const elsewhere = members.domainsOf(copies).filter((domain) =>
@@ -141,9 +147,8 @@
   }
 
   /**
-   * Every copy has to know that the job counts. With one of them cut off, the
-   * death of the holder leaves the other alone, which has no majority, and a job
-   * that was accepted never ends.
+   * Confirms the epoch at every replica. If one of them missed it, the loss of
+   * the holder would leave the other one without a majority.
    */
   #confirm(
     record: JobRecord,
@@ -154,31 +159,34 @@
     lifecycle.adoptEpoch(record, epoch);
     return new Promise((resolve) => {
       const timeout = timer.after(
-        CONFIRM_WAIT_MS,
+        CONFIRM_TIMEOUT_MS,
         () => resolve(err({ kind: "unconfirmed", id: record.job.id })),
       );
       const copies = members.filter((member) => member !== self);
-      const noted = new Set<MemberId>();
+      const acked = new Set<MemberId>();
       for (const to of copies) {
-        const onNoted = (isHeld: boolean): void => {
+        const onAck = (isHeld: boolean): void => {
           if (!isHeld) return;
-          noted.add(to);
-          if (noted.size < copies.length) return;
+          acked.add(to);
+          if (acked.size < copies.length) return;
           timeout.cancel();
           resolve(ok(record.job));
         };
-        lifecycle.notifyMoved(to, { record, epoch, onNoted });
+        lifecycle.notifyMoved(to, { record, epoch, onAck });
       }
     });
   }
 }
 
-const FULL: JobRefusal = { kind: "full", retryAfterMs: FULL_RETRY_MS };
+const FULL_REFUSAL: JobRefusal = {
+  kind: "full",
+  retryAfterMs: FULL_RETRY_AFTER_MS,
+};
 
 /**
- * Copies that must lie in other failure domains: two where hosts of three
- * domains answer, one where there are two. A third member beyond these keeps a
- * majority when one is lost.
+ * Returns the required number of copies in other failure domains: two if hosts
+ * of three domains are available, one if there are two. A third member beyond
+ * these keeps a majority after one loss.
  */
 function copiesNeeded(self: MemberId, members: JobMembers): number {
   const domains = new Set([
--- a/packages/coordination/src/jobConsensus.ts
+++ b/packages/coordination/src/jobConsensus.ts
@@ -23,14 +23,17 @@
 import type { JobRecord, JobStore, ProposalResult } from "./jobStore.ts";
 import { sendMessage } from "./peerMessages.ts";
 
-const REPEAT_MS: Milliseconds = 250;
-/** An attempt that found no majority by then starts again later. */
+const RESEND_MS: Milliseconds = 250;
+/** Time limit for a proposal; it is retried later. */
 export const PROPOSAL_TIMEOUT_MS: Milliseconds = 2_000;
-const MIN_RETRY_MS: Milliseconds = 100;
-/** Two members that outbid each other draw different pauses soon. */
-const RETRY_SPREAD_MS: Milliseconds = 400;
+const MIN_RETRY_DELAY_MS: Milliseconds = 100;
+/**
+ * Random share of the retry delay, so that competing proposers do not preempt
+ * each other repeatedly.
+ */
+const RETRY_JITTER_MS: Milliseconds = 400;
 
-/** What {@link JobConsensus} needs. */
+/** Dependencies of {@link JobConsensus}. */
 export interface JobConsensusOptions {
   readonly self: MemberId;
   readonly link: PeerLink;
@@ -40,7 +43,7 @@
   readonly lifecycle: JobLifecycle;
 }
 
-/** Carries requests and replies of the job registers between the members. */
+/** Exchanges register requests and replies of jobs between the members. */
 export class JobConsensus {
   readonly #options: JobConsensusOptions;
 
@@ -48,8 +51,8 @@
     this.#options = options;
   }
 
-  /** Tries to have a value chosen in the job's epoch; one attempt at a time. */
-  propose(record: JobRecord, wish: RegisterValue): Promise<ProposalResult> {
+  /** Proposes a value in the job's epoch; at most one proposal at a time. */
+  propose(record: JobRecord, value: RegisterValue): Promise<ProposalResult> {
     const { self, timer } = this.#options;
     const epoch = record.epoch!;
     const canUseHolderRound = epoch.holder === self &&
@@ -57,17 +60,17 @@
     if (canUseHolderRound) record.hasUsedHolderRound = true;
     else record.highestRound++;
     const ballot = { round: record.highestRound, proposer: self };
-    const attempt = canUseHolderRound
-      ? startHolderProposal(epoch, wish)
-      : startProposal(epoch, { ballot, wish });
+    const state = canUseHolderRound
+      ? startHolderProposal(epoch, value)
+      : startProposal(epoch, { ballot, wish: value });
     return new Promise((onEnd) => {
       const startedAt = timer.now();
-      record.proposal = { state: attempt, startedAt, sentAt: startedAt, onEnd };
+      record.proposal = { state, startedAt, sentAt: startedAt, onEnd };
       this.#send(record);
     });
   }
 
-  /** Repeats what got no reply and ends attempts that take too long. */
+  /** Resends unanswered requests and ends proposals that time out. */
   poll(record: JobRecord): void {
     const running = record.proposal;
     if (running === undefined) return;
@@ -75,20 +78,20 @@
     if (now - running.startedAt >= PROPOSAL_TIMEOUT_MS) {
       this.#retryLater(record);
       abortProposal(record);
-    } else if (now - running.sentAt >= REPEAT_MS) {
+    } else if (now - running.sentAt >= RESEND_MS) {
       this.#send(record);
     }
   }
 
-  /** Answers as a member. */
+  /** Handles a request as acceptor. */
   onRequest(body: JobRegisterRequest): void {
     const { self, store, lifecycle, link } = this.#options;
     const { id, epoch, request, by } = body;
     if (!epoch.members.includes(self)) return;
     const record = store.find(id);
-    // Only members of an epoch that was chosen propose in it.
+    // A proposal in an epoch implies that the epoch was chosen.
     if (record !== undefined) lifecycle.adoptEpoch(record, epoch);
-    const reply = record && this.#answer(record, body);
+    const reply = record && this.#handleAsAcceptor(record, body);
     if (reply === undefined) {
       lifecycle.sendLatestUpdate(by, { id, epochNumber: epoch.number });
       return;
@@ -101,15 +104,15 @@
     });
   }
 
-  /** Takes a member's reply to the attempt of this process. */
+  /** Handles a member's reply to a proposal of this process. */
   onReply({ id, key, member, reply }: JobRegisterReply): void {
     const record = this.#options.store.find(id);
     if (record?.proposal === undefined || record.epoch === undefined) return;
     if (epochKey(record.epoch) !== key) return;
-    this.#take(record, { from: member, reply });
+    this.#applyReply(record, { from: member, reply });
   }
 
-  #answer(
+  #handleAsAcceptor(
     record: JobRecord,
     { epoch, request }: JobRegisterRequest,
   ): RegisterReply | undefined {
@@ -132,78 +135,82 @@
     running.sentAt = timer.now();
     const id = record.job.id;
     const body: JobRegisterRequest = { id, epoch, request, by: self };
-    for (const member of silentMembers(running.state, self)) {
+    for (const member of membersWithoutReply(running.state, self)) {
       sendMessage(link, JOB_REGISTER_REQUEST, {
         to: hostOfMember(member),
         body,
       });
     }
-    this.#answerOwn(record, running.state);
+    this.#handleOwnRequest(record, running.state);
   }
 
   /**
-   * A holder accepts its own proposal last, together with the reply that makes
-   * the majority. Had it accepted first, a proposal that reached nobody would
-   * still bind it to an upstream that may be gone when the copies answer again.
+   * Handles the request of a proposal as a member of the epoch. In round 0 the
+   * holder accepts last, with the reply that completes the majority; otherwise
+   * a proposal that reached no other member would bind it to an upstream that
+   * may no longer exist.
    */
-  #answerOwn(record: JobRecord, attempt: ProposerState): void {
+  #handleOwnRequest(record: JobRecord, state: ProposerState): void {
     const { self } = this.#options;
-    const request = pendingRequest(attempt);
-    if (request === undefined || hasReplied(attempt, self)) return;
-    const othersNeeded = Math.floor(attempt.members.length / 2);
+    const request = pendingRequest(state);
+    if (request === undefined || hasReplied(state, self)) return;
+    const othersNeeded = Math.floor(state.members.length / 2);
     if (
-      attempt.ballot.round === 0 && attempt.acceptances.length < othersNeeded
+      state.ballot.round === 0 && state.acceptances.length < othersNeeded
     ) return;
     const { acceptor, reply } = handleRegisterRequest(record.acceptor, request);
     record.acceptor = acceptor;
-    this.#take(record, { from: self, reply });
+    this.#applyReply(record, { from: self, reply });
   }
 
-  #take(
+  #applyReply(
     record: JobRecord,
-    answer: { from: MemberId; reply: RegisterReply },
+    received: { from: MemberId; reply: RegisterReply },
   ): void {
     const { lifecycle } = this.#options;
     const running = record.proposal;
     if (running === undefined) return;
     const before = running.state;
-    const attempt = applyRegisterReply(before, answer);
-    running.state = attempt;
-    if (attempt.phase === "chosen") {
+    const state = applyRegisterReply(before, received);
+    running.state = state;
+    if (state.phase === "chosen") {
       delete record.proposal;
-      const value = attempt.value!;
+      const value = state.value!;
       lifecycle.applyChosenValue(record, value);
       running.onEnd({ kind: "chosen", value });
-    } else if (attempt.phase === "outbid") {
+    } else if (state.phase === "outbid") {
       record.highestRound = Math.max(
         record.highestRound,
-        attempt.outbidBy ?? 0,
+        state.outbidBy ?? 0,
       );
       this.#retryLater(record);
       abortProposal(record);
-    } else if (attempt.phase !== before.phase) {
+    } else if (state.phase !== before.phase) {
       this.#send(record);
     } else {
-      this.#answerOwn(record, attempt);
+      this.#handleOwnRequest(record, state);
     }
   }
 
   #retryLater(record: JobRecord): void {
     const { timer, random } = this.#options;
-    record.retryAt = timer.now() + MIN_RETRY_MS +
-      random.float() * RETRY_SPREAD_MS;
+    record.retryAt = timer.now() + MIN_RETRY_DELAY_MS +
+      random.float() * RETRY_JITTER_MS;
   }
 }
 
-function silentMembers(attempt: ProposerState, self: MemberId): MemberId[] {
-  return attempt.members.filter((member) =>
-    member !== self && !hasReplied(attempt, member)
+function membersWithoutReply(
+  state: ProposerState,
+  self: MemberId,
+): MemberId[] {
+  return state.members.filter((member) =>
+    member !== self && !hasReplied(state, member)
   );
 }
 
-function hasReplied(attempt: ProposerState, member: MemberId): boolean {
-  const replies = attempt.phase === "preparing"
-    ? attempt.promises
-    : attempt.acceptances;
+function hasReplied(state: ProposerState, member: MemberId): boolean {
+  const replies = state.phase === "preparing"
+    ? state.promises
+    : state.acceptances;
   return replies.includes(member);
 }
--- a/packages/coordination/src/jobController.ts
+++ b/packages/coordination/src/jobController.ts
@@ -40,7 +40,7 @@
 const MAXIMUM_BODY_BYTES = 1024 * 1024;
 const MAXIMUM_AGE_MS: Milliseconds = 24 * 3_600_000;
 
-/** What a {@link JobController} needs from its process. */
+/** Dependencies and limits of a {@link JobController}. */
 export interface JobControllerOptions
   extends JobStoreOptions, Partial<JobLimits> {
   readonly blackboard: Blackboard;
@@ -48,26 +48,28 @@
   readonly timer: Timer;
   readonly random: Random;
   readonly metrics: Metrics;
-  /** This start of the process; the members name it to the others. */
+  /** Incarnation of this process, part of its member id. */
   readonly incarnation: string;
   readonly members: Topic<readonly JobMember[]>;
 }
 
-/** Keeps overnight jobs alive among the entry hosts. */
+/**
+ * Stores jobs on several entry hosts, so that they survive the loss of a host.
+ */
 export class JobController extends JobService {
   readonly #options: JobControllerOptions;
   readonly #self: MemberId;
   readonly #store: JobStore;
   readonly #members = new JobMembers();
-  readonly #copying: JobReplication;
+  readonly #replication: JobReplication;
   readonly #outbox: JobOutbox;
   readonly #lifecycle: JobLifecycle;
-  readonly #proposals: JobConsensus;
+  readonly #consensus: JobConsensus;
   readonly #acceptance: JobAcceptance;
   readonly #lookUps: JobLookUps;
   readonly #inbox: JobInbox;
-  readonly #attendance: JobReconciler;
-  #endings: (() => void)[] = [];
+  readonly #reconciler: JobReconciler;
+  #subscriptions: (() => void)[] = [];
   #isStopping = false;
 
   constructor(options: JobControllerOptions) {
@@ -78,31 +80,31 @@
     this.#self = self;
     this.#store = new JobStore(options);
     const shared = { ...options, self, store: this.#store };
-    this.#copying = new JobReplication(options);
+    this.#replication = new JobReplication(options);
     this.#outbox = new JobOutbox({ ...options, members: this.#members });
     this.#lifecycle = new JobLifecycle({ ...shared, outbox: this.#outbox });
     const parts = {
       ...shared,
       members: this.#members,
-      replication: this.#copying,
+      replication: this.#replication,
       outbox: this.#outbox,
       lifecycle: this.#lifecycle,
     };
-    this.#proposals = new JobConsensus(parts);
+    this.#consensus = new JobConsensus(parts);
     this.#acceptance = new JobAcceptance({
       ...parts,
       maximumBodyBytes: options.maximumBodyBytes ?? MAXIMUM_BODY_BYTES,
       maximumAgeMs: options.maximumAgeMs ?? MAXIMUM_AGE_MS,
     });
     this.#lookUps = new JobLookUps(parts);
-    this.#attendance = new JobReconciler({
+    this.#reconciler = new JobReconciler({
       ...parts,
-      consensus: this.#proposals,
+      consensus: this.#consensus,
       isStopping: () => this.#isStopping,
     });
     this.#inbox = new JobInbox({
       ...parts,
-      consensus: this.#proposals,
+      consensus: this.#consensus,
       isAcceptingCopies: () => !this.#isStopping,
     });
   }
@@ -111,8 +113,8 @@
   start(): void {
     const { blackboard, members, timer } = this.#options;
     this.#members.set(blackboard.read(members));
-    const ticking = timer.every(TICK_MS, () => this.#attendance.reconcileAll());
-    this.#endings = [
+    const ticking = timer.every(TICK_MS, () => this.#reconciler.reconcileAll());
+    this.#subscriptions = [
       blackboard.watch(members, (value) => this.#members.set(value)),
       ...this.#inbox.start(),
       ...this.#lookUps.start(),
@@ -122,22 +124,22 @@
 
   /** Ends all subscriptions. */
   stop(): void {
-    for (const end of this.#endings.splice(0)) end();
+    for (const end of this.#subscriptions.splice(0)) end();
   }
 
-  /** How much this process holds, for status and metrics. */
+  /** Number and size of the jobs held by this process. */
   get held(): { jobs: number; bytes: number } {
     return { jobs: this.#store.size, bytes: this.#store.bytes };
   }
 
-  override accept(offer: JobSubmission): Promise<Result<Job, JobRefusal>> {
+  override accept(submission: JobSubmission): Promise<Result<Job, JobRefusal>> {
     if (this.#isStopping) return Promise.resolve(err({ kind: "stopping" }));
-    return this.#acceptance.accept(offer);
+    return this.#acceptance.accept(submission);
   }
 
   override readyJobs(): ReadyJob[] {
     if (this.#isStopping) return [];
-    return this.#store.records().flatMap((record) => this.#readyJob(record));
+    return this.#store.records().flatMap((record) => this.#readyJobOf(record));
   }
 
   override async recordDispatch(
@@ -152,12 +154,12 @@
       nonce,
       by: this.#self,
     };
-    const isOpen = this.#readyJob(record).length > 0;
+    const isOpen = this.#readyJobOf(record).length > 0;
     if (isOpen && record.outcome === undefined) {
-      const refusal = await this.#settle(record, value);
+      const refusal = await this.#proposeAndWait(record, value);
       if (refusal !== undefined) return err(refusal);
     }
-    return this.#release(record, { upstream, nonce });
+    return this.#grantDispatch(record, { upstream, nonce });
   }
 
   override async recordUnsent(
@@ -165,29 +167,29 @@
   ): Promise<Result<void, DispatchRefusal>> {
     const record = this.#store.find(id);
     if (record === undefined) return err({ kind: "not-held" });
-    if (!this.#isReleasedHere(record)) return err({ kind: "settled" });
+    if (!this.#isDispatchGranted(record)) return err({ kind: "settled" });
     record.isMoving = true;
     const others = record.replicas.filter((member) => member !== this.#self);
-    const copies = await this.#copying.replicateTo(others, {
+    const copies = await this.#replication.replicateTo(others, {
       job: record.job,
       withinMs: MOVE_COPY_WAIT_MS,
     });
     record.isMoving = false;
-    if (!this.#isReleasedHere(record)) return err({ kind: "settled" });
+    if (!this.#isDispatchGranted(record)) return err({ kind: "settled" });
     this.#lifecycle.reopen(record, copies);
     return ok(undefined);
   }
 
-  override recordFinished(id: JobId, answer: JobResponse): void {
+  override recordFinished(id: JobId, response: JobResponse): void {
     const record = this.#store.find(id);
-    if (record !== undefined) this.#lifecycle.finish(record, answer);
+    if (record !== undefined) this.#lifecycle.finish(record, response);
   }
 
   override async withdraw(id: JobId): Promise<Result<void, DispatchRefusal>> {
     const record = this.#store.find(id);
     if (record === undefined) return err({ kind: "not-held" });
-    if (this.#readyJob(record).length === 0) return err({ kind: "settled" });
-    const refusal = await this.#settle(record, { kind: "withdraw" });
+    if (this.#readyJobOf(record).length === 0) return err({ kind: "settled" });
+    const refusal = await this.#proposeAndWait(record, { kind: "withdraw" });
     return refusal === undefined ? ok(undefined) : err(refusal);
   }
 
@@ -226,9 +228,9 @@
     return this.#lifecycle.onTakeover(listener);
   }
 
-  #readyJob(record: JobRecord): ReadyJob[] {
+  #readyJobOf(record: JobRecord): ReadyJob[] {
     const { job, epoch, outcome } = record;
-    if (this.#isExpired(record) || record.answer !== undefined) return [];
+    if (this.#isExpired(record) || record.response !== undefined) return [];
     if (outcome === undefined) {
       const isReady = epoch?.holder === this.#self &&
         record.proposal === undefined && !record.isMoving &&
@@ -241,18 +243,18 @@
     return [{ job, pinned: { upstream, nonce } }];
   }
 
-  /** Undefined once the value was chosen. */
-  async #settle(
+  /** Proposes a value; resolves with `undefined` if it was chosen. */
+  async #proposeAndWait(
     record: JobRecord,
     value: RegisterValue,
   ): Promise<DispatchRefusal | undefined> {
-    const end = await this.#proposals.propose(record, value);
+    const end = await this.#consensus.propose(record, value);
     if (end.kind === "failed") return { kind: "unconfirmed" };
     return end.value === value ? undefined : { kind: "settled" };
   }
 
-  /** Gives the right to dispatch, at most once in this process. */
-  #release(
+  /** Permits a dispatch, at most once in this process. */
+  #grantDispatch(
     record: JobRecord,
     { upstream, nonce }: JobDispatch,
   ): Result<void, DispatchRefusal> {
@@ -260,10 +262,11 @@
     if (record.proposal !== undefined || record.isMoving) {
       return err({ kind: "busy" });
     }
-    const isMine = outcome?.kind === "dispatch" && outcome.by === this.#self &&
+    const isOwnDispatch = outcome?.kind === "dispatch" &&
+      outcome.by === this.#self &&
       outcome.upstream === upstream && outcome.nonce === nonce;
-    const isOver = record.answer !== undefined || this.#isExpired(record);
-    if (!isMine || isOver || record.isDispatchGranted) {
+    const isOver = record.response !== undefined || this.#isExpired(record);
+    if (!isOwnDispatch || isOver || record.isDispatchGranted) {
       return err({ kind: "settled" });
     }
     record.isDispatchGranted = true;
@@ -271,9 +274,12 @@
     return ok(undefined);
   }
 
-  /** Whether the dispatch is this process's to make and nobody has ended it. */
-  #isReleasedHere(record: JobRecord): boolean {
-    return record.isDispatchGranted && record.answer === undefined &&
+  /**
+   * Tells whether this process was permitted to dispatch the job and the job
+   * has not ended.
+   */
+  #isDispatchGranted(record: JobRecord): boolean {
+    return record.isDispatchGranted && record.response === undefined &&
       knownDispatchOf(record)?.by === this.#self &&
       this.#store.find(record.job.id) === record;
   }
@@ -283,11 +289,11 @@
   }
 
   #hasJobsToMove(): boolean {
-    const untold = this.#outbox.jobsWithPendingUpdates();
-    return this.#store.records().some(({ job, epoch, outcome, answer }) => {
+    const pending = this.#outbox.jobsWithPendingUpdates();
+    return this.#store.records().some(({ job, epoch, outcome, response }) => {
       const isOpen = epoch !== undefined && outcome === undefined &&
-        answer === undefined;
-      return isOpen || untold.has(job.id);
+        response === undefined;
+      return isOpen || pending.has(job.id);
     });
   }
 }
--- a/packages/coordination/src/jobInbox.ts
+++ b/packages/coordination/src/jobInbox.ts
@@ -19,7 +19,7 @@
 import type { JobStore } from "./jobStore.ts";
 import { sendMessage, subscribeMessage } from "./peerMessages.ts";
 
-/** What {@link JobInbox} needs. */
+/** Dependencies of {@link JobInbox}. */
 export interface JobInboxOptions {
   readonly self: MemberId;
   readonly link: PeerLink;
@@ -29,11 +29,11 @@
   readonly outbox: JobOutbox;
   readonly consensus: JobConsensus;
   readonly lifecycle: JobLifecycle;
-  /** Whether this host takes new copies. */
+  /** Tells whether this host accepts new copies. */
   readonly isAcceptingCopies: () => boolean;
 }
 
-/** Takes the messages of the other members. */
+/** Handles job messages from other members. */
 export class JobInbox {
   readonly #options: JobInboxOptions;
 
@@ -41,13 +41,13 @@
     this.#options = options;
   }
 
-  /** Subscribes to all job messages; the returned functions end it. */
+  /** Subscribes to all job messages and returns functions that unsubscribe. */
   start(): (() => void)[] {
     const {
       link,
-      replication: copying,
+      replication,
       outbox,
-      consensus: proposals,
+      consensus,
       lifecycle,
     } = this.#options;
     return [
@@ -57,18 +57,18 @@
         (from, { job }) => this.#onCopy(from, job),
       ),
       subscribeMessage(link, JOB_COPY_REPLY, (from, body) => {
-        if (hostOfMember(body.member) === from) copying.onReply(body);
+        if (hostOfMember(body.member) === from) replication.onReply(body);
       }),
       subscribeMessage(link, JOB_REGISTER_REQUEST, (from, body) => {
-        if (hostOfMember(body.by) === from) proposals.onRequest(body);
+        if (hostOfMember(body.by) === from) consensus.onRequest(body);
       }),
       subscribeMessage(link, JOB_REGISTER_REPLY, (from, body) => {
-        if (hostOfMember(body.member) === from) proposals.onReply(body);
+        if (hostOfMember(body.member) === from) consensus.onReply(body);
       }),
       subscribeMessage(
         link,
         JOB_UPDATE,
-        (from, body) => this.#onNews(from, body),
+        (from, body) => this.#onUpdate(from, body),
       ),
       subscribeMessage(link, JOB_UPDATE_ACK, (from, body) => {
         if (hostOfMember(body.member) === from) outbox.acknowledge(body);
@@ -83,12 +83,12 @@
 
   #onCopy(from: HostId, job: Job): void {
     const { self, link } = this.#options;
-    const body = { id: job.id, member: self, isHeld: this.#hold(job) };
+    const body = { id: job.id, member: self, isHeld: this.#installCopy(job) };
     sendMessage(link, JOB_COPY_REPLY, { to: from, body });
   }
 
-  #hold(job: Job): boolean {
-    const { timer, store, isAcceptingCopies: isOpen } = this.#options;
+  #installCopy(job: Job): boolean {
+    const { timer, store, isAcceptingCopies } = this.#options;
     const record = store.find(job.id);
     if (record !== undefined) {
       store.restoreBody(record, job);
@@ -96,16 +96,16 @@
     }
     if (!store.canInstall(job.id)) return false;
     if (job.expiresAt <= timer.wallNow()) return false;
-    if (!isOpen() || !store.hasCapacityFor(job)) return false;
+    if (!isAcceptingCopies() || !store.hasCapacityFor(job)) return false;
     store.install(job, { now: timer.now() });
     return true;
   }
 
-  #onNews(from: HostId, { id, sequence, to, news }: JobUpdateMessage): void {
+  #onUpdate(from: HostId, { id, sequence, to, news }: JobUpdateMessage): void {
     const { self, link, store } = this.#options;
-    // News for a former process on this host must not touch this one.
+    // The update is for a former process on this host.
     if (to !== self) return;
-    this.#take(id, news);
+    this.#applyUpdate(id, news);
     const record = store.find(id);
     const isHeld = record !== undefined &&
       (news.kind !== "moved" || record.hasBody);
@@ -113,23 +113,27 @@
     sendMessage(link, JOB_UPDATE_ACK, { to: from, body });
   }
 
-  #take(id: Job["id"], news: JobUpdate): void {
+  #applyUpdate(id: Job["id"], update: JobUpdate): void {
     const { timer, store, lifecycle } = this.#options;
     const record = store.find(id);
-    if (news.kind === "gone") {
-      if (record !== undefined) lifecycle.remove(record, { isTold: false });
+    if (update.kind === "gone") {
+      if (record !== undefined) {
+        lifecycle.remove(record, { shouldNotify: false });
+      }
       return;
     }
-    if (news.kind === "moved") {
-      if (record !== undefined) lifecycle.adoptEpoch(record, news.epoch);
+    if (update.kind === "moved") {
+      if (record !== undefined) lifecycle.adoptEpoch(record, update.epoch);
       return;
     }
-    const isWelcome = record !== undefined ||
+    const canApply = record !== undefined ||
       (store.canInstall(id) &&
-        news.job.expiresAt > timer.wallNow() && store.hasCapacityFor(news.job));
-    if (!isWelcome) return;
+        update.job.expiresAt > timer.wallNow() &&
+        store.hasCapacityFor(update.job));
+    if (!canApply) return;
     const now = timer.now();
-    const settled = record ?? store.install(news.job, { now, hasBody: false });
-    lifecycle.applyOutcome(settled, { ...news, isNews: true });
+    const installed = record ??
+      store.install(update.job, { now, hasBody: false });
+    lifecycle.applyOutcome(installed, { ...update, isFromPeer: true });
   }
 }
--- a/packages/coordination/src/jobLifecycle.ts
+++ b/packages/coordination/src/jobLifecycle.ts
@@ -5,18 +5,18 @@
 import type { Epoch, MemberId, RegisterValue } from "./jobRegister.ts";
 import type { JobOutcome, JobRecord, JobStore } from "./jobStore.ts";
 
-/** A round that no attempt exceeds; a member that promised it takes no part any more. */
+/** Highest round; a member that promised it accepts no further proposals. */
 const LAST_ROUND = Number.MAX_SAFE_INTEGER;
 
-/** Longer than a refused connection takes to be reported. */
-const BODY_KEPT_MS: Milliseconds = 30_000;
+/** Keeps the body until a refused connection has been reported. */
+const BODY_RETENTION_MS: Milliseconds = 30_000;
 
-/** An answer for a job that ended without one. */
+/** Creates the response of a job that ended without one. */
 export function emptyResponse(ending: "not-run" | "unknown"): JobResponse {
   return { ending, status: 0, headers: {}, body: new Uint8Array() };
 }
 
-/** What {@link JobLifecycle} needs. */
+/** Dependencies of {@link JobLifecycle}. */
 export interface JobLifecycleOptions {
   readonly self: MemberId;
   readonly timer: Timer;
@@ -25,7 +25,7 @@
   readonly outbox: JobOutbox;
 }
 
-/** Every change of a job's state in this process, and whom it is told to. */
+/** Applies state changes of jobs in this process and notifies the replicas. */
 export class JobLifecycle {
   readonly #options: JobLifecycleOptions;
   readonly #takeoverListeners = new Set<(takeover: JobTakeover) => void>();
@@ -39,10 +39,13 @@
     return () => this.#takeoverListeners.delete(listener);
   }
 
-  /** An epoch is known to be the job's; a member that is not in it lets go. */
+  /**
+   * Adopts an epoch of the job; a process that is not a member removes its
+   * copy.
+   */
   adoptEpoch(record: JobRecord, epoch: Epoch): void {
     const { self, store, metrics } = this.#options;
-    if (record.outcome !== undefined && !voids(epoch, record)) return;
+    if (record.outcome !== undefined && !replacesOutcome(epoch, record)) return;
     const known = record.epoch ?? record.formerEpoch;
     if (known !== undefined && known.number >= epoch.number) return;
     abortProposal(record);
@@ -50,7 +53,7 @@
       store.removeWithTombstone(record.job.id, epoch);
       return;
     }
-    // Without the body this process could only dispatch an empty request.
+    // A member without the body could only dispatch an empty request.
     if (!record.hasBody) return;
     delete record.outcome;
     delete record.outcomeEpoch;
@@ -66,10 +69,10 @@
     record.lostMembers.clear();
     if (epoch.number === 0 || !isTakeover) return;
     metrics.count("jobs_taken_over");
-    this.#tellTakeover({ job: record.job });
+    this.#notifyTakeover({ job: record.job });
   }
 
-  /** A value was chosen in the job's epoch. */
+  /** Applies a value chosen in the job's epoch. */
   applyChosenValue(record: JobRecord, value: RegisterValue): void {
     if (value.kind === "move") this.#move(record, value.epoch);
     else {
@@ -78,20 +81,23 @@
     }
   }
 
-  /** The job's outcome is known, by an own attempt or from a peer. */
+  /**
+   * Applies the job's outcome, chosen by a proposal of this process or received
+   * from a peer.
+   */
   applyOutcome(
     record: JobRecord,
-    { outcome, epochNumber, keepers, runner, answer, isNews = false }: {
+    { outcome, epochNumber, keepers, runner, answer, isFromPeer = false }: {
       outcome: JobOutcome;
       epochNumber: number;
       keepers?: readonly MemberId[];
       runner?: MemberId;
       answer?: JobResponse;
-      isNews?: boolean;
+      isFromPeer?: boolean;
     },
   ): void {
     const isStale = (record.epoch?.number ?? 0) > epochNumber;
-    if (isNews && isStale) return;
+    if (isFromPeer && isStale) return;
     abortProposal(record);
     if (record.outcome === undefined) {
       record.outcomeKnownSince = this.#options.timer.now();
@@ -102,22 +108,22 @@
     if (runner !== undefined) record.runner = runner;
     else if (outcome.kind === "dispatch") record.runner ??= outcome.by;
     if (outcome.kind === "withdraw") {
-      this.#keepAnswer(record, emptyResponse("not-run"));
+      this.#setResponse(record, emptyResponse("not-run"));
     }
-    if (answer !== undefined) this.#keepAnswer(record, answer);
-    if (!isNews) this.notifyReplicas(record);
+    if (answer !== undefined) this.#setResponse(record, answer);
+    if (!isFromPeer) this.notifyReplicas(record);
   }
 
-  /** The job ended here. */
-  finish(record: JobRecord, answer: JobResponse): void {
-    this.#keepAnswer(record, answer);
-    this.#options.metrics.count("jobs_ended", 1, { ending: answer.ending });
+  /** Records the response of a job that ended in this process. */
+  finish(record: JobRecord, response: JobResponse): void {
+    this.#setResponse(record, response);
+    this.#options.metrics.count("jobs_ended", 1, { ending: response.ending });
     if (record.outcome !== undefined) this.notifyReplicas(record);
   }
 
   /**
-   * Ends a job whose other members are gone. This member takes no part in the
-   * register any more, so that what it says stays true if they come back.
+   * Ends a job whose other members are lost. This member refuses all later
+   * proposals, so that the reported ending stays true if the others recover.
    */
   endWithoutQuorum(record: JobRecord, ending: "not-run" | "unknown"): void {
     const { self, metrics } = this.#options;
@@ -129,19 +135,19 @@
   }
 
   /**
-   * Drops a body that no dispatch needs any more. It stays a while after the
-   * outcome, since the upstream may refuse the dispatch.
+   * Removes a body that no dispatch needs any more. It is kept for a while
+   * after the outcome, since the upstream may refuse the dispatch.
    */
   dropUnneededBody(record: JobRecord): void {
     const { self, timer, store } = this.#options;
     if (!record.hasBody || record.outcome === undefined) return;
     const isOwn = knownDispatchOf(record)?.by === self;
-    const isRecent = timer.now() - record.outcomeKnownSince < BODY_KEPT_MS;
-    if (record.answer === undefined && (isOwn || isRecent)) return;
+    const isRecent = timer.now() - record.outcomeKnownSince < BODY_RETENTION_MS;
+    if (record.response === undefined && (isOwn || isRecent)) return;
     store.dropBody(record);
   }
 
-  /** This process resumes the job's answer at its upstream. */
+  /** Resumes the job's response at its upstream. */
   resume(record: JobRecord): void {
     const { self, metrics } = this.#options;
     const dispatch = knownDispatchOf(record);
@@ -150,35 +156,42 @@
     metrics.count("jobs_resumed");
     if (record.outcome !== undefined) this.notifyReplicas(record);
     const { upstream, nonce } = dispatch;
-    this.#tellTakeover({
+    this.#notifyTakeover({
       job: record.job,
       resumeAt: { upstream, nonce },
     });
   }
 
-  /** Drops a job everywhere: fetched, expired or never accepted. */
+  /**
+   * Removes a job that was fetched, expired or never accepted, and by default
+   * notifies the other members.
+   */
   remove(
     record: JobRecord,
-    { isTold = true }: { isTold?: boolean } = {},
+    { shouldNotify = true }: { shouldNotify?: boolean } = {},
   ): void {
     const { store } = this.#options;
     abortProposal(record);
-    const others = this.#othersOf(record);
+    const others = this.#otherMembersOf(record);
     store.removeWithTombstone(record.job.id);
-    if (!isTold) return;
-    for (const to of others) this.#post(to, record.job.id, { kind: "gone" });
+    if (!shouldNotify) return;
+    for (const to of others) {
+      this.#sendUpdate(to, record.job.id, { kind: "gone" });
+    }
   }
 
-  /** Tells the keepers the outcome, and the answer once there is one. */
+  /** Sends the outcome, and the response if there is one, to the replicas. */
   notifyReplicas(record: JobRecord): void {
-    const news = settledNews(record);
-    if (news === undefined) return;
-    for (const to of this.#othersOf(record)) {
-      this.#post(to, record.job.id, news);
+    const update = createSettledUpdate(record);
+    if (update === undefined) return;
+    for (const to of this.#otherMembersOf(record)) {
+      this.#sendUpdate(to, record.job.id, update);
     }
   }
 
-  /** Tells a process what it missed about a job; nothing when it is up to date. */
+  /**
+   * Sends the latest update about a job to a process, unless it is up to date.
+   */
   sendLatestUpdate(
     to: MemberId,
     { id, epochNumber }: { id: JobId; epochNumber: number },
@@ -187,28 +200,29 @@
     const record = store.find(id);
     const tombstone = store.tombstone(id);
     if (record?.outcome !== undefined) {
-      this.#post(to, id, settledNews(record)!);
+      this.#sendUpdate(to, id, createSettledUpdate(record)!);
       return;
     }
     const epoch = record?.epoch ?? record?.formerEpoch ?? tombstone?.movedTo;
     if (epoch !== undefined) {
       if (epoch.number <= epochNumber) return;
-      this.#post(to, id, { kind: "moved", epoch });
+      this.#sendUpdate(to, id, { kind: "moved", epoch });
     } else if (tombstone !== undefined) {
-      this.#post(to, id, { kind: "gone" });
+      this.#sendUpdate(to, id, { kind: "gone" });
     }
   }
 
   /**
-   * Opens a fresh epoch in place of a dispatch of this process that was not
-   * made. Only the process that the outcome names may write the request, so
-   * that its word alone voids it; the former epoch needs no further choice.
+   * Starts a new epoch after a dispatch of this process was not made. No vote
+   * is needed, since only this process may send the request of the recorded
+   * dispatch.
    */
   reopen(record: JobRecord, copies: readonly MemberId[]): void {
     const { self, metrics } = this.#options;
     metrics.count("jobs_unsent");
     record.isDispatchGranted = false;
-    // With no other copy the recorded dispatch stands and may be made later.
+    // Without another copy, the recorded dispatch stays valid and can be made
+    // later.
     if (copies.length === 0) return;
     this.#move(record, {
       number: record.outcomeEpoch! + 1,
@@ -219,54 +233,64 @@
 
   #move(record: JobRecord, epoch: Epoch): void {
     const { self, metrics } = this.#options;
-    const told = new Set([...this.#othersOf(record), ...epoch.members]);
-    told.delete(self);
+    const recipients = new Set([
+      ...this.#otherMembersOf(record),
+      ...epoch.members,
+    ]);
+    recipients.delete(self);
     metrics.count("jobs_moved");
     this.adoptEpoch(record, epoch);
-    for (const to of told) this.notifyMoved(to, { record, epoch });
+    for (const to of recipients) this.notifyMoved(to, { record, epoch });
   }
 
-  /** Tells a process the job's epoch; one without a copy counts as lost. */
+  /**
+   * Sends the job's epoch to a process; a member that replies without a copy is
+   * marked as lost.
+   */
   notifyMoved(
     to: MemberId,
-    { record, epoch, onNoted }: {
+    { record, epoch, onAck }: {
       record: JobRecord;
       epoch: Epoch;
-      onNoted?: (isHeld: boolean) => void;
+      onAck?: (isHeld: boolean) => void;
     },
   ): void {
     this.#options.outbox.post(to, {
       id: record.job.id,
-      news: { kind: "moved", epoch },
-      onNoted: (isHeld) => {
+      update: { kind: "moved", epoch },
+      onAck: (isHeld) => {
         if (!isHeld && epoch.members.includes(to)) record.lostMembers.add(to);
-        onNoted?.(isHeld);
+        onAck?.(isHeld);
       },
     });
   }
 
-  #post(to: MemberId, id: JobId, news: JobUpdate): void {
-    this.#options.outbox.post(to, { id, news });
+  #sendUpdate(to: MemberId, id: JobId, update: JobUpdate): void {
+    this.#options.outbox.post(to, { id, update });
   }
 
-  #othersOf(record: JobRecord): MemberId[] {
+  #otherMembersOf(record: JobRecord): MemberId[] {
     const all = new Set([...record.replicas, ...record.epoch?.members ?? []]);
     all.delete(this.#options.self);
     return [...all];
   }
 
-  #keepAnswer(record: JobRecord, answer: JobResponse): void {
-    // A whole answer that comes late is better than an ending without one.
-    if (record.answer?.ending === "whole") return;
-    this.#options.store.setAnswer(record, answer);
+  #setResponse(record: JobRecord, response: JobResponse): void {
+    // A complete response replaces an ending without one, even if it arrives
+    // late.
+    if (record.response?.ending === "whole") return;
+    this.#options.store.setResponse(record, response);
   }
 
-  #tellTakeover(takeover: JobTakeover): void {
+  #notifyTakeover(takeover: JobTakeover): void {
     for (const listener of this.#takeoverListeners) listener(takeover);
   }
 }
 
-/** Where the job was or may have been dispatched, as far as this process knows. */
+/**
+ * Returns where the job was or may have been dispatched, as far as this process
+ * knows.
+ */
 export function knownDispatchOf(
   record: JobRecord,
 ): Extract<JobOutcome, { kind: "dispatch" }> | undefined {
@@ -274,15 +298,18 @@
   return value?.kind === "dispatch" ? value : undefined;
 }
 
-/** Ends this process's attempt, if one is under way. */
+/** Ends the current proposal of this process, if any. */
 export function abortProposal(record: JobRecord): void {
-  const { proposal: attempt } = record;
+  const { proposal } = record;
   delete record.proposal;
-  attempt?.onEnd({ kind: "failed" });
+  proposal?.onEnd({ kind: "failed" });
 }
 
-/** Whether an epoch replaces an outcome whose dispatch was not made. */
-function voids(epoch: Epoch, { outcome, outcomeEpoch }: JobRecord): boolean {
+/** Tells whether an epoch replaces an outcome whose dispatch was not made. */
+function replacesOutcome(
+  epoch: Epoch,
+  { outcome, outcomeEpoch }: JobRecord,
+): boolean {
   return outcome?.kind === "dispatch" && outcome.by === epoch.holder &&
     epoch.number > (outcomeEpoch ?? 0);
 }
@@ -291,17 +318,16 @@
   return { ...job, body: new Uint8Array() };
 }
 
-function settledNews(record: JobRecord): JobUpdate | undefined {
-  const { outcome, outcomeEpoch = 0, replicas: keepers, runner, answer } =
-    record;
+function createSettledUpdate(record: JobRecord): JobUpdate | undefined {
+  const { outcome, outcomeEpoch = 0, replicas, runner, response } = record;
   if (outcome === undefined) return undefined;
   return {
     kind: "settled",
     job: withoutBody(record.job),
     outcome,
     epochNumber: outcomeEpoch,
-    keepers,
+    keepers: replicas,
     ...(runner && { runner }),
-    ...(answer && { answer }),
+    ...(response && { answer: response }),
   };
 }
--- a/packages/coordination/src/jobLookUps.ts
+++ b/packages/coordination/src/jobLookUps.ts
@@ -19,23 +19,23 @@
 import type { JobRecord, JobStore } from "./jobStore.ts";
 import { sendMessage, subscribeMessage } from "./peerMessages.ts";
 
-const ANSWER_WAIT_MS: Milliseconds = 1_000;
-const REPEAT_MS: Milliseconds = 250;
+const REPLY_TIMEOUT_MS: Milliseconds = 1_000;
+const RESEND_MS: Milliseconds = 250;
 /**
- * Hosts asked beside those in the id. Moves follow the job's rendezvous order,
- * so that a job is found after several losses without asking the whole fleet.
+ * Hosts that are asked in addition to those in the id, in the job's rendezvous
+ * order, which moves follow.
  */
 const MAX_HOSTS_BY_ORDER = 6;
 
-interface PendingQuestion {
+interface PendingRequest {
   readonly body: JobStatusRequest;
   readonly hosts: readonly HostId[];
-  readonly answered: Set<HostId>;
+  readonly replied: Set<HostId>;
   best: JobStatus | undefined;
   readonly finish: () => void;
 }
 
-/** What {@link JobLookUps} needs. */
+/** Dependencies of {@link JobLookUps}. */
 export interface JobLookUpsOptions {
   readonly link: PeerLink;
   readonly timer: Timer;
@@ -44,11 +44,14 @@
   readonly lifecycle: JobLifecycle;
 }
 
-/** Finds jobs at whichever host holds them, for their own client account only. */
+/**
+ * Looks up jobs at the hosts that may hold them, for their own client account
+ * only.
+ */
 export class JobLookUps {
   readonly #options: JobLookUpsOptions;
-  readonly #pending = new Map<number, PendingQuestion>();
-  #lastQuestion = 0;
+  readonly #pending = new Map<number, PendingRequest>();
+  #lastRequest = 0;
 
   constructor(options: JobLookUpsOptions) {
     this.#options = options;
@@ -60,7 +63,7 @@
       subscribeMessage(
         link,
         JOB_STATUS_REQUEST,
-        (from, body) => this.#onQuestion(from, body),
+        (from, body) => this.#onRequest(from, body),
       ),
       subscribeMessage(
         link,
@@ -70,27 +73,30 @@
     ];
   }
 
-  /** Asks this host and, unless it knows the end, the others. */
+  /**
+   * Returns the status known here if the job has ended; otherwise asks other
+   * hosts too.
+   */
   lookUp(
     id: JobId,
     account: ClientAccountId,
   ): Promise<Result<JobStatus, JobLookUpError>> {
-    const own = this.#statusHere(id, account);
+    const own = this.#localStatus(id, account);
     if (own?.kind === "ended") return Promise.resolve(ok(own));
-    return this.#ask(id, { account, own });
+    return this.#request(id, { account, own });
   }
 
-  /** Tells every host that may hold the job to drop it. */
+  /** Tells every host that may hold the job to delete it. */
   recordFetched(id: JobId, account: ClientAccountId): void {
     const { link } = this.#options;
-    this.#forgetHere(id, account);
+    this.#removeLocally(id, account);
     const body = { id, account, question: 0, isFetched: true };
-    for (const to of this.#hostsOf(id)) {
+    for (const to of this.#hostsToAsk(id)) {
       sendMessage(link, JOB_STATUS_REQUEST, { to, body });
     }
   }
 
-  #ask(
+  #request(
     id: JobId,
     { account, own }: {
       account: ClientAccountId;
@@ -98,33 +104,33 @@
     },
   ): Promise<Result<JobStatus, JobLookUpError>> {
     const { timer } = this.#options;
-    const hosts = this.#hostsOf(id);
-    const question = ++this.#lastQuestion;
+    const hosts = this.#hostsToAsk(id);
+    const question = ++this.#lastRequest;
     return new Promise((resolve) => {
       const finish = (): void => {
         repeating.cancel();
         timeout.cancel();
         this.#pending.delete(question);
-        resolve(resultOf(pending));
+        resolve(lookUpResult(pending));
       };
-      const pending: PendingQuestion = {
+      const pending: PendingRequest = {
         body: { id, account, question, isFetched: false },
         hosts,
-        answered: new Set(),
+        replied: new Set(),
         best: own,
         finish,
       };
-      const repeating = timer.every(REPEAT_MS, () => this.#send(pending));
-      const timeout = timer.after(ANSWER_WAIT_MS, finish);
+      const repeating = timer.every(RESEND_MS, () => this.#send(pending));
+      const timeout = timer.after(REPLY_TIMEOUT_MS, finish);
       this.#pending.set(question, pending);
       this.#send(pending);
       if (hosts.length === 0) finish();
     });
   }
 
-  #send({ body, hosts, answered }: PendingQuestion): void {
+  #send({ body, hosts, replied }: PendingRequest): void {
     for (const to of hosts) {
-      if (answered.has(to)) continue;
+      if (replied.has(to)) continue;
       sendMessage(this.#options.link, JOB_STATUS_REQUEST, { to, body });
     }
   }
@@ -132,39 +138,40 @@
   #onStatus(from: HostId, { question, status }: JobStatusReply): void {
     const pending = this.#pending.get(question);
     if (pending === undefined || !pending.hosts.includes(from)) return;
-    pending.answered.add(from);
-    pending.best = furtherOf(pending.best, status);
+    pending.replied.add(from);
+    pending.best = laterStatus(pending.best, status);
     const isEnded = pending.best?.kind === "ended";
-    if (isEnded || pending.answered.size === pending.hosts.length) {
+    if (isEnded || pending.replied.size === pending.hosts.length) {
       pending.finish();
     }
   }
 
-  #onQuestion(from: HostId, body: JobStatusRequest): void {
+  #onRequest(from: HostId, body: JobStatusRequest): void {
     const { id, account, question, isFetched } = body;
-    if (isFetched) return this.#forgetHere(id, account);
-    const status = this.#statusHere(id, account);
+    if (isFetched) return this.#removeLocally(id, account);
+    const status = this.#localStatus(id, account);
     sendMessage(this.#options.link, JOB_STATUS_REPLY, {
       to: from,
       body: { question, ...(status && { status }) },
     });
   }
 
-  #forgetHere(id: JobId, account: ClientAccountId): void {
+  #removeLocally(id: JobId, account: ClientAccountId): void {
     const { store, lifecycle } = this.#options;
     const record = store.find(id);
     if (record?.job.account !== account) return;
-    if (record.answer !== undefined) lifecycle.remove(record);
+    if (record.response !== undefined) lifecycle.remove(record);
   }
 
-  #statusHere(id: JobId, account: ClientAccountId): JobStatus | undefined {
+  #localStatus(id: JobId, account: ClientAccountId): JobStatus | undefined {
     const record = this.#options.store.find(id);
-    // Another account's job is no job at all, so that nobody learns of it.
+    // Jobs of other accounts are treated as unknown, so as not to reveal that
+    // they exist.
     if (record?.job.account !== account) return undefined;
     return statusOf(record);
   }
 
-  #hostsOf(id: JobId): HostId[] {
+  #hostsToAsk(id: JobId): HostId[] {
     const { link, members } = this.#options;
     const byOrder = inRendezvousOrder(id, members.availableMembers())
       .slice(0, MAX_HOSTS_BY_ORDER)
@@ -179,26 +186,29 @@
 }
 
 function statusOf(record: JobRecord): JobStatus | undefined {
-  if (record.answer !== undefined) {
-    return { kind: "ended", answer: record.answer };
+  if (record.response !== undefined) {
+    return { kind: "ended", answer: record.response };
   }
   const dispatch = record.outcome && knownDispatchOf(record);
   if (dispatch) return { kind: "running", upstream: dispatch.upstream };
   return record.epoch === undefined ? undefined : { kind: "waiting" };
 }
 
-function resultOf(
-  { best, answered, hosts }: PendingQuestion,
+function lookUpResult(
+  { best, replied, hosts }: PendingRequest,
 ): Result<JobStatus, JobLookUpError> {
   if (best !== undefined) return ok(best);
-  const haveAllAnswered = answered.size === hosts.length;
-  return err({ kind: haveAllAnswered ? "not-found" : "unreachable" });
+  const haveAllReplied = replied.size === hosts.length;
+  return err({ kind: haveAllReplied ? "not-found" : "unreachable" });
 }
 
-const PROGRESS = { waiting: 0, running: 1, ended: 2 } as const;
+const STATUS_ORDER = { waiting: 0, running: 1, ended: 2 } as const;
 
-/** The status that is further on; a whole answer beats an ending without one. */
-function furtherOf(
+/**
+ * Returns the more advanced status; a complete response is preferred over an
+ * ending without one.
+ */
+function laterStatus(
   left: JobStatus | undefined,
   right: JobStatus | undefined,
 ): JobStatus | undefined {
@@ -206,5 +216,5 @@
   if (left.kind === "ended" && right.kind === "ended") {
     return left.answer.ending === "whole" ? left : right;
   }
-  return PROGRESS[left.kind] >= PROGRESS[right.kind] ? left : right;
+  return STATUS_ORDER[left.kind] >= STATUS_ORDER[right.kind] ? left : right;
 }
--- a/packages/coordination/src/jobMembers.ts
+++ b/packages/coordination/src/jobMembers.ts
@@ -7,9 +7,9 @@
 } from "@wasabivane/common";
 import { hostOfMember, type MemberId, memberId } from "./jobRegister.ts";
 
-const MAX_REMEMBERED_DEAD = 4096;
+const MAX_TRACKED_DEAD = 4096;
 
-/** What jobs need to know of an entry host. */
+/** Fields of a member that jobs use. */
 export interface JobMember {
   readonly host: HostId;
   readonly incarnation: string;
@@ -19,8 +19,8 @@
 }
 
 /**
- * Which processes answer, as the membership tells. It may be wrong: a paused or
- * cut-off process looks dead. Nothing here decides about a dispatch alone.
+ * Tracks which processes are alive according to the membership. A paused or
+ * partitioned process looks dead, so this never permits a dispatch by itself.
  */
 export class JobMembers {
   readonly #byHost = new Map<HostId, JobMember>();
@@ -41,19 +41,23 @@
       memberIdOf(member) !== id;
   }
 
-  /** How long a process has looked dead here; 0 for one that does not. */
+  /**
+   * Returns for how long a process has been considered dead; 0 if it is alive.
+   */
   deadFor(id: MemberId, now: Milliseconds): Milliseconds {
     if (!this.isDead(id)) {
       this.#deadSince.delete(id);
       return 0;
     }
     const since = this.#deadSince.get(id) ?? now;
-    if (this.#deadSince.size >= MAX_REMEMBERED_DEAD) this.#deadSince.clear();
+    if (this.#deadSince.size >= MAX_TRACKED_DEAD) this.#deadSince.clear();
     this.#deadSince.set(id, since);
     return now - since;
   }
 
-  /** Whether the process is gone for certain: its host runs another one. */
+  /**
+   * Tells whether the process has certainly ended: its host runs another one.
+   */
   isReplaced(id: MemberId): boolean {
     const member = this.#byHost.get(hostOfMember(id));
     return member !== undefined && memberIdOf(member) !== id;
@@ -63,39 +67,39 @@
     return this.#byHost.get(hostOfMember(id))?.isLeaving === true;
   }
 
-  /** Hosts that may take a copy. */
+  /** Returns the hosts that can hold a copy. */
   availableMembers(): JobMember[] {
     return [...this.#byHost.values()].filter(({ state, isLeaving }) =>
       state === "alive" && !isLeaving
     );
   }
 
-  /** The failure domains of the given processes, as far as they are known. */
+  /** Returns the known failure domains of the given processes. */
   domainsOf(ids: readonly MemberId[]): FailureDomain[] {
     return ids.flatMap((id) => this.#byHost.get(hostOfMember(id)) ?? [])
       .map(({ failureDomain }) => failureDomain);
   }
 }
 
-/** The process that runs on a member's host. */
+/** Returns the id of the process that runs on a member's host. */
 export function memberIdOf({ host, incarnation }: JobMember): MemberId {
   return memberId(host, incarnation);
 }
 
-/** The part of a job's id that places it. */
+/** Returns the part of a job's id that determines its placement. */
 export function placementKey(id: JobId): string {
   return id.split("~", 1)[0]!;
 }
 
-/** The hosts that a job's id names. */
+/** Returns the hosts contained in a job's id. */
 export function hostsInId(id: JobId): HostId[] {
   return id.split("~").slice(1) as HostId[];
 }
 
 /**
- * Picks hosts for copies in the rendezvous order of the job: first hosts in
- * failure domains that hold none, then hosts outside the first holder's domain,
- * then any. Any entry host knows that order, so that it finds a job that moved.
+ * Selects hosts for copies in the job's rendezvous order: first hosts in
+ * failure domains without a copy, then hosts outside the holder's domain, then
+ * any. Every entry host can compute this order to find a job that moved.
  */
 export function chooseReplicaHosts(
   id: JobId,
@@ -108,21 +112,21 @@
   const order = inRendezvousOrder(id, candidates);
   const chosen: JobMember[] = [];
   const domains = new Set(usedDomains);
-  const take = (accepts: (member: JobMember) => boolean): void => {
+  const choose = (isEligible: (member: JobMember) => boolean): void => {
     for (const member of order) {
       if (chosen.length >= count) return;
-      if (chosen.includes(member) || !accepts(member)) continue;
+      if (chosen.includes(member) || !isEligible(member)) continue;
       chosen.push(member);
       domains.add(member.failureDomain);
     }
   };
-  take(({ failureDomain }) => !domains.has(failureDomain));
-  take(({ failureDomain }) => failureDomain !== usedDomains[0]);
-  take(() => true);
+  choose(({ failureDomain }) => !domains.has(failureDomain));
+  choose(({ failureDomain }) => failureDomain !== usedDomains[0]);
+  choose(() => true);
   return chosen;
 }
 
-/** Members in the rendezvous order of a job. */
+/** Sorts members by the rendezvous order of a job. */
 export function inRendezvousOrder(
   id: JobId,
   members: readonly JobMember[],
--- a/packages/coordination/src/jobMessages.ts
+++ b/packages/coordination/src/jobMessages.ts
@@ -32,7 +32,7 @@
 } from "./messageShapes.ts";
 import { defineMessage, type MessageKind } from "./peerMessages.ts";
 
-/** Members of one epoch. */
+/** Maximum number of members of an epoch. */
 export const MAX_EPOCH_MEMBERS = 8;
 const MAX_HEADER_LENGTH = 8_192;
 
@@ -59,7 +59,7 @@
   acceptedAt: numberOf<number>(),
 });
 
-const isAnswer: Shape<JobResponse> = objectOf({
+const isResponse: Shape<JobResponse> = objectOf({
   ending: oneOf<RequestOutcome>("whole", "not-run", "unknown"),
   status: numberOf<number>(),
   headers: isHeaders,
@@ -113,15 +113,15 @@
   }),
 );
 
-/** A chosen fact about a job; each supersedes those before it. */
+/** Update about a job; each one supersedes the earlier ones. */
 export type JobUpdate =
   | { readonly kind: "moved"; readonly epoch: Epoch }
   | {
     readonly kind: "settled";
-    /** Without its body. */
+    /** Job without its body. */
     readonly job: Job;
     readonly outcome: JobOutcome;
-    /** Number of the epoch that settled on it. */
+    /** Number of the epoch that chose the outcome. */
     readonly epochNumber: number;
     readonly keepers: readonly MemberId[];
     readonly runner?: MemberId;
@@ -130,7 +130,7 @@
   /** Fetched, expired or never accepted. */
   | { readonly kind: "gone" };
 
-const isNews: Shape<JobUpdate> = anyOf<JobUpdate>(
+const isUpdate: Shape<JobUpdate> = anyOf<JobUpdate>(
   objectOf({ kind: oneOf("moved"), epoch: isEpoch }),
   objectOf({
     kind: oneOf("settled"),
@@ -139,18 +139,18 @@
     epochNumber: numberOf<number>(),
     keepers: isMembers,
     runner: optional(isMember),
-    answer: optional(isAnswer),
+    answer: optional(isResponse),
   }),
   objectOf({ kind: oneOf("gone") }),
 );
 
-/** Asks a host to hold a copy that does not act until it is confirmed. */
+/** Asks a host to hold a copy, which stays inactive until it is confirmed. */
 export const JOB_COPY: MessageKind<{ readonly job: Job }> = defineMessage(
   "job-copy",
   objectOf({ job: isJob }),
 );
 
-/** Answers {@link JOB_COPY}. */
+/** Replies to {@link JOB_COPY}. */
 export interface JobCopyReply {
   readonly id: JobId;
   readonly member: MemberId;
@@ -164,7 +164,7 @@
   objectOf({ id: isJobId, member: isMember, isHeld: isBoolean }),
 );
 
-/** Asks a member of an epoch to promise or accept. */
+/** Sends a register request to a member of an epoch. */
 export interface JobRegisterRequest {
   readonly id: JobId;
   readonly epoch: Epoch;
@@ -180,10 +180,10 @@
     objectOf({ id: isJobId, epoch: isEpoch, request: isRequest, by: isMember }),
   );
 
-/** A member's answer to {@link JOB_REGISTER_REQUEST}. */
+/** Replies to {@link JOB_REGISTER_REQUEST}. */
 export interface JobRegisterReply {
   readonly id: JobId;
-  /** See `epochKey`. */
+  /** Key of the epoch; see `epochKey`. */
   readonly key: string;
   readonly member: MemberId;
   readonly reply: RegisterReply;
@@ -201,7 +201,7 @@
   }),
 );
 
-/** News that the sender repeats until it is noted. */
+/** Update of a job, resent until it is acknowledged. */
 export interface JobUpdateMessage {
   readonly id: JobId;
   readonly sequence: number;
@@ -217,16 +217,16 @@
     id: isJobId,
     sequence: numberOf<number>(),
     to: isMember,
-    news: isNews,
+    news: isUpdate,
   }),
 );
 
-/** Answers {@link JOB_UPDATE}. */
+/** Acknowledges {@link JOB_UPDATE}. */
 export interface JobUpdateAck {
   readonly id: JobId;
   readonly sequence: number;
   readonly member: MemberId;
-  /** False when the member has no copy. */
+  /** False if the member holds no copy. */
   readonly isHeld: boolean;
 }
 /** See {@link JobUpdateAck}. */
@@ -242,7 +242,9 @@
   }),
 );
 
-/** Asks whether a copy is still needed; answered by news where it is not. */
+/**
+ * Asks whether a copy is still needed; a replica replies with an update if not.
+ */
 export interface JobCopyCheck {
   readonly id: JobId;
   readonly epochNumber: number;
@@ -256,12 +258,15 @@
   objectOf({ id: isJobId, epochNumber: numberOf<number>(), by: isMember }),
 );
 
-/** Asks what a host knows of a job. */
+/** Requests the status of a job. */
 export interface JobStatusRequest {
   readonly id: JobId;
   readonly account: ClientAccountId;
   readonly question: number;
-  /** The caller has the answer; drop it. */
+  /**
+   * Whether the caller has received the response, so that the job can be
+   * deleted.
+   */
   readonly isFetched: boolean;
 }
 /** See {@link JobStatusRequest}. */
@@ -277,7 +282,10 @@
   }),
 );
 
-/** Answers {@link JOB_STATUS_REQUEST}; no status when the host knows nothing. */
+/**
+ * Replies to {@link JOB_STATUS_REQUEST}; without a status if the host does not
+ * know the job.
+ */
 export interface JobStatusReply {
   readonly question: number;
   readonly status?: JobStatus;
@@ -292,7 +300,7 @@
     status: optional(anyOf<JobStatus>(
       objectOf({ kind: oneOf("waiting") }),
       objectOf({ kind: oneOf("running"), upstream: textOf<UpstreamId>() }),
-      objectOf({ kind: oneOf("ended"), answer: isAnswer }),
+      objectOf({ kind: oneOf("ended"), answer: isResponse }),
     )),
   }),
 );
--- a/packages/coordination/src/jobOutbox.ts
+++ b/packages/coordination/src/jobOutbox.ts
@@ -8,30 +8,30 @@
 import { hostOfMember, type MemberId } from "./jobRegister.ts";
 import { sendMessage } from "./peerMessages.ts";
 
-const FIRST_REPEAT_MS: Milliseconds = 200;
-const MAX_REPEAT_MS: Milliseconds = 5_000;
-/** News for a process that looks dead is kept so long, in case it was cut off. */
-const GIVE_UP_MS: Milliseconds = 60_000;
+const FIRST_RESEND_MS: Milliseconds = 200;
+const MAX_RESEND_MS: Milliseconds = 5_000;
+/** How long updates for a process that looks dead are kept. */
+const DEAD_RECIPIENT_MS: Milliseconds = 60_000;
 
-interface PendingNews {
+interface PendingUpdate {
   readonly to: MemberId;
   readonly id: JobId;
-  readonly news: JobUpdate;
+  readonly update: JobUpdate;
   readonly sequence: number;
-  repeatAt: Milliseconds;
-  pause: Milliseconds;
-  readonly onNoted?: (isHeld: boolean) => void;
+  resendAt: Milliseconds;
+  resendDelay: Milliseconds;
+  readonly onAck?: (isHeld: boolean) => void;
 }
 
 /**
- * Repeats news until the other side notes it. There is one place per member and
- * job: later news says all that earlier news said.
+ * Resends updates until they are acknowledged. Only the newest update per
+ * member and job is kept, since it supersedes earlier ones.
  */
 export class JobOutbox {
   readonly #link: PeerLink;
   readonly #timer: Timer;
   readonly #members: JobMembers;
-  readonly #pending = new Map<string, PendingNews>();
+  readonly #pending = new Map<string, PendingUpdate>();
   #sequence = 0;
 
   constructor(
@@ -48,49 +48,49 @@
 
   post(
     to: MemberId,
-    { id, news, onNoted }: {
+    { id, update, onAck }: {
       id: JobId;
-      news: JobUpdate;
-      onNoted?: (isHeld: boolean) => void;
+      update: JobUpdate;
+      onAck?: (isHeld: boolean) => void;
     },
   ): void {
-    const pending: PendingNews = {
+    const pending: PendingUpdate = {
       to,
       id,
-      news,
+      update,
       sequence: ++this.#sequence,
-      repeatAt: this.#timer.now() + FIRST_REPEAT_MS,
-      pause: FIRST_REPEAT_MS,
-      ...(onNoted && { onNoted }),
+      resendAt: this.#timer.now() + FIRST_RESEND_MS,
+      resendDelay: FIRST_RESEND_MS,
+      ...(onAck && { onAck }),
     };
-    this.#pending.set(placeOf(to, id), pending);
+    this.#pending.set(pendingKeyOf(to, id), pending);
     this.#send(pending);
   }
 
   acknowledge({ id, sequence, member, isHeld }: JobUpdateAck): void {
-    const place = placeOf(member, id);
-    const pending = this.#pending.get(place);
+    const key = pendingKeyOf(member, id);
+    const pending = this.#pending.get(key);
     if (pending?.sequence !== sequence) return;
-    this.#pending.delete(place);
-    pending.onNoted?.(isHeld);
+    this.#pending.delete(key);
+    pending.onAck?.(isHeld);
   }
 
-  /** Repeats what is due. */
+  /** Resends updates that are due. */
   resendDue(): void {
     const now = this.#timer.now();
-    for (const [place, pending] of this.#pending) {
-      if (now < pending.repeatAt) continue;
-      if (this.#isHopeless(pending.to, now)) {
-        this.#pending.delete(place);
+    for (const [key, pending] of this.#pending) {
+      if (now < pending.resendAt) continue;
+      if (this.#isUndeliverable(pending.to, now)) {
+        this.#pending.delete(key);
         continue;
       }
-      pending.pause = Math.min(MAX_REPEAT_MS, pending.pause * 2);
-      pending.repeatAt = now + pending.pause;
+      pending.resendDelay = Math.min(MAX_RESEND_MS, pending.resendDelay * 2);
+      pending.resendAt = now + pending.resendDelay;
       this.#send(pending);
     }
   }
 
-  /** Jobs with news on its way to a process that answers. */
+  /** Returns the jobs with updates pending for a process that is alive. */
   jobsWithPendingUpdates(): Set<JobId> {
     const pending = [...this.#pending.values()].filter(({ to }) =>
       !this.#members.isDead(to)
@@ -98,17 +98,17 @@
     return new Set(pending.map(({ id }) => id));
   }
 
-  #isHopeless(to: MemberId, now: Milliseconds): boolean {
+  #isUndeliverable(to: MemberId, now: Milliseconds): boolean {
     return this.#members.isReplaced(to) ||
-      this.#members.deadFor(to, now) >= GIVE_UP_MS;
+      this.#members.deadFor(to, now) >= DEAD_RECIPIENT_MS;
   }
 
-  #send({ to, id, news, sequence }: PendingNews): void {
-    const body = { id, sequence, to, news };
+  #send({ to, id, update, sequence }: PendingUpdate): void {
+    const body = { id, sequence, to, news: update };
     sendMessage(this.#link, JOB_UPDATE, { to: hostOfMember(to), body });
   }
 }
 
-function placeOf(member: MemberId, id: JobId): string {
+function pendingKeyOf(member: MemberId, id: JobId): string {
   return `${member} ${id}`;
 }
--- a/packages/coordination/src/jobReconciler.ts
+++ b/packages/coordination/src/jobReconciler.ts
@@ -15,15 +15,18 @@
 import type { JobRecord, JobStore } from "./jobStore.ts";
 import { sendMessage } from "./peerMessages.ts";
 
-/** Longest wait for copies at fresh members. */
+/** Time limit for copies at new members. */
 export const MOVE_COPY_WAIT_MS: Milliseconds = 1_000;
 const MOVE_RETRY_MS: Milliseconds = 2_000;
-/** A copy that nobody confirms vanishes; it has promised nothing. */
-const UNCONFIRMED_MS: Milliseconds = 60_000;
-/** How often a copy asks whether it is still needed, after lost news. */
+/** An unconfirmed copy is removed after this time. */
+const UNCONFIRMED_RETENTION_MS: Milliseconds = 60_000;
+/**
+ * Interval at which a process asks whether its copy is still needed, in case
+ * updates were lost.
+ */
 const CHECK_PERIOD_MS: Milliseconds = 300_000;
 
-/** What {@link JobReconciler} needs. */
+/** Dependencies of {@link JobReconciler}. */
 export interface JobReconcilerOptions {
   readonly self: MemberId;
   readonly link: PeerLink;
@@ -35,11 +38,11 @@
   readonly outbox: JobOutbox;
   readonly lifecycle: JobLifecycle;
   readonly consensus: JobConsensus;
-  /** Whether this host hands its jobs over. */
+  /** Tells whether this host is handing over its jobs. */
   readonly isStopping: () => boolean;
 }
 
-/** Carries out what `nextStep` decides for each job, period by period. */
+/** Carries out the steps that `nextJobStep` selects for each job. */
 export class JobReconciler {
   readonly #options: JobReconcilerOptions;
 
@@ -47,18 +50,17 @@
     this.#options = options;
   }
 
-  /** Takes the next step for each job that this process holds. */
+  /** Carries out the next step of each job that this process holds. */
   reconcileAll(): void {
-    const { timer, store, outbox, consensus: proposals, lifecycle } =
-      this.#options;
+    const { timer, store, outbox, consensus, lifecycle } = this.#options;
     outbox.resendDue();
     store.removeExpiredTombstones(timer.wallNow());
     for (const record of store.records()) {
-      if (this.#dropIfOver(record)) continue;
-      proposals.poll(record);
+      if (this.#removeIfExpired(record)) continue;
+      consensus.poll(record);
       lifecycle.dropUnneededBody(record);
-      this.#take(record, this.#nextStep(record));
-      this.#check(record);
+      this.#carryOut(record, this.#nextStep(record));
+      this.#checkReplicas(record);
     }
   }
 
@@ -72,22 +74,22 @@
     });
   }
 
-  #dropIfOver(record: JobRecord): boolean {
+  #removeIfExpired(record: JobRecord): boolean {
     const { timer, metrics, store, lifecycle } = this.#options;
     if (record.job.expiresAt <= timer.wallNow()) {
       metrics.count("jobs_expired");
-      lifecycle.remove(record, { isTold: false });
+      lifecycle.remove(record, { shouldNotify: false });
       return true;
     }
     const isUnconfirmed = record.epoch === undefined &&
       record.outcome === undefined;
     const age = timer.now() - record.installedAt;
-    if (!isUnconfirmed || age < UNCONFIRMED_MS) return false;
+    if (!isUnconfirmed || age < UNCONFIRMED_RETENTION_MS) return false;
     store.removeUnconfirmed(record);
     return true;
   }
 
-  #take(record: JobRecord, step: JobStep): void {
+  #carryOut(record: JobRecord, step: JobStep): void {
     const { lifecycle } = this.#options;
     if (step.kind === "move") void this.#move(record, step);
     else if (step.kind === "end-alone") {
@@ -102,9 +104,9 @@
   async #move(
     record: JobRecord,
     {
-      remaining: staying,
-      added: fresh,
-      unreachable: spare,
+      remaining,
+      added,
+      unreachable,
       holder,
       isRequired,
     }: Extract<
@@ -112,32 +114,31 @@
       { kind: "move" }
     >,
   ): Promise<void> {
-    const { self, timer, store, replication: copying, consensus: proposals } =
-      this.#options;
+    const { self, timer, store, replication, consensus } = this.#options;
     const epoch = record.epoch!;
     record.isMoving = true;
-    const copies = await copying.replicateTo(fresh, {
+    const copies = await replication.replicateTo(added, {
       job: record.job,
       withinMs: MOVE_COPY_WAIT_MS,
     });
     record.isMoving = false;
-    const members = padded([...staying, ...copies], spare);
+    const members = withUnreachable([...remaining, ...copies], unreachable);
     const isCurrent = store.find(record.job.id) === record &&
       record.epoch === epoch && record.outcome === undefined;
     if (!isCurrent) return;
     record.retryAt = timer.now() + MOVE_RETRY_MS;
-    const isHelped = members.length > 1 &&
+    const isImprovement = members.length > 1 &&
       (isRequired || copies.length > 0);
-    if (!isHelped) return;
+    if (!isImprovement) return;
     const next: Epoch = {
       number: epoch.number + 1,
       members,
       holder: holder === "self" ? self : members[0]!,
     };
-    await proposals.propose(record, { kind: "move", epoch: next });
+    await consensus.propose(record, { kind: "move", epoch: next });
   }
 
-  #check(record: JobRecord): void {
+  #checkReplicas(record: JobRecord): void {
     const { self, timer, link } = this.#options;
     const now = timer.now();
     if (now - record.checkedAt < CHECK_PERIOD_MS) return;
@@ -151,12 +152,15 @@
   }
 }
 
-/** Members up to the usual number; spare ones may come back with their copies. */
-function padded(
+/**
+ * Adds unreachable members up to the usual number of replicas; they may recover
+ * with their copies.
+ */
+function withUnreachable(
   members: readonly MemberId[],
-  spare: readonly MemberId[],
+  unreachable: readonly MemberId[],
 ): MemberId[] {
-  return [...members, ...spare].slice(
+  return [...members, ...unreachable].slice(
     0,
     Math.max(members.length, REPLICAS_PER_JOB),
   );
--- a/packages/coordination/src/jobRegister.ts
+++ b/packages/coordination/src/jobRegister.ts
@@ -1,77 +1,74 @@
 import type { Branded, HostId, Nonce, UpstreamId } from "@wasabivane/common";
 
-/**
- * Settles once and for all what happens to a waiting job: where it is
- * dispatched and by whom, or to whom the right to decide moves.
- *
- * Load pattern: overnight work whose holder dies, pauses for an hour or is cut
- * off while its copies believe it dead. Without it two hosts would dispatch the
- * same job, and a lawyer would be billed twice. Each epoch of a job is one
- * write-once register among the processes that hold a copy, settled by ballots
- * (single-decree Paxos). Two majorities of one epoch share a member, and a
- * member that has promised a later ballot refuses an earlier one, so at most
- * one value is ever chosen. A restarted process is another member, so that
- * lost memory counts as silence and breaks nothing.
- */
-
-/** One process that holds a copy: a host and its incarnation. */
+/** Identifies a process that holds a copy, by host and incarnation. */
 export type MemberId = Branded<string, "MemberId">;
 
-/** Names a process by host and incarnation. */
+/** Returns the id of a process. */
 export function memberId(host: HostId, incarnation: string): MemberId {
   return `${host}@${incarnation}` as MemberId;
 }
 
-/** The host of a member. */
+/** Returns the host of a member. */
 export function hostOfMember(member: MemberId): HostId {
   return member.slice(0, member.lastIndexOf("@")) as HostId;
 }
 
-/** The processes that hold a job and decide about it, until they move it on. */
+/**
+ * Set of processes that hold a job and choose what happens to it, until a move
+ * to the next epoch.
+ *
+ * Each epoch has one write-once register among its members, decided by
+ * single-decree Paxos, so that a job cannot be dispatched by two hosts even if
+ * its holder pauses or is partitioned. A restarted process is a different
+ * member, so lost state counts as a failed member.
+ */
 export interface Epoch {
   readonly number: number;
   readonly members: readonly MemberId[];
-  /** The only member that may use round 0, without asking first. */
+  /** The only member that may propose in round 0, without a prepare phase. */
   readonly holder: MemberId;
 }
 
-/** Tells registers apart; two rival moves may lead to epochs of one number. */
+/**
+ * Returns a unique key of an epoch; competing moves can lead to epochs with the
+ * same number.
+ */
 export function epochKey({ number, members, holder }: Epoch): string {
   return [number, holder, ...members].join(" ");
 }
 
-/** What an epoch may settle on. */
+/** Value that an epoch can choose. */
 export type RegisterValue =
   | {
     readonly kind: "dispatch";
     readonly upstream: UpstreamId;
     readonly nonce: Nonce;
-    /** The only process that may write the request to the upstream. */
+    /** The only process that may send the request to the upstream. */
     readonly by: MemberId;
   }
   | { readonly kind: "move"; readonly epoch: Epoch }
-  /** The job ends without having run. */
+  /** Ends the job without running it. */
   | { readonly kind: "withdraw" };
 
-/** Orders proposals; rounds first, then proposers. */
+/** Orders proposals by round, then by proposer. */
 export interface Ballot {
   readonly round: number;
   readonly proposer: MemberId;
 }
 
-/** A value that a member accepted, not necessarily chosen. */
+/** A value accepted by a member, not necessarily chosen. */
 export interface Proposal {
   readonly ballot: Ballot;
   readonly value: RegisterValue;
 }
 
-/** What one member remembers of one register. */
+/** Acceptor state of one member for one register. */
 export interface AcceptorState {
   readonly promised?: Ballot;
   readonly accepted?: Proposal;
 }
 
-/** What a proposer asks of every member. */
+/** Request of a proposer to a member. */
 export type RegisterRequest =
   | { readonly kind: "prepare"; readonly ballot: Ballot }
   | {
@@ -80,7 +77,7 @@
     readonly value: RegisterValue;
   };
 
-/** What a member answers. */
+/** Reply of a member to a {@link RegisterRequest}. */
 export type RegisterReply =
   | {
     readonly kind: "promised";
@@ -91,28 +88,28 @@
   | {
     readonly kind: "refused";
     readonly ballot: Ballot;
-    /** Round that a new attempt has to exceed. */
+    /** Round that the next proposal has to exceed. */
     readonly promisedRound: number;
   };
 
-/** One attempt of one proposer. */
+/** State of one proposal by one proposer. */
 export interface ProposerState {
   readonly members: readonly MemberId[];
   readonly ballot: Ballot;
   readonly phase: "preparing" | "accepting" | "chosen" | "outbid";
-  /** What the proposer wants, if nothing else may have been chosen before. */
+  /** Value to propose unless another one may already have been chosen. */
   readonly preferredValue: RegisterValue;
-  /** What it proposes; set once it accepts. */
+  /** Proposed value; set in the accept phase. */
   readonly value?: RegisterValue;
   readonly promises: readonly MemberId[];
   readonly acceptances: readonly MemberId[];
-  /** The latest accepted proposal among the promises. */
+  /** Accepted proposal with the highest ballot among the promises. */
   readonly latest?: Proposal;
-  /** Round of the ballot that outbid this one. */
+  /** Round of the ballot that preempted this one. */
   readonly outbidBy?: number;
 }
 
-/** Whether the left ballot is earlier than the right one. */
+/** Tells whether the left ballot precedes the right one. */
 export function isEarlierBallot(
   left: Ballot,
   right: Ballot | undefined,
@@ -122,7 +119,7 @@
   return left.proposer < right.proposer;
 }
 
-/** A member's answer and what it remembers afterwards. */
+/** Handles a request as acceptor; returns the reply and the new state. */
 export function handleRegisterRequest(
   acceptor: AcceptorState,
   request: RegisterRequest,
@@ -147,45 +144,50 @@
 }
 
 /**
- * An attempt by the holder in round 0. It needs no promises: nobody else may
- * use round 0, so nothing can have been accepted before it. The holder must
- * make at most one such attempt per epoch.
+ * Starts a proposal by the holder in round 0. It needs no promises, since only
+ * the holder uses round 0. The holder must do this at most once per epoch.
  */
 export function startHolderProposal(
   epoch: Epoch,
-  wish: RegisterValue,
+  preferredValue: RegisterValue,
 ): ProposerState {
   return {
     members: epoch.members,
     ballot: { round: 0, proposer: epoch.holder },
     phase: "accepting",
-    preferredValue: wish,
-    value: wish,
+    preferredValue,
+    value: preferredValue,
     promises: [],
     acceptances: [],
   };
 }
 
-/** An attempt by any member; `round` is above 0 and above any it has seen. */
+/**
+ * Starts a proposal by any member; `round` must be above 0 and above any round
+ * that the member has seen.
+ */
 export function startProposal(
   epoch: Epoch,
-  { ballot, wish }: { ballot: Ballot; wish: RegisterValue },
+  { ballot, wish: preferredValue }: { ballot: Ballot; wish: RegisterValue },
 ): ProposerState {
   return {
     members: epoch.members,
     ballot,
     phase: "preparing",
-    preferredValue: wish,
+    preferredValue,
     promises: [],
     acceptances: [],
   };
 }
 
-/** What the attempt asks of its members now; nothing once it has ended. */
+/**
+ * Returns the request to send to the members; `undefined` once the proposal has
+ * ended.
+ */
 export function pendingRequest(
-  attempt: ProposerState,
+  state: ProposerState,
 ): RegisterRequest | undefined {
-  const { ballot, phase, value } = attempt;
+  const { ballot, phase, value } = state;
   if (phase === "preparing") return { kind: "prepare", ballot };
   if (phase === "accepting" && value !== undefined) {
     return { kind: "accept", ballot, value };
@@ -193,55 +195,61 @@
   return undefined;
 }
 
-/** The attempt after a member's reply; doubled and late replies change nothing. */
+/**
+ * Applies a member's reply to a proposal; duplicate and late replies have no
+ * effect.
+ */
 export function applyRegisterReply(
-  attempt: ProposerState,
+  state: ProposerState,
   { from, reply }: { from: MemberId; reply: RegisterReply },
 ): ProposerState {
-  if (!attempt.members.includes(from)) return attempt;
-  if (!isSameBallot(reply.ballot, attempt.ballot)) return attempt;
-  if (reply.kind === "refused") return takeRefusal(attempt, reply);
-  if (reply.kind === "promised") return takePromise(attempt, { from, reply });
-  return takeAcceptance(attempt, from);
+  if (!state.members.includes(from)) return state;
+  if (!isSameBallot(reply.ballot, state.ballot)) return state;
+  if (reply.kind === "refused") return applyRefusal(state, reply);
+  if (reply.kind === "promised") return applyPromise(state, { from, reply });
+  return applyAcceptance(state, from);
 }
 
-function takeRefusal(
-  attempt: ProposerState,
+function applyRefusal(
+  state: ProposerState,
   { promisedRound }: { promisedRound: number },
 ): ProposerState {
-  if (attempt.phase === "chosen") return attempt;
-  const outbidBy = Math.max(promisedRound, attempt.outbidBy ?? 0);
-  return { ...attempt, phase: "outbid", outbidBy };
+  if (state.phase === "chosen") return state;
+  const outbidBy = Math.max(promisedRound, state.outbidBy ?? 0);
+  return { ...state, phase: "outbid", outbidBy };
 }
 
-function takePromise(
-  attempt: ProposerState,
+function applyPromise(
+  state: ProposerState,
   { from, reply }: {
     from: MemberId;
     reply: Extract<RegisterReply, { kind: "promised" }>;
   },
 ): ProposerState {
-  if (attempt.phase !== "preparing") return attempt;
-  const promises = withMember(attempt.promises, from);
-  const latest = laterOf(attempt.latest, reply.accepted);
-  const next = { ...attempt, promises, ...(latest && { latest }) };
-  if (!isMajority(promises, attempt.members)) return next;
-  // A value that some member accepted may have been chosen, so it goes first.
+  if (state.phase !== "preparing") return state;
+  const promises = addMember(state.promises, from);
+  const latest = laterProposal(state.latest, reply.accepted);
+  const next = { ...state, promises, ...(latest && { latest }) };
+  if (!isMajority(promises, state.members)) return next;
+  // An accepted value may already have been chosen.
   return {
     ...next,
     phase: "accepting",
-    value: latest?.value ?? attempt.preferredValue,
+    value: latest?.value ?? state.preferredValue,
   };
 }
 
-function takeAcceptance(attempt: ProposerState, from: MemberId): ProposerState {
-  if (attempt.phase !== "accepting") return attempt;
-  const acceptances = withMember(attempt.acceptances, from);
-  const isChosen = isMajority(acceptances, attempt.members);
-  return { ...attempt, acceptances, phase: isChosen ? "chosen" : "accepting" };
+function applyAcceptance(
+  state: ProposerState,
+  from: MemberId,
+): ProposerState {
+  if (state.phase !== "accepting") return state;
+  const acceptances = addMember(state.acceptances, from);
+  const isChosen = isMajority(acceptances, state.members);
+  return { ...state, acceptances, phase: isChosen ? "chosen" : "accepting" };
 }
 
-/** Whether some of the members are more than half of them. */
+/** Tells whether a subset is a majority of the members. */
 export function isMajority(
   some: readonly MemberId[],
   members: readonly MemberId[],
@@ -249,14 +257,14 @@
   return some.length * 2 > members.length;
 }
 
-function withMember(
+function addMember(
   members: readonly MemberId[],
   member: MemberId,
 ): readonly MemberId[] {
   return members.includes(member) ? members : [...members, member];
 }
 
-function laterOf(
+function laterProposal(
   left: Proposal | undefined,
   right: Proposal | undefined,
 ): Proposal | undefined {
--- a/packages/coordination/src/jobReplication.ts
+++ b/packages/coordination/src/jobReplication.ts
@@ -4,45 +4,48 @@
 import { hostOfMember, type MemberId } from "./jobRegister.ts";
 import { sendMessage } from "./peerMessages.ts";
 
-const REPEAT_MS: Milliseconds = 250;
+const RESEND_MS: Milliseconds = 250;
 
-interface Copying {
+interface PendingReplication {
   readonly targets: readonly MemberId[];
-  readonly answers: Map<MemberId, boolean>;
-  readonly onAnswer: () => void;
+  readonly replies: Map<MemberId, boolean>;
+  readonly onReplies: () => void;
 }
 
-/** Places unconfirmed copies at other hosts. */
+/** Replicates jobs to other hosts as unconfirmed copies. */
 export class JobReplication {
   readonly #link: PeerLink;
   readonly #timer: Timer;
-  readonly #copying = new Map<JobId, Set<Copying>>();
+  readonly #copying = new Map<JobId, Set<PendingReplication>>();
 
   constructor({ link, timer }: { link: PeerLink; timer: Timer }) {
     this.#link = link;
     this.#timer = timer;
   }
 
-  /** The targets that hold a copy when all have answered or the time is up. */
+  /**
+   * Resolves with the targets that hold a copy, once all have replied or the
+   * time is up.
+   */
   replicateTo(
     targets: readonly MemberId[],
     { job, withinMs }: { job: Job; withinMs: Milliseconds },
   ): Promise<MemberId[]> {
     if (targets.length === 0) return Promise.resolve([]);
     return new Promise((resolve) => {
-      const answers = new Map<MemberId, boolean>();
+      const replies = new Map<MemberId, boolean>();
       const finish = (): void => {
         repeating.cancel();
         timeout.cancel();
         this.#remove(job.id, copying);
-        resolve(targets.filter((target) => answers.get(target) === true));
+        resolve(targets.filter((target) => replies.get(target) === true));
       };
-      const onAnswer = (): void => {
-        if (answers.size === targets.length) finish();
+      const onReplies = (): void => {
+        if (replies.size === targets.length) finish();
       };
-      const copying: Copying = { targets, answers, onAnswer };
+      const copying: PendingReplication = { targets, replies, onReplies };
       const repeating = this.#timer.every(
-        REPEAT_MS,
+        RESEND_MS,
         () => this.#send(job, copying),
       );
       const timeout = this.#timer.after(withinMs, finish);
@@ -51,18 +54,18 @@
     });
   }
 
-  /** Takes a host's answer. */
+  /** Handles a host's reply. */
   onReply({ id, member, isHeld }: JobCopyReply): void {
     for (const copying of this.#copying.get(id) ?? []) {
       if (!copying.targets.includes(member)) continue;
-      copying.answers.set(member, isHeld);
-      copying.onAnswer();
+      copying.replies.set(member, isHeld);
+      copying.onReplies();
     }
   }
 
-  #send(job: Job, { targets, answers }: Copying): void {
+  #send(job: Job, { targets, replies }: PendingReplication): void {
     for (const target of targets) {
-      if (answers.has(target)) continue;
+      if (replies.has(target)) continue;
       sendMessage(this.#link, JOB_COPY, {
         to: hostOfMember(target),
         body: { job },
@@ -70,13 +73,13 @@
     }
   }
 
-  #add(id: JobId, copying: Copying): void {
+  #add(id: JobId, copying: PendingReplication): void {
     const all = this.#copying.get(id) ?? new Set();
     all.add(copying);
     this.#copying.set(id, all);
   }
 
-  #remove(id: JobId, copying: Copying): void {
+  #remove(id: JobId, copying: PendingReplication): void {
     const all = this.#copying.get(id);
     all?.delete(copying);
     if (all?.size === 0) this.#copying.delete(id);
--- a/packages/coordination/src/jobStep.ts
+++ b/packages/coordination/src/jobStep.ts
@@ -9,159 +9,172 @@
 import type { JobRecord } from "./jobStore.ts";
 
 /**
- * Decides what this process does next for one job that it holds.
- *
- * Load pattern: hosts die, pause, stop and are cut off while jobs wait for
- * hours. Without it each loss would leave one copy less until the last is gone.
- * Three members survive any one loss and need one round trip to one of two
- * copies per dispatch; five would survive two at twice the memory.
+ * Number of processes that hold a job. Three survive the loss of any one and
+ * need one reply for a majority.
  */
 export const REPLICAS_PER_JOB = 3;
-/** A process that looks dead for so long is replaced. */
+/** Time after which a dead process is replaced. */
 export const DEAD_GRACE_MS: Milliseconds = 500;
-/** Each further copy waits so much longer before it takes over. */
+/** Additional wait per rank before a replica takes over. */
 export const TAKEOVER_STAGGER_MS: Milliseconds = 2_000;
-/** Copies whose other members are certainly gone end a job after so long. */
+/**
+ * Time after which a job is ended if its other members have certainly
+ * terminated.
+ */
 export const QUORUM_LOST_WAIT_MS: Milliseconds = 5_000;
-/** The same where they may only be cut off. */
+/**
+ * Time after which a job is ended if its other members may only be partitioned.
+ */
 export const QUORUM_UNREACHABLE_WAIT_MS: Milliseconds = 600_000;
 
-/** What a process does for a job. */
+/** Next step of a process for a job. */
 export type JobStep =
   | { readonly kind: "wait" }
-  /** Have this epoch follow; `fresh` members need copies first. */
+  /**
+   * Proposes a new epoch with `remaining` and `added` members; the latter
+   * receive copies first.
+   */
   | {
     readonly kind: "move";
     readonly remaining: readonly MemberId[];
     readonly added: readonly MemberId[];
-    /** Members that do not answer now but may come back with their copies. */
+    /** Unresponsive members, which may recover with their copies. */
     readonly unreachable: readonly MemberId[];
     readonly holder: "self" | "other";
-    /** Worth it also without a fresh member. */
+    /** Whether to move even if no member can be added. */
     readonly isRequired: boolean;
   }
   | { readonly kind: "end-alone"; readonly ending: "not-run" | "unknown" }
   | { readonly kind: "resume" }
-  /** Give the outcome or the answer to more hosts. */
+  /** Sends the outcome or the response to more hosts. */
   | { readonly kind: "replenish"; readonly replicas: readonly MemberId[] };
 
-/** What a decision rests on. */
+/** State that {@link nextJobStep} depends on. */
 export interface JobStepContext {
   readonly self: MemberId;
   readonly now: Milliseconds;
   readonly members: JobMembers;
-  /** This process hands over for a planned stop. */
+  /** Whether this process is handing over its jobs. */
   readonly isStopping: boolean;
 }
 
 const WAIT: JobStep = { kind: "wait" };
 
-/** The next step for a job. */
-export function nextJobStep(record: JobRecord, view: JobStepContext): JobStep {
+/** Returns the next step of this process for a job. */
+export function nextJobStep(
+  record: JobRecord,
+  context: JobStepContext,
+): JobStep {
   if (record.proposal !== undefined || record.isMoving) return WAIT;
-  if (record.outcome !== undefined) return stepWhenSettled(record, view);
-  if (record.epoch === undefined || record.answer !== undefined) return WAIT;
-  if (view.now < record.retryAt) return WAIT;
-  return stepWhenOpen(record, { epoch: record.epoch, view });
+  if (record.outcome !== undefined) return stepWhenDecided(record, context);
+  if (record.epoch === undefined || record.response !== undefined) return WAIT;
+  if (context.now < record.retryAt) return WAIT;
+  return stepWhenUndecided(record, { epoch: record.epoch, context });
 }
 
-function stepWhenOpen(
+function stepWhenUndecided(
   record: JobRecord,
-  { epoch, view }: { epoch: Epoch; view: JobStepContext },
+  { epoch, context }: { epoch: Epoch; context: JobStepContext },
 ): JobStep {
-  const answering = epoch.members.filter((member) =>
-    isAnswering(member, { record, view })
+  const responsive = epoch.members.filter((member) =>
+    isResponsive(member, { record, context })
   );
-  if (!isMajority(answering, epoch.members)) {
-    return stepWhenStranded(record, { epoch, answering, view });
+  if (!isMajority(responsive, epoch.members)) {
+    return stepWithoutQuorum(record, { epoch, responsive, context });
   }
-  const { self, members, now } = view;
+  const { self, members, now } = context;
   if (epoch.holder === self) {
-    return stepAsHolder(record, { epoch, answering, view });
+    return stepAsHolder(record, { epoch, responsive, context });
   }
-  const others = answering.filter((member) => member !== epoch.holder);
-  const patience = DEAD_GRACE_MS + others.indexOf(self) * TAKEOVER_STAGGER_MS;
-  const isHolderGone = members.deadFor(epoch.holder, now) >= patience &&
+  const others = responsive.filter((member) => member !== epoch.holder);
+  const waitMs = DEAD_GRACE_MS + others.indexOf(self) * TAKEOVER_STAGGER_MS;
+  const isHolderGone = members.deadFor(epoch.holder, now) >= waitMs &&
     members.isDead(epoch.holder);
   if (!isHolderGone) return WAIT;
-  return move(record, { epoch, staying: others, view, isRequired: true });
+  return move(record, { epoch, remaining: others, context, isRequired: true });
 }
 
 function stepAsHolder(
   record: JobRecord,
-  { epoch, answering, view }: {
+  { epoch, responsive, context }: {
     epoch: Epoch;
-    answering: readonly MemberId[];
-    view: JobStepContext;
+    responsive: readonly MemberId[];
+    context: JobStepContext;
   },
 ): JobStep {
-  const { members, now } = view;
-  const staying = answering.filter((member) => !isLeaving(member, view));
-  // The holder's own round is spent, so a fresh epoch must follow in any case.
+  const { members, now } = context;
+  const remaining = responsive.filter((member) => !isLeaving(member, context));
+  // After the holder has used round 0, only a new epoch allows it to propose
+  // without a prepare phase.
   const mustMove = record.hasUsedHolderRound ||
-    staying.length < answering.length;
-  if (mustMove) return move(record, { epoch, staying, view, isRequired: true });
+    remaining.length < responsive.length;
+  if (mustMove) {
+    return move(record, { epoch, remaining, context, isRequired: true });
+  }
   const isAnyGone = epoch.members.some((member) =>
     record.lostMembers.has(member) ||
     members.deadFor(member, now) >= DEAD_GRACE_MS
   );
   if (!isAnyGone && epoch.members.length >= REPLICAS_PER_JOB) return WAIT;
-  const step = move(record, { epoch, staying, view, isRequired: false });
-  const isHelped = step.kind === "move" && step.added.length > 0;
-  return isHelped ? step : WAIT;
+  const step = move(record, { epoch, remaining, context, isRequired: false });
+  const isImprovement = step.kind === "move" && step.added.length > 0;
+  return isImprovement ? step : WAIT;
 }
 
 function move(
   record: JobRecord,
-  { epoch, staying, view, isRequired }: {
+  { epoch, remaining, context, isRequired }: {
     epoch: Epoch;
-    staying: readonly MemberId[];
-    view: JobStepContext;
+    remaining: readonly MemberId[];
+    context: JobStepContext;
     isRequired: boolean;
   },
 ): JobStep {
-  const { self, members } = view;
-  const fresh = freshMembers(record, { staying, view });
-  const spare = epoch.members.filter((member) =>
-    !staying.includes(member) && !record.lostMembers.has(member) &&
-    !members.isReplaced(member) && !isLeaving(member, view)
+  const { self, members } = context;
+  const added = membersToAdd(record, { remaining, context });
+  const unreachable = epoch.members.filter((member) =>
+    !remaining.includes(member) && !record.lostMembers.has(member) &&
+    !members.isReplaced(member) && !isLeaving(member, context)
   );
-  if (staying.length + fresh.length < 2) return WAIT;
-  const holder = staying.includes(self) ? "self" : "other";
+  if (remaining.length + added.length < 2) return WAIT;
+  const holder = remaining.includes(self) ? "self" : "other";
   return {
     kind: "move",
-    remaining: staying,
-    added: fresh,
-    unreachable: spare,
+    remaining,
+    added,
+    unreachable,
     holder,
     isRequired,
   };
 }
 
 /**
- * Too few members answer to choose anything. What this member knows decides
- * what is true: an accepted dispatch may have been made, so it may be resumed
- * at its upstream. Of two members each is needed for every choice, so one that
- * accepted nothing knows that the job has not run. Of three, the other two may
- * have chosen without this one.
+ * Selects the step of a member that cannot reach a majority. An accepted
+ * dispatch may have been made, so it is resumed at its upstream. With two
+ * members every choice needs both, so a member that accepted nothing knows that
+ * the job has not run. With three, the other two may have chosen a value.
  */
-function stepWhenStranded(
+function stepWithoutQuorum(
   record: JobRecord,
-  { epoch, answering, view }: {
+  { epoch, responsive, context }: {
     epoch: Epoch;
-    answering: readonly MemberId[];
-    view: JobStepContext;
+    responsive: readonly MemberId[];
+    context: JobStepContext;
   },
 ): JobStep {
-  const { self, members, now } = view;
-  const missing = epoch.members.filter((member) => !answering.includes(member));
+  const { self, members, now } = context;
+  const missing = epoch.members.filter((member) =>
+    !responsive.includes(member)
+  );
   const isCertain = missing.every((member) =>
     record.lostMembers.has(member) || members.isReplaced(member)
   );
-  const patience = isCertain ? QUORUM_LOST_WAIT_MS : QUORUM_UNREACHABLE_WAIT_MS;
-  const silences = missing.filter((member) => !record.lostMembers.has(member))
+  const waitMs = isCertain ? QUORUM_LOST_WAIT_MS : QUORUM_UNREACHABLE_WAIT_MS;
+  const deadDurations = missing.filter((member) =>
+    !record.lostMembers.has(member)
+  )
     .map((member) => members.deadFor(member, now));
-  if (silences.some((silence) => silence < patience)) return WAIT;
+  if (deadDurations.some((duration) => duration < waitMs)) return WAIT;
   const accepted = record.acceptor.accepted?.value;
   const dispatch = knownDispatchOf(record);
   if (dispatch !== undefined && dispatch.by !== self) {
@@ -173,56 +186,59 @@
   return { kind: "end-alone", ending: hasNotRun ? "not-run" : "unknown" };
 }
 
-function stepWhenSettled(record: JobRecord, view: JobStepContext): JobStep {
-  const { self, members, now } = view;
-  const answering = record.replicas.filter((member) =>
-    isAnswering(member, { record, view })
+function stepWhenDecided(record: JobRecord, context: JobStepContext): JobStep {
+  const { self, members, now } = context;
+  const responsive = record.replicas.filter((member) =>
+    isResponsive(member, { record, context })
   );
   const runner = record.runner;
-  const isOpen = record.answer === undefined && runner !== undefined;
+  const isOpen = record.response === undefined && runner !== undefined;
   if (isOpen && runner !== self && members.isDead(runner)) {
-    const rank = Math.max(0, answering.indexOf(self));
-    const patience = DEAD_GRACE_MS + rank * TAKEOVER_STAGGER_MS;
-    if (members.deadFor(runner, now) >= patience) return { kind: "resume" };
+    const rank = Math.max(0, responsive.indexOf(self));
+    const waitMs = DEAD_GRACE_MS + rank * TAKEOVER_STAGGER_MS;
+    if (members.deadFor(runner, now) >= waitMs) return { kind: "resume" };
   }
-  const staying = answering.filter((member) => !isLeaving(member, view));
-  const leader = isOpen && !members.isDead(runner) ? runner : answering[0];
-  if (leader !== self || staying.length >= REPLICAS_PER_JOB) return WAIT;
-  const isSettling = record.replicas.some((member) =>
+  const remaining = responsive.filter((member) => !isLeaving(member, context));
+  const leader = isOpen && !members.isDead(runner) ? runner : responsive[0];
+  if (leader !== self || remaining.length >= REPLICAS_PER_JOB) return WAIT;
+  const isLossRecent = record.replicas.some((member) =>
     members.isDead(member) && members.deadFor(member, now) < DEAD_GRACE_MS
   );
-  if (isSettling) return WAIT;
-  const fresh = freshMembers(record, { staying, view });
-  if (fresh.length === 0) return WAIT;
-  return { kind: "replenish", replicas: [...staying, ...fresh] };
+  if (isLossRecent) return WAIT;
+  const added = membersToAdd(record, { remaining, context });
+  if (added.length === 0) return WAIT;
+  return { kind: "replenish", replicas: [...remaining, ...added] };
 }
 
-function freshMembers(
+function membersToAdd(
   record: JobRecord,
-  { staying, view }: { staying: readonly MemberId[]; view: JobStepContext },
+  { remaining, context }: {
+    remaining: readonly MemberId[];
+    context: JobStepContext;
+  },
 ): MemberId[] {
-  const { self, members, isStopping } = view;
-  const taken = new Set([...staying, ...record.lostMembers]);
+  const { self, members, isStopping } = context;
+  const taken = new Set([...remaining, ...record.lostMembers]);
   const candidates = members.availableMembers().filter((member) => {
     const id = memberIdOf(member);
     return !taken.has(id) && !(isStopping && id === self);
   });
   return chooseReplicaHosts(record.job.id, {
     candidates,
-    usedDomains: members.domainsOf(staying),
-    count: Math.max(0, REPLICAS_PER_JOB - staying.length),
+    usedDomains: members.domainsOf(remaining),
+    count: Math.max(0, REPLICAS_PER_JOB - remaining.length),
   }).map(memberIdOf);
 }
 
-function isAnswering(
+function isResponsive(
   member: MemberId,
-  { record, view }: { record: JobRecord; view: JobStepContext },
+  { record, context }: { record: JobRecord; context: JobStepContext },
 ): boolean {
-  if (member === view.self) return true;
-  return !record.lostMembers.has(member) && !view.members.isDead(member);
+  if (member === context.self) return true;
+  return !record.lostMembers.has(member) && !context.members.isDead(member);
 }
 
-function isLeaving(member: MemberId, view: JobStepContext): boolean {
-  if (member === view.self) return view.isStopping;
-  return view.members.isLeaving(member);
+function isLeaving(member: MemberId, context: JobStepContext): boolean {
+  if (member === context.self) return context.isStopping;
+  return context.members.isLeaving(member);
 }
--- a/packages/coordination/src/jobStore.ts
+++ b/packages/coordination/src/jobStore.ts
@@ -12,15 +12,15 @@
   RegisterValue,
 } from "./jobRegister.ts";
 
-/** A value that ends the choice: the job moves no more. */
+/** A chosen value that is final: the job does not move any more. */
 export type JobOutcome = Exclude<RegisterValue, { kind: "move" }>;
 
-/** How an attempt to settle a job ended. */
+/** Result of a proposal. */
 export type ProposalResult =
   | { readonly kind: "chosen"; readonly value: RegisterValue }
   | { readonly kind: "failed" };
 
-/** An attempt of this process that is under way. */
+/** A proposal in progress. */
 export interface RunningProposal {
   state: ProposerState;
   readonly startedAt: Milliseconds;
@@ -28,71 +28,71 @@
   readonly onEnd: (end: ProposalResult) => void;
 }
 
-/** One job as this process holds it. */
+/** State of one job in this process. */
 export interface JobRecord {
   job: Job;
-  /** Whether the job could be dispatched from here. */
+  /** Whether the body is available, as a dispatch needs it. */
   hasBody: boolean;
   readonly installedAt: Milliseconds;
-  /** Absent for a copy that nobody has confirmed yet; such a copy never acts. */
+  /** Absent until the copy is confirmed; an unconfirmed copy is inactive. */
   epoch?: Epoch;
   /**
-   * The epoch that this process learned of when it let go of the job earlier. It
-   * takes part in later ones only: in those before it may have promised things
-   * that it has forgotten.
+   * Last known epoch from when this process held the job before. It takes part
+   * only in later ones, since its acceptor state for earlier ones is lost.
    */
   formerEpoch?: Epoch;
-  /** What this process has promised and accepted in the epoch. */
+  /** Acceptor state of this process in the epoch. */
   acceptor: AcceptorState;
   proposal?: RunningProposal;
-  /** The holder's round 0 serves once per epoch. */
+  /** Whether the holder has used round 0 of the epoch. */
   hasUsedHolderRound: boolean;
   highestRound: number;
   retryAt: Milliseconds;
   isMoving: boolean;
-  /** Members that answer but hold no copy any more. */
+  /** Members that are alive but hold no copy. */
   readonly lostMembers: Set<MemberId>;
   outcome?: JobOutcome;
   outcomeKnownSince: Milliseconds;
-  /** Number of the epoch that settled on the outcome. */
+  /** Number of the epoch that chose the outcome. */
   outcomeEpoch?: number;
-  /** Processes that hold the job or its outcome now. */
+  /** Processes that currently hold the job or its outcome. */
   replicas: readonly MemberId[];
-  /** Who dispatches or resumes. */
+  /** Process that dispatches or resumes the job. */
   runner?: MemberId;
-  /** `recordDispatch` has given the right here; it gives it once. */
+  /**
+   * Whether `recordDispatch` has permitted the dispatch here; it does so once.
+   */
   isDispatchGranted: boolean;
-  answer?: JobResponse;
+  response?: JobResponse;
   checkedAt: Milliseconds;
 }
 
-/** What remains of a job that was here. */
+/** Marks a job that this process no longer holds. */
 interface Tombstone {
   readonly until: EpochMilliseconds;
   readonly movedTo?: Epoch;
 }
 
-/** Bounds of a {@link JobStore}. */
+/** Limits of a {@link JobStore}. */
 export interface JobStoreOptions {
   readonly maximumJobs?: number;
-  /** Bytes of bodies and answers. */
+  /** Maximum bytes of bodies and responses. */
   readonly maximumBytes?: number;
   readonly maximumTombstones?: number;
 }
 
-/** Largest clock difference between hosts that tombstones allow for. */
+/** How long tombstones outlive their jobs, to allow for clock skew. */
 export const TOMBSTONE_MARGIN_MS: Milliseconds = 600_000;
-/** Bytes that a job without body is charged with. */
+/** Bytes that a job without a body counts for. */
 const RECORD_BYTES = 1024;
 
 /**
- * The jobs of this process, bounded by count and bytes.
+ * Stores the jobs of this process, limited by count and bytes.
  *
- * A job that was here leaves a tombstone until it would have expired. Without
- * one, a copy that the network delivers again long after would make this
- * process a member with an empty memory, which could let a job that ran be
- * dispatched again. Tombstones are bounded, too: when there is no room for one
- * more, no new job is taken.
+ * A removed job leaves a tombstone until it would have expired. Without it, a
+ * copy delivered late could make this process a member without its acceptor
+ * state, and a job could be dispatched twice. If no tombstone can be stored, no
+ * new job is accepted.
  */
 export class JobStore {
   readonly #records = new Map<JobId, JobRecord>();
@@ -137,13 +137,15 @@
       this.#records.size + this.#tombstones.size < maximumTombstones;
   }
 
-  /** Whether a copy may come here: the job has not ended here before. */
+  /**
+   * Tells whether a copy may be installed: the job has not ended here before.
+   */
   canInstall(id: JobId): boolean {
     const tombstone = this.#tombstones.get(id);
     return tombstone === undefined || tombstone.movedTo !== undefined;
   }
 
-  /** Adds a job that nobody has confirmed yet. */
+  /** Adds an unconfirmed job. */
   install(
     job: Job,
     { now, hasBody = true }: { now: Milliseconds; hasBody?: boolean },
@@ -171,14 +173,14 @@
     return record;
   }
 
-  /** Drops the body, which nobody needs after a dispatch elsewhere. */
+  /** Removes the body, which is not needed after a dispatch elsewhere. */
   dropBody(record: JobRecord): void {
     this.#bytes -= record.job.body.length;
     record.job = { ...record.job, body: new Uint8Array() };
     record.hasBody = false;
   }
 
-  /** Takes the body again, for a dispatch that was recorded but not made. */
+  /** Restores the body for a dispatch that was recorded but not made. */
   restoreBody(record: JobRecord, { body }: Job): void {
     if (record.hasBody) return;
     this.#bytes += body.length;
@@ -186,12 +188,12 @@
     record.hasBody = true;
   }
 
-  setAnswer(record: JobRecord, answer: JobResponse): void {
-    this.#bytes += answer.body.length - (record.answer?.body.length ?? 0);
-    record.answer = answer;
+  setResponse(record: JobRecord, response: JobResponse): void {
+    this.#bytes += response.body.length - (record.response?.body.length ?? 0);
+    record.response = response;
   }
 
-  /** Removes a job and leaves a tombstone. */
+  /** Removes a job and stores a tombstone. */
   removeWithTombstone(id: JobId, movedTo?: Epoch): void {
     const record = this.#records.get(id);
     if (record === undefined) return;
@@ -200,7 +202,7 @@
     this.#tombstones.set(id, { until, ...(movedTo && { movedTo }) });
   }
 
-  /** Removes a copy that was never confirmed; it has promised nothing. */
+  /** Removes a copy that was never confirmed; it has no acceptor state. */
   removeUnconfirmed({ job, formerEpoch }: JobRecord): void {
     if (formerEpoch === undefined) this.#remove(job.id);
     else this.removeWithTombstone(job.id, formerEpoch);
@@ -209,7 +211,7 @@
   #remove(id: JobId): void {
     const record = this.#records.get(id);
     if (record === undefined) return;
-    this.#bytes -= bytesOf(record.job) + (record.answer?.body.length ?? 0);
+    this.#bytes -= bytesOf(record.job) + (record.response?.body.length ?? 0);
     this.#records.delete(id);
   }
 
--- a/packages/coordination/src/keyClaims.ts
+++ b/packages/coordination/src/keyClaims.ts
@@ -11,15 +11,15 @@
   UpstreamId,
 } from "@wasabivane/common";
 
-/** A process that asks for a key or owns one. */
+/** Identifies a process that claims or owns a key. */
 export interface Claimant {
   readonly host: HostId;
   readonly incarnation: Incarnation;
-  /** The request that claims, by which others find it there. */
+  /** Request that claims the key; other hosts use it to find the response. */
   readonly request: RequestId;
 }
 
-/** Asks the home of a key for the right to dispatch its request. */
+/** Claims the right to dispatch the request of a key. */
 export interface Claim {
   readonly account: ClientAccountId;
   readonly key: IdempotencyKey;
@@ -27,47 +27,47 @@
   readonly lifetimeMs: Milliseconds;
   readonly bodyDigest: Digest;
   readonly isIdempotent: boolean;
-  /** How long ago the request can have reached its entry host at most. */
+  /** Upper bound on the time since the request reached its entry host. */
   readonly ageMs?: Milliseconds | undefined;
-  /** Names this claim, so that a doubled message is told from a second one. */
+  /** Identifies this claim, so that duplicate messages are recognized. */
   readonly claimId: string;
   readonly claimant: Claimant;
 }
 
-/** The dispatch of a key's request. */
+/** Identifies the dispatch of a key's request. */
 export interface Dispatch {
   readonly upstream: UpstreamId;
   readonly nonce: Nonce;
 }
 
-/** Why nobody can say whether a key's request ran. */
+/** Why it cannot be determined whether a key's request ran. */
 export type UnknownReason =
-  /** Issued before the home's tenure; a caller that knows it never sent it may take a new key. */
+  /** Issued before the home's tenure, so a former home may have granted it. */
   | "older-than-tenure"
-  /** The owner died, perhaps right after a dispatch that nobody heard of. */
+  /** The owner died and may have dispatched the request. */
   | "owner-lost"
-  /** The home did not answer in time. */
+  /** The home did not reply in time. */
   | "unreachable"
-  /** The home holds no majority of leases. */
+  /** The home has no leases from a majority. */
   | "home-inactive"
-  /** The ticket's incarnation is gone. */
+  /** The process that issued the ticket has ended. */
   | "home-restarted"
-  /** The key is older than its lifetime; what was known of it is forgotten. */
+  /** The key is past its lifetime and its state has been deleted. */
   | "expired"
-  /** A ticket that this host cannot authenticate. */
+  /** This host cannot authenticate the ticket. */
   | "unauthenticated";
 
-/** Why no host ever took or takes the key. */
+/** Why a key's request has not run and will not run. */
 export type NotRunReason =
   | "malformed"
   | "issued-in-future"
   | "full"
-  /** Its owner gave it back a moment ago; nobody is granted it yet. */
+  /** Released recently; not granted again until the grace period ends. */
   | "released";
 
-/** What a home says to a {@link Claim}. */
+/** Reply of a home to a {@link Claim}. */
 export type ClaimReply =
-  /** The claimant owns the key; nobody else is told so until it is released. */
+  /** The claimant owns the key exclusively until it releases it. */
   | { readonly kind: "granted"; readonly attempt: number }
   | {
     readonly kind: "owned-by";
@@ -75,9 +75,12 @@
     readonly state: "waiting" | "dispatched" | "finished";
     readonly dispatch?: Dispatch | undefined;
   }
-  /** The owner is gone; its dispatch may be resumed, which is no second one. */
+  /**
+   * The owner has terminated; its dispatch may be resumed, which does not run
+   * the request again.
+   */
   | { readonly kind: "resume-at"; readonly dispatch: Dispatch }
-  /** The key was used with another body. */
+  /** The key was used with a different body. */
   | { readonly kind: "mismatch" }
   | { readonly kind: "unknown"; readonly reason: UnknownReason }
   | { readonly kind: "not-run"; readonly reason: NotRunReason };
--- a/packages/coordination/src/keyHomeController.ts
+++ b/packages/coordination/src/keyHomeController.ts
@@ -26,10 +26,13 @@
 import { type ActiveView, homeOf, tenureStartOf } from "./views.ts";
 
 const EXPIRY_PERIOD_MS: Milliseconds = 10_000;
-/** More starts than a host has tenures at once; all are worked out again after that. */
-const MAX_WALL_STARTS = 64;
+/**
+ * Maximum number of cached tenure starts; exceeds the number of tenures at one
+ * time.
+ */
+const MAX_CACHED_STARTS = 64;
 
-/** What key controllers need from their process. */
+/** Dependencies of the key controllers. */
 export interface KeyControllerOptions {
   readonly host: HostId;
   readonly incarnation: Incarnation;
@@ -38,27 +41,29 @@
   readonly timer: Timer;
   readonly metrics: Metrics;
   readonly views: ViewController;
-  /** Secrets that authenticate tickets, the one to mint with first. */
+  /** Secrets that authenticate tickets; the first one signs new tickets. */
   readonly secrets: () => readonly string[];
 }
 
-/** Decides claims of the keys whose home this host is, and of its own tickets. */
+/**
+ * Decides claims of keys whose home is this host, and of tickets issued by this
+ * process.
+ */
 export class KeyHomeController extends Controller {
   readonly #options: KeyControllerOptions;
-  readonly #home: KeyTable;
+  readonly #table: KeyTable;
   readonly #subscriptions: (() => void)[] = [];
   /**
-   * Wall-clock starts of tenures. Worked out anew at each claim, a start moved
-   * by up to a millisecond with the two clocks, and of two accounts' equal keys
-   * right at the border one was granted and one was not.
+   * Maps the monotonic start of a tenure to its wall-clock start. Recalculating
+   * it could shift the result by a millisecond between claims.
    */
   readonly #wallStarts = new Map<Milliseconds, EpochMilliseconds>();
   #expiry: TimerSubscription | undefined;
 
-  constructor(options: KeyControllerOptions, home: KeyTable = new KeyTable()) {
+  constructor(options: KeyControllerOptions, table: KeyTable = new KeyTable()) {
     super();
     this.#options = options;
-    this.#home = home;
+    this.#table = table;
   }
 
   override start(): void {
@@ -68,14 +73,14 @@
         this.#onClaim(from, claim);
       }),
       subscribeMessage(link, KEY_UPDATE, (from, update) => {
-        const isReleased = this.update(update);
+        const isReleased = this.applyUpdate(update);
         const { claimId, sequence } = update;
         const body = { claimId, sequence, isReleased };
         sendMessage(link, KEY_UPDATE_ACK, { to: from, body });
       }),
     );
     this.#expiry = timer.every(EXPIRY_PERIOD_MS, () => {
-      this.#home.expire(timer.wallNow());
+      this.#table.expire(timer.wallNow());
     });
   }
 
@@ -84,40 +89,40 @@
     this.#expiry?.cancel();
   }
 
-  /** Decides a claim as home; the home's own requests call it directly. */
+  /** Decides a claim. Requests of the home itself call it directly. */
   claim(claim: Claim): ClaimReply {
     const { account, key } = claim;
     const parsed = parseKey(key, { account, secrets: this.#options.secrets() });
     if (parsed.isErr()) return { kind: "unknown", reason: "unauthenticated" };
-    const answer = parsed.value.kind === "ticket"
+    const reply = parsed.value.kind === "ticket"
       ? this.#claimTicket(claim, parsed.value)
-      : this.#claimBare(claim, parsed.value);
+      : this.#claimBareKey(claim, parsed.value);
     this.#options.metrics.count("key_claims", 1, {
       key: parsed.value.kind,
-      answer: answer.kind,
+      answer: reply.kind,
     });
-    return answer;
+    return reply;
   }
 
   /**
-   * Takes what became of a granted claim; true when the key is given back and
-   * nobody else was or is granted it. A home that lost its leases cannot say so:
-   * another one may have granted the key meanwhile.
+   * Applies an update of a granted claim; true if the key is released and not
+   * granted to anyone else. An inactive home returns false, since another home
+   * may have granted the key.
    */
-  update(update: KeyUpdate): boolean {
-    if (this.#home.advanceSequence(update)) this.#apply(update);
-    return this.#home.isReleasedBy(update) && this.#isHomeOf(update);
+  applyUpdate(update: KeyUpdate): boolean {
+    if (this.#table.advanceSequence(update)) this.#updateTable(update);
+    return this.#table.isReleasedBy(update) && this.#isHomeOf(update);
   }
 
-  #apply(update: KeyUpdate): void {
+  #updateTable(update: KeyUpdate): void {
     const { state, dispatch } = update;
     if (state === "released") {
-      this.#home.release(update, this.#options.timer.wallNow());
+      this.#table.release(update, this.#options.timer.wallNow());
     }
-    if (state === "refused") this.#home.markRefused(update);
+    if (state === "refused") this.#table.markRefused(update);
     if (dispatch === undefined) return;
-    if (state === "dispatched") this.#home.markDispatched(update, dispatch);
-    if (state === "finished") this.#home.markFinished(update, dispatch);
+    if (state === "dispatched") this.#table.markDispatched(update, dispatch);
+    if (state === "finished") this.#table.markFinished(update, dispatch);
   }
 
   #isHomeOf({ account, key }: KeyUpdate): boolean {
@@ -139,18 +144,18 @@
     const { host, incarnation } = this.#options;
     const isOwn = ticket.host === host && ticket.incarnation === incarnation;
     if (!isOwn) return { kind: "unknown", reason: "home-restarted" };
-    const checked = { ...claim, issuedAt: ticket.issuedAt };
-    return this.#home.claim(checked, this.#context(-Infinity));
+    const validated = { ...claim, issuedAt: ticket.issuedAt };
+    return this.#table.claim(validated, this.#context(-Infinity));
   }
 
-  #claimBare(claim: Claim, key: BareKey): ClaimReply {
+  #claimBareKey(claim: Claim, key: BareKey): ClaimReply {
     const activity = this.#options.views.activeView();
     const isHome = activity !== undefined &&
       homeOf(claim.key, activity.view) === this.#options.host;
     if (!isHome) return { kind: "unknown", reason: "home-inactive" };
-    const checked = { ...claim, issuedAt: key.issuedAt };
+    const validated = { ...claim, issuedAt: key.issuedAt };
     const tenureStartedAt = this.#tenureStart(claim.key, activity);
-    return this.#home.claim(checked, this.#context(tenureStartedAt));
+    return this.#table.claim(validated, this.#context(tenureStartedAt));
   }
 
   #tenureStart(key: string, { tenures }: ActiveView): EpochMilliseconds {
@@ -159,7 +164,7 @@
     const known = this.#wallStarts.get(startedAt);
     if (known !== undefined) return known;
     const wallStart = timer.wallNow() - views.elapsedSince(startedAt);
-    if (this.#wallStarts.size >= MAX_WALL_STARTS) this.#wallStarts.clear();
+    if (this.#wallStarts.size >= MAX_CACHED_STARTS) this.#wallStarts.clear();
     this.#wallStarts.set(startedAt, wallStart);
     return wallStart;
   }
@@ -168,11 +173,12 @@
     return {
       wallNow: this.#options.timer.wallNow(),
       tenureStartedAt,
-      isTerminated: (host, incarnation) => this.#isGone(host, incarnation),
+      isTerminated: (host, incarnation) =>
+        this.#isTerminated(host, incarnation),
     };
   }
 
-  #isGone(host: HostId, incarnation: Incarnation): boolean {
+  #isTerminated(host: HostId, incarnation: Incarnation): boolean {
     const members = this.#options.blackboard.read(MEMBERS);
     const member = members.find((candidate) => candidate.host === host);
     if (member === undefined || member.state === "dead") return true;
--- a/packages/coordination/src/keyMessages.ts
+++ b/packages/coordination/src/keyMessages.ts
@@ -28,13 +28,15 @@
 } from "./messageShapes.ts";
 import { defineMessage, type MessageKind } from "./peerMessages.ts";
 
-/** Tells the home what became of a granted claim; repeated until acknowledged. */
+/**
+ * Reports the state of a granted claim to the home; resent until acknowledged.
+ */
 export interface KeyUpdate {
   readonly account: ClientAccountId;
   readonly key: IdempotencyKey;
   readonly claimId: string;
   readonly state: "dispatched" | "refused" | "finished" | "released";
-  /** Orders the updates of one claim; repeated and late ones are known by it. */
+  /** Orders the updates of one claim and identifies duplicates. */
   readonly sequence: number;
   readonly dispatch?: Dispatch | undefined;
 }
@@ -49,7 +51,7 @@
 export interface KeyUpdateAck {
   readonly claimId: string;
   readonly sequence: number;
-  /** Whether the key is given back and granted to nobody else. */
+  /** Whether the key is released and has not been granted to anyone else. */
   readonly isReleased?: boolean | undefined;
 }
 
@@ -62,7 +64,7 @@
   upstream: textOf<UpstreamId>(),
   nonce: textOf<Nonce>(),
 });
-const answerShape: Shape<ClaimReply> = anyOf<ClaimReply>(
+const replyShape: Shape<ClaimReply> = anyOf<ClaimReply>(
   objectOf({ kind: oneOf("granted"), attempt: numberOf<number>() }),
   objectOf({
     kind: oneOf("owned-by"),
@@ -99,7 +101,7 @@
   KeyClaimReply
 >(
   "key-answer",
-  objectOf({ claimId: textOf<string>(), answer: answerShape }),
+  objectOf({ claimId: textOf<string>(), answer: replyShape }),
 );
 const updateState = oneOf<KeyUpdate["state"]>(
   "dispatched",
