--- a/packages/coordination/src/keyService.ts
+++ b/packages/coordination/src/keyService.ts
@@ -35,78 +35,86 @@
 import { sendMessage, subscribeMessage } from "./peerMessages.ts";
 import { homeOf } from "./views.ts";
 
-/** How long a claim is tried for; a home that lost its leases has them again within this, or something is wrong. */
+/**
+ * Time limit for a claim; longer than a home usually needs to renew its leases.
+ */
 export const CLAIM_TIMEOUT_MS: Milliseconds = 3_000;
 const CLAIM_RETRY_MS: Milliseconds = 200;
-/** How long an owner waits for its home before it says "unknown" in place of "not run". */
+/** Time limit for the confirmation of a release. */
 const CONFIRM_TIMEOUT_MS: Milliseconds = 1_000;
 const UPDATE_RETRY_MS: Milliseconds = 300;
-/** Tries of an update; an owner that cannot reach the home for so long leaves the key unknown there. */
-const UPDATE_TRIES = 40;
-const PURGE_PERIOD_MS: Milliseconds = 10_000;
+/**
+ * Maximum number of sends per update; the home then keeps the key's last known
+ * state.
+ */
+const MAX_UPDATE_SENDS = 40;
+const EXPIRY_PERIOD_MS: Milliseconds = 10_000;
 const CLAIM_ID_BYTES = 12;
 
-/** A request that wants to own its key. */
+/** Request that claims its key. */
 export interface ClaimRequest {
   readonly account: ClientAccountId;
   readonly key: IdempotencyKey;
   readonly request: RequestId;
   readonly bodyDigest: Digest;
   readonly isIdempotent: boolean;
-  /** How long ago the request can have come in at most; a paused process reads old ones. */
+  /**
+   * Upper bound on the time since the request arrived, for a process that reads
+   * it after a pause.
+   */
   readonly ageMs?: Milliseconds;
-  /** How long resends are known; {@link KEY_LIFETIME_MS} unless it is a job. */
+  /** How long resends are recognized; defaults to {@link KEY_LIFETIME_MS}. */
   readonly lifetimeMs?: Milliseconds;
   readonly timeoutMs?: Milliseconds;
 }
 
-/** A key that this process owns: it may dispatch once. */
+/** Key owned by this process, which allows one dispatch. */
 export interface OwnedKey {
   readonly account: ClientAccountId;
   readonly key: IdempotencyKey;
   readonly claimId: string;
   readonly home: HostId;
-  /** Above 1 when a caller sent an idempotent request again after "unknown". */
+  /** Greater than 1 if an idempotent request was sent again after "unknown". */
   readonly attempt: number;
   readonly expiresAt: EpochMilliseconds;
 }
 
-/** What a claim ended with. */
+/** Outcome of a claim. */
 export type ClaimOutcome =
   | { readonly kind: "granted"; readonly owned: OwnedKey }
   | Exclude<ClaimReply, { kind: "granted" }>;
 
-interface Waiter {
+interface PendingClaim {
   readonly resolve: (outcome: ClaimOutcome) => void;
-  /** What to say when time runs out. */
+  /** Outcome if the claim times out. */
   fallback: ClaimOutcome;
   timers: TimerSubscription[];
 }
 
-/** An update that its home has not acknowledged. */
+/** Update not yet acknowledged by its home. */
 interface PendingUpdate {
   readonly repeating: TimerSubscription;
-  readonly onTaken: (isReleased: boolean) => void;
+  readonly onAck: (isReleased: boolean) => void;
 }
 
-/** What a {@link KeyService} needs from its process. */
+/** Dependencies of a {@link KeyService}. */
 export interface KeyServiceOptions extends KeyControllerOptions {
   readonly random: Random;
   readonly homeController?: KeyHomeController;
 }
 
 /**
- * The owner's side of idempotency keys: claims a key at its home before the
- * request queues, and tells the home what became of it.
+ * Claims idempotency keys at their homes before requests are queued, and
+ * reports the state of the owned ones.
  */
 export class KeyService extends Controller {
   readonly #options: KeyServiceOptions;
   readonly #home: KeyHomeController;
-  readonly #owner = new ClaimTable();
-  readonly #waiters = new Map<string, Waiter>();
+  readonly #claimTable = new ClaimTable();
+  readonly #pendingClaims = new Map<string, PendingClaim>();
   readonly #updates = new Map<string, PendingUpdate>();
   readonly #subscriptions: (() => void)[] = [];
-  #purging: TimerSubscription | undefined;
+  #expiry: TimerSubscription | undefined;
 
   constructor(options: KeyServiceOptions) {
     super();
@@ -119,14 +127,14 @@
     this.#home.start();
     this.#subscriptions.push(
       subscribeMessage(link, KEY_CLAIM_REPLY, (from, { claimId, answer }) => {
-        this.#onAnswer(claimId, answer, { from });
+        this.#onReply(claimId, answer, { from });
       }),
-      subscribeMessage(link, KEY_UPDATE_ACK, (_from, taken) => {
-        this.#endUpdate(updateKey(taken), taken.isReleased === true);
+      subscribeMessage(link, KEY_UPDATE_ACK, (_from, ack) => {
+        this.#endUpdate(updateKeyOf(ack), ack.isReleased === true);
       }),
     );
-    this.#purging = timer.every(PURGE_PERIOD_MS, () => {
-      this.#owner.removeExpired(timer.wallNow());
+    this.#expiry = timer.every(EXPIRY_PERIOD_MS, () => {
+      this.#claimTable.removeExpired(timer.wallNow());
     });
   }
 
@@ -134,10 +142,13 @@
     this.#home.stop();
     for (const unsubscribe of this.#subscriptions.splice(0)) unsubscribe();
     for (const { repeating } of this.#updates.values()) repeating.cancel();
-    this.#purging?.cancel();
+    this.#expiry?.cancel();
   }
 
-  /** A key for a caller that sends its request again if it must; only this process decides about it. */
+  /**
+   * Issues a ticket: a key that a caller can use to resend a request and that
+   * only this process decides about.
+   */
   mintTicket(account: ClientAccountId): IdempotencyKey {
     const { host, incarnation, random, timer, secrets } = this.#options;
     return mintTicket({
@@ -150,7 +161,7 @@
     });
   }
 
-  /** Claims a key; resolves within the timeout. */
+  /** Claims a key. Resolves within the timeout. */
   claim(request: ClaimRequest): Promise<ClaimOutcome> {
     const { account } = request;
     const key = canonicalKey(request.key);
@@ -163,7 +174,7 @@
           : { kind: "unknown", reason: "unauthenticated" },
       );
     }
-    if (this.#isTooEarly(parsed.value)) {
+    if (this.#isIssuedInFuture(parsed.value)) {
       return Promise.resolve({ kind: "not-run", reason: "issued-in-future" });
     }
     const home = this.#homeOf(key, parsed.value);
@@ -171,45 +182,47 @@
       return Promise.resolve({ kind: "unknown", reason: "home-inactive" });
     }
     const claim = this.#createClaim({ ...request, key }, parsed.value);
-    return this.#pursue(claim, { home, timeoutMs: request.timeoutMs });
+    return this.#claimAt(claim, { home, timeoutMs: request.timeoutMs });
   }
 
   /**
-   * Call right before the first byte is written, and write only if it says so.
-   * It says so once per grant, not after a release, and not after the key's
-   * lifetime: a process that slept since the grant must not write.
+   * Uses up the grant, right before the first byte is written; returns whether
+   * writing is allowed. It is allowed once per grant, until the key is released
+   * or expires.
    */
   markDispatched(owned: OwnedKey, dispatch: Dispatch): boolean {
     const now = this.#options.timer.wallNow();
-    if (!this.#owner.consumeGrant(owned.claimId, now)) return false;
+    if (!this.#claimTable.consumeGrant(owned.claimId, now)) return false;
     void this.#update(owned, { state: "dispatched", dispatch });
     return true;
   }
 
-  /** The upstream refused the connection: no byte has left, so the right to dispatch is back. */
+  /** Restores the grant after the upstream refused the connection. */
   markRefused(owned: OwnedKey): void {
-    if (!this.#owner.restoreGrant(owned.claimId)) return;
+    if (!this.#claimTable.restoreGrant(owned.claimId)) return;
     void this.#update(owned, { state: "refused" });
   }
 
-  /** The whole answer is here. */
+  /** Reports that the complete response has arrived. */
   markFinished(owned: OwnedKey, dispatch: Dispatch): void {
     void this.#update(owned, { state: "finished", dispatch });
   }
 
   /**
-   * Gives a key back of which no byte was written. Resolves with true when the
-   * home has it and granted it to nobody else: only then "not run" is true. An
-   * owner that was paused or cut off may have been taken for dead meanwhile, and
-   * its key granted anew.
+   * Releases a key of which no byte was written. Resolves with true if the home
+   * confirms that the key was not granted to anyone else; only then may the
+   * caller be told "not run".
    */
   release(owned: OwnedKey): Promise<boolean> {
-    if (!this.#owner.release(owned.claimId)) return Promise.resolve(false);
+    if (!this.#claimTable.release(owned.claimId)) return Promise.resolve(false);
     return this.#update(owned, { state: "released" });
   }
 
-  /** Every host refuses such a key, however its clock stands, so that it never ran. */
-  #isTooEarly({ issuedAt }: ParsedKey): boolean {
+  /**
+   * Tells whether the key's creation time is ahead of every host's clock, so
+   * that no host accepts it.
+   */
+  #isIssuedInFuture({ issuedAt }: ParsedKey): boolean {
     const bound = MAX_CALLER_CLOCK_SKEW_MS + 2 * MAX_HOST_CLOCK_SKEW_MS;
     return issuedAt > this.#options.timer.wallNow() + bound;
   }
@@ -235,7 +248,7 @@
     };
   }
 
-  #pursue(
+  #claimAt(
     claim: Claim,
     { home, timeoutMs = CLAIM_TIMEOUT_MS }: {
       home: HostId;
@@ -244,115 +257,120 @@
   ): Promise<ClaimOutcome> {
     const { timer } = this.#options;
     const { claimId } = claim;
-    this.#owner.add(claim, home);
+    this.#claimTable.add(claim, home);
     return new Promise((resolve) => {
       const fallback = { kind: "unknown", reason: "unreachable" } as const;
-      const waiter: Waiter = { resolve, fallback, timers: [] };
-      this.#waiters.set(claimId, waiter);
-      waiter.timers.push(
-        timer.every(CLAIM_RETRY_MS, () => this.#ask(claim, home)),
+      const pending: PendingClaim = { resolve, fallback, timers: [] };
+      this.#pendingClaims.set(claimId, pending);
+      pending.timers.push(
+        timer.every(CLAIM_RETRY_MS, () => this.#sendClaim(claim, home)),
         timer.after(timeoutMs, () => {
-          this.#owner.abandon(claimId);
-          this.#settle(claimId, waiter.fallback);
+          this.#claimTable.abandon(claimId);
+          this.#resolveClaim(claimId, pending.fallback);
         }),
       );
-      this.#ask(claim, home);
+      this.#sendClaim(claim, home);
     });
   }
 
-  #ask(claim: Claim, home: HostId): void {
+  #sendClaim(claim: Claim, home: HostId): void {
     const { host, link } = this.#options;
     if (home === host) {
-      this.#onAnswer(claim.claimId, this.#home.claim(claim), { from: host });
+      this.#onReply(claim.claimId, this.#home.claim(claim), { from: host });
     } else {
       sendMessage(link, KEY_CLAIM, { to: home, body: claim });
     }
   }
 
-  #onAnswer(
+  #onReply(
     claimId: string,
-    answer: ClaimReply,
+    reply: ClaimReply,
     { from }: { from: HostId },
   ): void {
-    const action = this.#owner.applyReply(claimId, answer, { from });
-    const own = this.#owner.claims.get(claimId);
+    const action = this.#claimTable.applyReply(claimId, reply, { from });
+    const own = this.#claimTable.claims.get(claimId);
     if (action === "settle") {
-      this.#settle(claimId, toOutcome(own!, answer));
+      this.#resolveClaim(claimId, outcomeOf(own!, reply));
     }
-    if (action === "give-back" && answer.kind === "granted") {
-      void this.#update(ownedKey(own!, answer.attempt), { state: "released" });
+    if (action === "give-back" && reply.kind === "granted") {
+      void this.#update(createOwnedKey(own!, reply.attempt), {
+        state: "released",
+      });
     }
-    const waiter = this.#waiters.get(claimId);
-    if (action === "retry" && answer.kind === "unknown") {
-      waiter!.fallback = answer;
+    const pending = this.#pendingClaims.get(claimId);
+    if (action === "retry" && reply.kind === "unknown") {
+      pending!.fallback = reply;
     }
   }
 
-  #settle(claimId: string, outcome: ClaimOutcome): void {
-    const waiter = this.#waiters.get(claimId);
-    if (waiter === undefined) return;
-    this.#waiters.delete(claimId);
-    for (const timer of waiter.timers) timer.cancel();
+  #resolveClaim(claimId: string, outcome: ClaimOutcome): void {
+    const pending = this.#pendingClaims.get(claimId);
+    if (pending === undefined) return;
+    this.#pendingClaims.delete(claimId);
+    for (const timer of pending.timers) timer.cancel();
     this.#options.metrics.count("key_outcomes", 1, { kind: outcome.kind });
-    waiter.resolve(outcome);
+    pending.resolve(outcome);
   }
 
-  /** Resolves with whether the home has the key back; false when it does not answer in time. */
+  /**
+   * Sends an update and resolves with whether the home confirmed a release;
+   * false on timeout.
+   */
   #update(
     owned: OwnedKey,
     change: Pick<KeyUpdate, "state" | "dispatch">,
   ): Promise<boolean> {
     const { host, timer } = this.#options;
     const { account, key, claimId, home } = owned;
-    const sequence = this.#owner.nextSequence(claimId);
+    const sequence = this.#claimTable.nextSequence(claimId);
     const update: KeyUpdate = { account, key, claimId, sequence, ...change };
-    if (home === host) return Promise.resolve(this.#home.update(update));
+    if (home === host) return Promise.resolve(this.#home.applyUpdate(update));
     return new Promise((resolve) => {
       timer.after(CONFIRM_TIMEOUT_MS, () => resolve(false));
-      this.#sendUntilTaken(update, { home, onTaken: resolve });
+      this.#sendUntilAcked(update, { home, onAck: resolve });
     });
   }
 
-  #sendUntilTaken(
+  #sendUntilAcked(
     update: KeyUpdate,
-    { home, onTaken }: {
+    { home, onAck }: {
       home: HostId;
-      onTaken: (isReleased: boolean) => void;
+      onAck: (isReleased: boolean) => void;
     },
   ): void {
     const { timer, link } = this.#options;
-    const name = updateKey(update);
-    let tries = 0;
+    const updateKey = updateKeyOf(update);
+    let sends = 0;
     const send = (): void => {
       sendMessage(link, KEY_UPDATE, { to: home, body: update });
-      tries++;
-      if (tries === UPDATE_TRIES) this.#endUpdate(name, false);
+      sends++;
+      if (sends === MAX_UPDATE_SENDS) this.#endUpdate(updateKey, false);
     };
     const repeating = timer.every(UPDATE_RETRY_MS, send);
-    this.#updates.set(name, { repeating, onTaken });
+    this.#updates.set(updateKey, { repeating, onAck });
     send();
   }
 
-  #endUpdate(name: string, isReleased: boolean): void {
-    const update = this.#updates.get(name);
+  #endUpdate(updateKey: string, isReleased: boolean): void {
+    const update = this.#updates.get(updateKey);
     update?.repeating.cancel();
-    update?.onTaken(isReleased);
-    this.#updates.delete(name);
+    update?.onAck(isReleased);
+    this.#updates.delete(updateKey);
   }
 }
 
-function toOutcome(own: OwnClaim, answer: ClaimReply): ClaimOutcome {
-  if (answer.kind !== "granted") return answer;
-  return { kind: "granted", owned: ownedKey(own, answer.attempt) };
+function outcomeOf(own: OwnClaim, reply: ClaimReply): ClaimOutcome {
+  if (reply.kind !== "granted") return reply;
+  return { kind: "granted", owned: createOwnedKey(own, reply.attempt) };
 }
 
-function ownedKey({ claim, home }: OwnClaim, attempt: number): OwnedKey {
+function createOwnedKey({ claim, home }: OwnClaim, attempt: number): OwnedKey {
   const { account, key, claimId } = claim;
   const expiresAt = expiryOf(claim);
   return { account, key, claimId, home, attempt, expiresAt };
 }
 
-function updateKey(
+function updateKeyOf(
   { claimId, sequence }: Pick<KeyUpdate, "claimId" | "sequence">,
 ): string {
   return `${claimId} ${sequence}`;
--- a/packages/coordination/src/keyTable.ts
+++ b/packages/coordination/src/keyTable.ts
@@ -13,21 +13,23 @@
 } from "./idempotencyKeys.ts";
 import type { Claim, Claimant, ClaimReply, Dispatch } from "./keyClaims.ts";
 
-/** Keys that one home holds; a full table refuses new ones. */
+/** Maximum number of keys that a home holds; further ones are refused. */
 export const MAX_HELD_KEYS = 200_000;
-/** How long after the start of a tenure keys must be issued: no former home took them, whatever the clocks. */
+/**
+ * Minimum time between the start of a tenure and a key's creation; covers clock
+ * skew, so that no former home can have granted the key.
+ */
 export const TENURE_MARGIN_MS = MAX_CALLER_CLOCK_SKEW_MS +
   2 * MAX_HOST_CLOCK_SKEW_MS;
 
 /**
- * How long a key that was given back is granted to nobody. Its caller has been
- * told "not run". A resend that was on its way then, and was granted the key
- * afterwards, would make that false; after this time every claim of before has
- * been given up by its claimant.
+ * How long a released key is not granted again. It exceeds the time in which
+ * claims sent before the release time out, so that the caller's "not run" stays
+ * true.
  */
 export const RELEASE_GRACE_MS: Milliseconds = 4_000;
 
-/** What a home knows of one key. */
+/** State of one key at its home. */
 export interface KeyRecord {
   readonly bodyDigest: string;
   readonly expiresAt: EpochMilliseconds;
@@ -36,21 +38,21 @@
   attempt: number;
   state: "waiting" | "dispatched" | "finished" | "released" | "unknown";
   dispatch: Dispatch | undefined;
-  /** Sequence of the newest update of the owner. */
+  /** Sequence of the owner's newest update. */
   lastSequence: number;
-  /** When its last owner gave it back. */
+  /** When the last owner released the key. */
   releasedAt: EpochMilliseconds;
 }
 
-/** A home's circumstances at the moment of a claim. */
+/** State of the home at the time of a claim. */
 export interface ClaimContext {
   readonly wallNow: EpochMilliseconds;
-  /** Since when this home alone decides about the key, on its wall clock. */
+  /** Start of the home's tenure for the key, on its wall clock. */
   readonly tenureStartedAt: EpochMilliseconds;
   readonly isTerminated: (host: HostId, incarnation: Incarnation) => boolean;
 }
 
-/** Names the owner's claim whose state changed. */
+/** Identifies a claim and the sequence of an update about it. */
 export interface ClaimReference {
   readonly account: ClientAccountId;
   readonly key: IdempotencyKey;
@@ -58,10 +60,13 @@
   readonly sequence: number;
 }
 
-/** Bounds of a {@link KeyTable}. */
+/** Limits and initial records of a {@link KeyTable}. */
 export interface KeyTableOptions {
   readonly maximum?: number;
-  /** Least time that a key is held; also how old a key may be that it takes anew. */
+  /**
+   * Minimum time that a key is held, and maximum age of a key that is new to
+   * the table.
+   */
   readonly lifetimeMs?: Milliseconds;
   readonly tenureMarginMs?: Milliseconds;
   readonly releaseGraceMs?: Milliseconds;
@@ -69,8 +74,8 @@
 }
 
 /**
- * The table of a key's home. It grants each key to one owner: who may dispatch
- * is decided here and nowhere else, as long as this home alone is active.
+ * Decides at a key's home which claim owns the key. At most one owner may
+ * dispatch, as long as only this home is active.
  */
 export class KeyTable {
   readonly records: Map<string, KeyRecord>;
@@ -95,15 +100,15 @@
     this.records = records;
   }
 
-  /** Decides a claim; the caller of this has checked that the home is active. */
+  /** Decides a claim. The home must be active. */
   claim(claim: Claim, context: ClaimContext): ClaimReply {
-    const record = this.records.get(recordKey(claim));
-    if (record === undefined) return this.#claimUnheard(claim, context);
+    const record = this.records.get(recordKeyOf(claim));
+    if (record === undefined) return this.#claimUnknownKey(claim, context);
     if (record.bodyDigest !== claim.bodyDigest) return { kind: "mismatch" };
-    return this.#claimHeld(claim, { record, context });
+    return this.#claimKnownKey(claim, { record, context });
   }
 
-  /** Notes an update's sequence; false for one that was overtaken by a newer one. */
+  /** Records an update's sequence; false for an outdated update. */
   advanceSequence(update: ClaimReference): boolean {
     const record = this.#find(update);
     if (record === undefined || update.sequence <= record.lastSequence) {
@@ -113,7 +118,10 @@
     return true;
   }
 
-  /** The upstream refused the connection: no byte left, the owner may try another. */
+  /**
+   * Records that the upstream refused the connection, so the owner may try
+   * another one.
+   */
   markRefused(update: ClaimReference): void {
     const record = this.#find(update);
     if (record?.state !== "dispatched") return;
@@ -121,7 +129,7 @@
     record.dispatch = undefined;
   }
 
-  /** The owner is about to write to an upstream. */
+  /** Records that the owner is about to write to an upstream. */
   markDispatched(update: ClaimReference, dispatch: Dispatch): void {
     const record = this.#find(update);
     if (record === undefined || record.state === "finished") return;
@@ -129,7 +137,7 @@
     record.dispatch = dispatch;
   }
 
-  /** The owner has the whole answer. */
+  /** Records that the owner has received the complete response. */
   markFinished(update: ClaimReference, dispatch: Dispatch): void {
     const record = this.#find(update);
     if (record === undefined) return;
@@ -138,8 +146,8 @@
   }
 
   /**
-   * The owner gave up without having written a byte, and never will under this
-   * claim. Where a caller was told "unknown" meanwhile, that stays the answer.
+   * Releases a key whose owner has not written a byte and will not. A key that
+   * was reported as unknown stays unknown.
    */
   release(update: ClaimReference, wallNow: EpochMilliseconds): void {
     const record = this.#find(update);
@@ -150,12 +158,14 @@
     record.releasedAt = wallNow;
   }
 
-  /** Whether the key was given back under this claim and nobody was granted it since. */
+  /**
+   * Tells whether the key was released under this claim and not granted since.
+   */
   isReleasedBy(update: ClaimReference): boolean {
     return this.#find(update)?.state === "released";
   }
 
-  /** Forgets keys that no host takes any more. */
+  /** Deletes keys that no host accepts any more. */
   expire(wallNow: EpochMilliseconds): void {
     for (const [key, record] of this.records) {
       if (record.expiresAt + 2 * MAX_HOST_CLOCK_SKEW_MS <= wallNow) {
@@ -165,18 +175,16 @@
   }
 
   /**
-   * Whether what was known of the key may be forgotten already, so that a claim
-   * taken here could be the second one. The bound is the same for all claims:
-   * how long a former record was held for is not known any more.
+   * Tells whether a former record of the key may have been deleted, so that a
+   * new grant could be the second one.
    */
   protected isPastLifetime(claim: Claim, { wallNow }: ClaimContext): boolean {
     return wallNow >= claim.issuedAt + this.#lifetimeMs;
   }
 
   /**
-   * Whether a home before this one may have granted the key. Without this a
-   * former owner, paused before its write, and the owner granted here would both
-   * dispatch it.
+   * Tells whether a former home may have granted the key. Granting it again
+   * would let two owners dispatch it.
    */
   protected isOlderThanTenure(
     claim: Claim,
@@ -185,7 +193,7 @@
     return claim.issuedAt <= tenureStartedAt + this.#tenureMarginMs;
   }
 
-  #claimUnheard(claim: Claim, context: ClaimContext): ClaimReply {
+  #claimUnknownKey(claim: Claim, context: ClaimContext): ClaimReply {
     if (claim.issuedAt > context.wallNow + MAX_CALLER_CLOCK_SKEW_MS) {
       return { kind: "not-run", reason: "issued-in-future" };
     }
@@ -199,78 +207,82 @@
         : { kind: "not-run", reason: "full" };
     }
     const record = createRecord(claim, this.#lifetimeMs);
-    this.records.set(recordKey(claim), record);
+    this.records.set(recordKeyOf(claim), record);
     if (!isOlder) return grant(record, claim);
     record.state = "unknown";
     record.owner = undefined;
-    // A former home may have granted it, so a grant here is not the first one.
+    // Counts a possible grant by a former home.
     record.attempt = 1;
     return { kind: "unknown", reason: "older-than-tenure" };
   }
 
-  #claimHeld(
+  #claimKnownKey(
     claim: Claim,
     { record, context }: { record: KeyRecord; context: ClaimContext },
   ): ClaimReply {
     if (record.state === "released") {
-      return this.#claimReleased(claim, { record, context });
+      return this.#claimReleasedKey(claim, { record, context });
     }
     const { owner, dispatch } = record;
-    if (record.claimId === claim.claimId) return repeatAnswer(record);
-    const isOwnerGone = owner === undefined ||
+    if (record.claimId === claim.claimId) return repeatReply(record);
+    const hasOwnerTerminated = owner === undefined ||
       context.isTerminated(owner.host, owner.incarnation);
-    if (!isOwnerGone && record.state !== "unknown") {
+    if (!hasOwnerTerminated && record.state !== "unknown") {
       return { kind: "owned-by", owner, state: record.state, dispatch };
     }
     if (dispatch !== undefined) return { kind: "resume-at", dispatch };
-    return this.#claimLost(claim, record);
+    return this.#claimLostKey(claim, record);
   }
 
-  #claimReleased(
+  #claimReleasedKey(
     claim: Claim,
     { record, context }: { record: KeyRecord; context: ClaimContext },
   ): ClaimReply {
     const isRepeat = record.claimId === claim.claimId;
-    // Sent before its caller was told "not run", however late it was read.
+    // A claim sent before the end of the grace period is refused, however late
+    // it arrives.
     const sentAt = context.wallNow - (claim.ageMs ?? 0);
-    const isOpen = sentAt >= record.releasedAt + this.#releaseGraceMs;
-    if (isOpen && !isRepeat) return grant(record, claim);
+    const isPastGrace = sentAt >= record.releasedAt + this.#releaseGraceMs;
+    if (isPastGrace && !isRepeat) return grant(record, claim);
     return record.attempt > 0
       ? { kind: "unknown", reason: "owner-lost" }
       : { kind: "not-run", reason: "released" };
   }
 
-  /** Nobody can tell whether the owner dispatched; only an idempotent request may run anew. */
-  #claimLost(claim: Claim, record: KeyRecord): ClaimReply {
+  /**
+   * It is unknown whether the lost owner dispatched; only an idempotent request
+   * may run again.
+   */
+  #claimLostKey(claim: Claim, record: KeyRecord): ClaimReply {
     const reason = record.owner === undefined
       ? "older-than-tenure"
       : "owner-lost";
-    const isAnew = claim.isIdempotent && record.state === "unknown";
+    const isRetryAllowed = claim.isIdempotent && record.state === "unknown";
     record.state = "unknown";
-    return isAnew ? grant(record, claim) : { kind: "unknown", reason };
+    return isRetryAllowed ? grant(record, claim) : { kind: "unknown", reason };
   }
 
   #find(update: ClaimReference): KeyRecord | undefined {
-    const record = this.records.get(recordKey(update));
+    const record = this.records.get(recordKeyOf(update));
     return record?.claimId === update.claimId ? record : undefined;
   }
 }
 
-function recordKey(
+function recordKeyOf(
   { account, key }: { account: ClientAccountId; key: IdempotencyKey },
 ): string {
   return `${account}\0${key}`;
 }
 
-/** A doubled claim gets the answer that the first one got. */
-function repeatAnswer({ owner, attempt }: KeyRecord): ClaimReply {
+/** Returns the reply to a duplicate of the current claim. */
+function repeatReply({ owner, attempt }: KeyRecord): ClaimReply {
   return owner === undefined
     ? { kind: "unknown", reason: "older-than-tenure" }
     : { kind: "granted", attempt };
 }
 
-function createRecord(claim: Claim, leastMs: Milliseconds): KeyRecord {
-  const lifetimeMs = Math.max(claim.lifetimeMs, leastMs);
+function createRecord(claim: Claim, minLifetimeMs: Milliseconds): KeyRecord {
+  const lifetimeMs = Math.max(claim.lifetimeMs, minLifetimeMs);
   return {
     bodyDigest: claim.bodyDigest,
     expiresAt: claim.issuedAt + lifetimeMs,
--- a/packages/coordination/src/linkIdentity.ts
+++ b/packages/coordination/src/linkIdentity.ts
@@ -1,16 +1,19 @@
 import type { SecureContextOptions } from "node:tls";
 import type { HostId, Incarnation, Random } from "@wasabivane/common";
 
-/** Time for connecting and proving both sides. */
+/** Time limit for connecting and authenticating both sides. */
 export const HANDSHAKE_TIMEOUT_MS = 2_000;
 
-/** Who this side is and how it proves it. */
+/** Identity and credentials of this host on peer connections. */
 export interface LinkIdentity {
   readonly host: HostId;
   readonly incarnation: Incarnation;
   readonly random: Random;
-  /** The secrets in force, the one to prove with first; a second one lets operators replace the first. */
+  /**
+   * Accepted secrets. The first one signs; the others are accepted during
+   * rotation.
+   */
   readonly sharedSecrets: () => readonly string[];
-  /** Certificate, key and authority; `undefined` means no TLS. */
+  /** TLS certificate, key and CA; `undefined` disables TLS. */
   readonly secureContext: () => SecureContextOptions | undefined;
 }
--- a/packages/coordination/src/linkSubscriptions.ts
+++ b/packages/coordination/src/linkSubscriptions.ts
@@ -1,6 +1,6 @@
 import type { HostId, PeerListener, PeerMessage } from "@wasabivane/common";
 
-/** The listeners of one link by kind of message. */
+/** Holds the listeners of a link by message kind. */
 export class LinkSubscriptions {
   readonly #listeners = new Map<string, Set<PeerListener>>();
 
--- a/packages/coordination/src/memberMessages.ts
+++ b/packages/coordination/src/memberMessages.ts
@@ -18,10 +18,10 @@
 } from "./messageShapes.ts";
 import { defineMessage, type MessageKind } from "./peerMessages.ts";
 
-/** Whether a host answers: silence makes it suspect first, dead later. */
+/** Liveness of a host: a silent host becomes suspect first, then dead. */
 export type MemberState = "alive" | "suspect" | "dead";
 
-/** An entry host as this one knows it. */
+/** Describes an entry host as known to this host. */
 export interface Member {
   readonly host: HostId;
   readonly incarnation: Incarnation;
@@ -32,43 +32,45 @@
   readonly isLeaving: boolean;
 }
 
-/** What one host says about another, or about itself. */
+/** Reports the state of a host, sent by the host itself or by another one. */
 export interface MemberUpdate extends Member {
-  /** Counts the words of that incarnation; orders what it says itself. */
+  /**
+   * Incremented with each heartbeat of the incarnation; orders its own updates.
+   */
   readonly sequence: number;
-  /** Counts its denials of being silent; orders what others say of it. */
+  /** Incremented with each refutation; orders updates sent by other hosts. */
   readonly revision: number;
 }
 
-/** Sent by a host once a period. */
+/** Sent periodically by each host. */
 export interface Heartbeat {
   readonly sender: MemberUpdate;
-  /** The receiver may expect the next one after a period. */
+  /** Whether the recipient will receive another heartbeat next period. */
   readonly isRegular: boolean;
-  /** The receiver shall answer with a heartbeat of its own. */
+  /** Whether the recipient should reply with a heartbeat. */
   readonly isProbe?: boolean;
-  /** Changes of the last seconds, for hosts that the first telling missed. */
+  /** Recent changes, for hosts that the gossip missed. */
   readonly news?: readonly MemberUpdate[];
-  /** Small values that other controllers spread. */
+  /** Values that other controllers piggyback, by name. */
   readonly extras?: Readonly<Record<string, unknown>>;
 }
 
-/** Changes that the sender saw or heard of. */
+/** Changes that the sender detected or received. */
 export interface MemberUpdateMessage {
   readonly news: readonly MemberUpdate[];
-  /** The sender is new and wants to hear of all members. */
+  /** Whether the sender has just started and requests all members. */
   readonly wantsAll?: boolean;
 }
 
-const NAME_LENGTH = 128;
-const MAX_NEWS = 4096;
+const MAX_NAME_LENGTH = 128;
+const MAX_UPDATES = 4096;
 
-const newsShape: Shape<MemberUpdate> = objectOf({
-  host: textOf<HostId>(NAME_LENGTH),
-  incarnation: textOf<Incarnation>(NAME_LENGTH),
+const updateShape: Shape<MemberUpdate> = objectOf({
+  host: textOf<HostId>(MAX_NAME_LENGTH),
+  incarnation: textOf<Incarnation>(MAX_NAME_LENGTH),
   state: oneOf<MemberState>("alive", "suspect", "dead"),
-  failureDomain: textOf<FailureDomain>(NAME_LENGTH),
-  peerAddress: textOf<string>(NAME_LENGTH),
+  failureDomain: textOf<FailureDomain>(MAX_NAME_LENGTH),
+  peerAddress: textOf<string>(MAX_NAME_LENGTH),
   isLeaving: isBoolean,
   sequence: numberOf<number>(),
   revision: numberOf<number>(),
@@ -82,10 +84,10 @@
 export const HEARTBEAT: MessageKind<Heartbeat> = defineMessage<Heartbeat>(
   "heartbeat",
   objectOf({
-    sender: newsShape,
+    sender: updateShape,
     isRegular: isBoolean,
     isProbe: optional(isBoolean),
-    news: optional(listOf(newsShape, MAX_NEWS)),
+    news: optional(listOf(updateShape, MAX_UPDATES)),
     extras: optional(isExtras),
   }),
 );
@@ -95,18 +97,21 @@
 >(
   "member-news",
   objectOf({
-    news: listOf(newsShape, MAX_NEWS),
+    news: listOf(updateShape, MAX_UPDATES),
     wantsAll: optional(isBoolean),
   }),
 );
 
-const BASE = 36;
-const TIME_DIGITS = 9;
-const CHANCE_BYTES = 6;
+const TIMESTAMP_RADIX = 36;
+const TIMESTAMP_DIGITS = 9;
+const RANDOM_BYTES = 6;
 
-/** A new incarnation; those of one host sort by their start where its clock does not step back. */
+/**
+ * Creates an incarnation. Incarnations of one host sort by start time unless
+ * its clock steps back.
+ */
 export function createIncarnation(timer: Timer, random: Random): Incarnation {
-  const start = Math.floor(timer.wallNow()).toString(BASE);
-  const text = start.padStart(TIME_DIGITS, "0") + random.hex(CHANCE_BYTES);
+  const start = Math.floor(timer.wallNow()).toString(TIMESTAMP_RADIX);
+  const text = start.padStart(TIMESTAMP_DIGITS, "0") + random.hex(RANDOM_BYTES);
   return text as Incarnation;
 }
--- a/packages/coordination/src/membership.ts
+++ b/packages/coordination/src/membership.ts
@@ -13,52 +13,56 @@
   MemberUpdate,
 } from "./memberMessages.ts";
 
-/** Time between heartbeats to one peer. */
+/** Interval between heartbeats to one peer. */
 export const HEARTBEAT_PERIOD_MS: Milliseconds = 1_000;
-/** Silence after which a host is suspect: one heartbeat and a half. */
+/** Time without a heartbeat after which a host is suspect. */
 export const SUSPECT_TIMEOUT_MS: Milliseconds = 1_500;
-/** Silence after which a host counts as dead; two heartbeats may be lost before. */
+/** Time without a heartbeat after which a host is considered dead. */
 export const DEAD_TIMEOUT_MS: Milliseconds = 3_000;
-/** Up to so many hosts everybody sends to everybody; above, to a bounded subset. */
+/** Largest fleet in which every host sends heartbeats to every other host. */
 export const FULL_MESH_HOSTS = 16;
-/** Hosts that watch one host in a larger fleet. */
+/** Hosts that monitor each host in a fleet that is not fully meshed. */
 export const MONITORS_PER_HOST = 4;
-/** Random hosts that are probed each period in a larger fleet. */
+/** Random hosts probed per period in a fleet that is not fully meshed. */
 export const PROBES_PER_PERIOD = 2;
-/** How long an unlisted dead host is remembered. */
-const FORGET_MS: Milliseconds = 60_000;
+/**
+ * How long a host missing from the host list is kept after its last heartbeat.
+ */
+const UNLISTED_RETENTION_MS: Milliseconds = 60_000;
 
-const STATE_RANK: Record<MemberState, number> = {
+const STATE_SEVERITY: Record<MemberState, number> = {
   alive: 0,
   suspect: 1,
   dead: 2,
 };
 
-/** Who this host is; constant but for leaving. */
+/** Identity of this host; only `isLeaving` changes. */
 export type MemberIdentity = Omit<Member, "state">;
 
 interface PeerRecord {
-  news: MemberUpdate;
-  /** When something last spoke for the host; silence counts from then. */
-  heardAt: Milliseconds;
-  /** Whether silence of this peer means something: it sends here each period. */
-  isWatched: boolean;
+  update: MemberUpdate;
+  /** Time of the last evidence that the host is alive. */
+  lastAliveAt: Milliseconds;
+  /** Whether the peer sends heartbeats to this host every period. */
+  isMonitored: boolean;
   isListed: boolean;
-  /** When a probe was sent that nothing answered yet. */
+  /** When the oldest unanswered probe was sent. */
   probedAt?: Milliseconds;
 }
 
-/** Whom to send a heartbeat to in this period. */
+/** Recipients of this period's heartbeats. */
 export interface HeartbeatTargets {
   readonly regular: readonly HostId[];
   readonly probes: readonly HostId[];
-  /** Former targets, told that no more will come. */
-  readonly ended: readonly HostId[];
+  /**
+   * Former regular targets; the heartbeat tells them that it is the last one.
+   */
+  readonly removed: readonly HostId[];
 }
 
 /**
- * Knows which entry hosts answer now. The published list is only the seed: it
- * lags by seconds or, with the service down, by hours.
+ * Tracks which entry hosts are alive. The published host list only seeds it,
+ * since the list can be out of date.
  */
 export class Membership {
   readonly #random: Random;
@@ -66,7 +70,7 @@
   #self: MemberIdentity;
   #sequence = 0;
   #revision = 0;
-  #tickedAt: Milliseconds | undefined;
+  #lastCheckAt: Milliseconds | undefined;
   #regular: readonly HostId[] = [];
 
   constructor({ self, random }: { self: MemberIdentity; random: Random }) {
@@ -83,7 +87,7 @@
     this.#revision++;
   }
 
-  /** Takes the published list as seed; what peers say of themselves stays. */
+  /** Adds the hosts of the published list; state reported by peers is kept. */
   setHostList(list: HostList, now: Milliseconds): void {
     for (const record of this.#records.values()) record.isListed = false;
     for (const listed of list.entryHosts) {
@@ -94,7 +98,7 @@
         continue;
       }
       this.#records.set(listed.host, {
-        news: {
+        update: {
           host: listed.host,
           incarnation: (listed.incarnation ?? "") as Incarnation,
           state: "suspect",
@@ -104,20 +108,25 @@
           sequence: -1,
           revision: -1,
         },
-        heardAt: now,
-        isWatched: false,
+        lastAliveAt: now,
+        isMonitored: false,
         isListed: true,
       });
     }
   }
 
-  /** What is told of a host that now speaks for itself, for it to deny. */
+  /**
+   * Returns the stored suspicion or death of a host, so that the host can
+   * refute it.
+   */
   failureReportOf(host: HostId): MemberUpdate | undefined {
-    const news = this.#records.get(host)?.news;
-    return news === undefined || news.state === "alive" ? undefined : news;
+    const update = this.#records.get(host)?.update;
+    return update === undefined || update.state === "alive"
+      ? undefined
+      : update;
   }
 
-  /** Takes a peer's own word; true when it changed something. */
+  /** Applies a peer's heartbeat; true when it changed the peer's state. */
   applyHeartbeat(heartbeat: Heartbeat, now: Milliseconds): boolean {
     const { sender, isRegular } = heartbeat;
     if (sender.host === this.#self.host) return false;
@@ -125,29 +134,31 @@
     const isNew = record === undefined ||
       isNewer(record, sender, { now, counter: "sequence" });
     if (!isNew) return false;
-    const isChange = record === undefined || differs(record.news, sender);
+    const isChange = record === undefined || differs(record.update, sender);
     this.#records.set(sender.host, {
-      news: { ...sender, state: "alive" },
-      heardAt: now,
-      isWatched: isRegular,
+      update: { ...sender, state: "alive" },
+      lastAliveAt: now,
+      isMonitored: isRegular,
       isListed: record?.isListed ?? false,
     });
     return isChange;
   }
 
-  /** Takes what others say; gives back what was new and is worth passing on. */
+  /**
+   * Applies updates from other hosts and returns those that changed something.
+   */
   applyUpdates(
-    news: readonly MemberUpdate[],
+    updates: readonly MemberUpdate[],
     now: Milliseconds,
   ): MemberUpdate[] {
-    return news.filter((item) =>
+    return updates.filter((item) =>
       item.host === this.#self.host
         ? this.#refute(item)
-        : this.#takeNews(item, now)
+        : this.#applyUpdate(item, now)
     ).map((item) => item.host === this.#self.host ? this.selfUpdate() : item);
   }
 
-  /** This host's word about itself. */
+  /** Returns this host's update about itself. */
   selfUpdate(): MemberUpdate {
     return {
       ...this.#self,
@@ -157,114 +168,130 @@
     };
   }
 
-  /** All that is known, for a host that is new. */
+  /**
+   * Returns the updates of all known hosts, for a host that has just started.
+   */
   allUpdates(): MemberUpdate[] {
-    const known = [...this.#records.values()].map(({ news }) => news);
+    const known = [...this.#records.values()].map(({ update }) => update);
     return [this.selfUpdate(), ...known];
   }
 
-  /** Judges silence; gives back the changes. */
+  /** Marks silent hosts as suspect or dead and returns the changes. */
   detectFailures(now: Milliseconds): MemberUpdate[] {
-    this.#forgiveOwnPause(now);
+    this.#excuseOwnPause(now);
     const changes: MemberUpdate[] = [];
     for (const [host, record] of this.#records) {
-      if (!record.isListed && now - record.heardAt > FORGET_MS) {
+      if (
+        !record.isListed && now - record.lastAliveAt > UNLISTED_RETENTION_MS
+      ) {
         this.#records.delete(host);
         continue;
       }
-      const state = silenceState(now - this.#silentSince(record, now));
-      if (STATE_RANK[state] <= STATE_RANK[record.news.state]) continue;
-      record.news = { ...record.news, state };
-      changes.push(record.news);
+      const state = stateAfterSilence(now - this.#silentSince(record, now));
+      if (STATE_SEVERITY[state] <= STATE_SEVERITY[record.update.state]) {
+        continue;
+      }
+      record.update = { ...record.update, state };
+      changes.push(record.update);
     }
     return changes;
   }
 
-  /** Chooses the receivers of the next heartbeat and counts it. */
+  /**
+   * Selects the recipients of the next heartbeat and increments the sequence.
+   */
   nextTargets(now: Milliseconds): HeartbeatTargets {
     this.#sequence++;
     const peers = [...this.#records.keys()];
     if (this.isFullMesh()) {
-      return { regular: peers, probes: [], ended: [] };
+      return { regular: peers, probes: [], removed: [] };
     }
     const former = this.#regular;
-    this.#regular = this.#ringSuccessors();
-    const ended = former.filter((host) => !this.#regular.includes(host));
+    this.#regular = this.#pickMonitors();
+    const removed = former.filter((host) => !this.#regular.includes(host));
     const probes = this.#pickProbes(peers);
     for (const host of probes) this.#records.get(host)!.probedAt ??= now;
-    return { regular: this.#regular, probes, ended };
+    return { regular: this.#regular, probes, removed };
   }
 
-  /** Makes the next word of this host newer than all before, as an answer to a probe has to be. */
+  /**
+   * Increments the sequence, so that a probe reply is newer than earlier
+   * heartbeats.
+   */
   incrementSequence(): void {
     this.#sequence++;
   }
 
-  /** Whether a peer may expect a heartbeat each period. */
+  /** Tells whether a peer receives a heartbeat every period. */
   isRegularTarget(host: HostId): boolean {
     return this.isFullMesh() || this.#regular.includes(host);
   }
 
-  /** Whether the fleet is small enough for everybody to hear everybody. */
+  /** Tells whether every host sends heartbeats to every other host. */
   isFullMesh(): boolean {
     return this.#records.size < FULL_MESH_HOSTS;
   }
 
-  /** Random hosts that get news at once. */
+  /** Picks random recipients for membership updates. */
   pickGossipTargets(count: number): HostId[] {
-    const answering = [...this.#records.values()]
-      .filter(({ news }) => news.state !== "dead")
-      .map(({ news }) => news.host);
-    return this.#pick(answering, count);
+    const candidates = [...this.#records.values()]
+      .filter(({ update }) => update.state !== "dead")
+      .map(({ update }) => update.host);
+    return this.#pickRandom(candidates, count);
   }
 
-  /** Every known host, this one first. */
+  /** Returns every known host, this one first. */
   members(): Member[] {
     return [
       this.selfUpdate(),
-      ...[...this.#records.values()].map(({ news }) => news),
+      ...[...this.#records.values()].map(({ update }) => update),
     ];
   }
 
-  /** Share of the listed hosts that answer, this one included; below 1 here may be one side of a partition. */
+  /**
+   * Returns the share of listed hosts that are reachable, including this one. A
+   * value below 1 can indicate a partition.
+   */
   reachableShare(): number {
     const listed = [...this.#records.values()].filter(({ isListed }) =>
       isListed
     );
-    const heard = listed.filter(({ news }) => news.state !== "dead");
-    return (heard.length + 1) / (listed.length + 1);
+    const reachable = listed.filter(({ update }) => update.state !== "dead");
+    return (reachable.length + 1) / (listed.length + 1);
   }
 
-  #takeNews(item: MemberUpdate, now: Milliseconds): boolean {
+  #applyUpdate(item: MemberUpdate, now: Milliseconds): boolean {
     const record = this.#records.get(item.host);
     if (record === undefined) {
       if (item.state === "dead") return false;
       this.#records.set(item.host, {
-        news: item,
-        heardAt: now,
-        isWatched: false,
+        update: item,
+        lastAliveAt: now,
+        isMonitored: false,
         isListed: false,
       });
       return true;
     }
-    const isWorse = item.incarnation === record.news.incarnation &&
-      item.revision === record.news.revision &&
-      STATE_RANK[item.state] > STATE_RANK[record.news.state] &&
-      now - record.heardAt > SUSPECT_TIMEOUT_MS;
-    const isNews = isWorse ||
+    const isWorse = item.incarnation === record.update.incarnation &&
+      item.revision === record.update.revision &&
+      STATE_SEVERITY[item.state] > STATE_SEVERITY[record.update.state] &&
+      now - record.lastAliveAt > SUSPECT_TIMEOUT_MS;
+    const isNewUpdate = isWorse ||
       isNewer(record, item, { now, counter: "revision" });
-    if (!isNews) return false;
-    const isChange = differs(record.news, item);
-    record.news = {
+    if (!isNewUpdate) return false;
+    const isChange = differs(record.update, item);
+    record.update = {
       ...item,
-      sequence: Math.max(item.sequence, record.news.sequence),
+      sequence: Math.max(item.sequence, record.update.sequence),
     };
-    if (item.state === "alive") record.heardAt = now;
+    if (item.state === "alive") record.lastAliveAt = now;
     record.probedAt = undefined;
     return isChange;
   }
 
-  /** Somebody says that this host is silent: a higher revision denies it. */
+  /**
+   * Refutes a report that this host is suspect or dead by raising the revision.
+   */
   #refute(item: MemberUpdate): boolean {
     if (item.incarnation !== this.#self.incarnation) return false;
     if (item.state === "alive") return false;
@@ -274,33 +301,33 @@
   }
 
   /**
-   * From when silence counts. A peer that owes no word is not silent: gossip may
-   * miss this host, so that it judges only what it probed itself.
+   * Returns when the peer's silence began. A peer that sends no regular
+   * heartbeats to this host is judged only by its replies to probes.
    */
   #silentSince(record: PeerRecord, now: Milliseconds): Milliseconds {
-    if (record.isWatched || this.isFullMesh()) return record.heardAt;
+    if (record.isMonitored || this.isFullMesh()) return record.lastAliveAt;
     if (record.probedAt === undefined) return now;
-    const isSuspect = record.news.state === "suspect";
+    const isSuspect = record.update.state === "suspect";
     return isSuspect ? record.probedAt - SUSPECT_TIMEOUT_MS : record.probedAt;
   }
 
   /**
-   * A process that wakes from a pause heard nobody because it slept. Without
-   * this it would declare the whole fleet dead and act alone for a moment.
+   * Extends all deadlines after this process was paused. Otherwise it would
+   * declare every peer dead on resuming.
    */
-  #forgiveOwnPause(now: Milliseconds): void {
-    const gap = now - (this.#tickedAt ?? now);
-    this.#tickedAt = now;
+  #excuseOwnPause(now: Milliseconds): void {
+    const gap = now - (this.#lastCheckAt ?? now);
+    this.#lastCheckAt = now;
     if (gap < HEARTBEAT_PERIOD_MS) return;
     for (const record of this.#records.values()) {
-      record.heardAt = Math.min(now, record.heardAt + gap);
+      record.lastAliveAt = Math.min(now, record.lastAliveAt + gap);
     }
   }
 
-  #ringSuccessors(): HostId[] {
+  #pickMonitors(): HostId[] {
     const hosts = [...this.#records.values()]
-      .filter(({ news }) => news.state !== "dead")
-      .map(({ news }) => news.host);
+      .filter(({ update }) => update.state !== "dead")
+      .map(({ update }) => update.host);
     const ring = rendezvousOrder("membership-ring", [
       ...hosts,
       this.#self.host,
@@ -310,58 +337,63 @@
     return rotated.slice(0, MONITORS_PER_HOST);
   }
 
-  /** One host that seems silent, since it may be told wrong, and any others. */
+  /** Picks one suspect or dead host, to recheck it, and random others. */
   #pickProbes(peers: readonly HostId[]): HostId[] {
     const unwatched = peers.filter((host) => !this.#regular.includes(host));
-    const suspect = this.#pick(this.#inState(unwatched, "suspect"), 1);
-    const dead = this.#pick(this.#inState(unwatched, "dead"), 1);
+    const suspect = this.#pickRandom(this.#inState(unwatched, "suspect"), 1);
+    const dead = this.#pickRandom(this.#inState(unwatched, "dead"), 1);
     const silent = [...suspect, ...dead].slice(0, 1);
     const rest = unwatched.filter((host) => !silent.includes(host));
-    return [...silent, ...this.#pick(rest, PROBES_PER_PERIOD - silent.length)];
+    return [
+      ...silent,
+      ...this.#pickRandom(rest, PROBES_PER_PERIOD - silent.length),
+    ];
   }
 
   #inState(hosts: readonly HostId[], state: MemberState): HostId[] {
     return hosts.filter((host) =>
-      this.#records.get(host)?.news.state === state
+      this.#records.get(host)?.update.state === state
     );
   }
 
-  #pick(hosts: readonly HostId[], count: number): HostId[] {
-    const left = [...hosts];
+  #pickRandom(hosts: readonly HostId[], count: number): HostId[] {
+    const remaining = [...hosts];
     const picked: HostId[] = [];
-    while (picked.length < count && left.length > 0) {
-      picked.push(...left.splice(this.#random.int(left.length), 1));
+    while (picked.length < count && remaining.length > 0) {
+      picked.push(
+        ...remaining.splice(this.#random.int(remaining.length), 1),
+      );
     }
     return picked;
   }
 }
 
 /**
- * Whether news outdates a record. Another incarnation is newer when it sorts
- * later, or when the known one is silent: a clock that stepped back over a
- * restart must not hide the new process.
+ * Tells whether an update is newer than a record. A different incarnation is
+ * newer if it sorts later or if the known one is silent, since a host's clock
+ * can step back across a restart.
  */
 function isNewer(
   record: PeerRecord,
-  news: MemberUpdate,
+  update: MemberUpdate,
   { now, counter }: { now: Milliseconds; counter: "sequence" | "revision" },
 ): boolean {
-  const known = record.news;
-  if (news.incarnation === known.incarnation) {
-    return news[counter] > known[counter];
+  const known = record.update;
+  if (update.incarnation === known.incarnation) {
+    return update[counter] > known[counter];
   }
-  const isSilent = now - record.heardAt > SUSPECT_TIMEOUT_MS;
-  return news.incarnation > known.incarnation || isSilent;
+  const isSilent = now - record.lastAliveAt > SUSPECT_TIMEOUT_MS;
+  return update.incarnation > known.incarnation || isSilent;
 }
 
-function silenceState(silence: Milliseconds): MemberState {
+function stateAfterSilence(silence: Milliseconds): MemberState {
   if (silence >= DEAD_TIMEOUT_MS) return "dead";
   return silence >= SUSPECT_TIMEOUT_MS ? "suspect" : "alive";
 }
 
-function differs(known: MemberUpdate, news: MemberUpdate): boolean {
-  return known.state !== news.state ||
-    known.incarnation !== news.incarnation ||
-    known.isLeaving !== news.isLeaving ||
-    known.peerAddress !== news.peerAddress;
+function differs(known: MemberUpdate, update: MemberUpdate): boolean {
+  return known.state !== update.state ||
+    known.incarnation !== update.incarnation ||
+    known.isLeaving !== update.isLeaving ||
+    known.peerAddress !== update.peerAddress;
 }
--- a/packages/coordination/src/membershipController.ts
+++ b/packages/coordination/src/membershipController.ts
@@ -27,32 +27,37 @@
 } from "./membership.ts";
 import { sendMessage, subscribeMessage } from "./peerMessages.ts";
 
-/** Every entry host known here, this one included. */
+/** All known entry hosts, including this one. */
 export const MEMBERS: Topic<readonly Member[]> = createTopic<readonly Member[]>(
   "members",
   [],
 );
-/** Share of the listed entry hosts that answer, 0 to 1, this one included. */
+/**
+ * Share of listed entry hosts that are reachable, 0 to 1, including this one.
+ */
 export const REACHABLE_SHARE: Topic<number> = createTopic("fleet-share", 1);
 
 const TICK_MS = 250;
-/** Peers that get a change at once; each passes it on once, so that it reaches all in a few steps. */
-const NEWS_FANOUT = 4;
-/** How long changes travel with heartbeats too: the first telling misses about one host in fifty. */
-const RECENT_MS = 2_000;
-/** Bound on changes in one heartbeat. */
-const MAX_RECENT = 16;
-
-/** A small value that travels with heartbeats. */
+/** Peers that a change is sent to; each recipient forwards it once. */
+const GOSSIP_FANOUT = 4;
+/**
+ * How long changes are also attached to heartbeats, for hosts that gossip
+ * missed.
+ */
+const PIGGYBACK_MS = 2_000;
+/** Maximum number of changes in one heartbeat. */
+const MAX_PIGGYBACKED = 16;
+
+/** Defines a small value that is piggybacked on heartbeats. */
 export interface HeartbeatExtra {
-  /** Names it among the extras; the same on every host. */
+  /** Key of the value; the same on every host. */
   readonly name: string;
   readonly read: () => unknown;
-  /** Takes the value of a peer; checks its shape itself. */
+  /** Receives a peer's value and validates it. */
   readonly receive: (from: HostId, value: unknown) => void;
 }
 
-/** What a {@link MembershipController} needs from its process. */
+/** Dependencies of a {@link MembershipController}. */
 export interface MembershipControllerOptions {
   readonly self: MemberIdentity;
   readonly blackboard: Blackboard;
@@ -61,19 +66,25 @@
   readonly random: Random;
   readonly metrics: Metrics;
   readonly heartbeatExtras?: readonly HeartbeatExtra[];
-  /** Called at each change of a member's state worth a log line. */
+  /** Logs a change of a member's state. */
   readonly log?: (change: MemberUpdate) => void;
 }
 
-/** Exchanges heartbeats and writes {@link MEMBERS} and {@link REACHABLE_SHARE}. */
+/**
+ * Exchanges heartbeats and publishes {@link MEMBERS} and {@link
+ * REACHABLE_SHARE}.
+ */
 export class MembershipController extends Controller {
   readonly #options: MembershipControllerOptions;
   readonly #membership: Membership;
   readonly #extras: HeartbeatExtra[];
   readonly #subscriptions: (() => void)[] = [];
   readonly #timers: TimerSubscription[] = [];
-  #recent: { readonly news: MemberUpdate; readonly at: Milliseconds }[] = [];
-  #isFresh = true;
+  #recentChanges: {
+    readonly change: MemberUpdate;
+    readonly at: Milliseconds;
+  }[] = [];
+  #needsAllMembers = true;
 
   constructor(options: MembershipControllerOptions) {
     super();
@@ -93,18 +104,20 @@
       subscribeMessage(
         link,
         MEMBER_UPDATE,
-        (from, body) => this.#onNews(from, body),
+        (from, body) => this.#onUpdateMessage(from, body),
       ),
-      blackboard.watch(HOST_LIST, () => this.#adoptList()),
+      blackboard.watch(HOST_LIST, () => this.#applyHostList()),
     );
-    this.#adoptList();
-    this.#beat();
-    const firstBeat = random.float() * HEARTBEAT_PERIOD_MS;
+    this.#applyHostList();
+    this.#sendHeartbeats();
+    const firstDelay = random.float() * HEARTBEAT_PERIOD_MS;
     this.#timers.push(
-      timer.every(TICK_MS, () => this.#tick()),
-      timer.after(firstBeat, () => {
-        this.#timers.push(timer.every(HEARTBEAT_PERIOD_MS, () => this.#beat()));
-        this.#beat();
+      timer.every(TICK_MS, () => this.#detectFailures()),
+      timer.after(firstDelay, () => {
+        this.#timers.push(
+          timer.every(HEARTBEAT_PERIOD_MS, () => this.#sendHeartbeats()),
+        );
+        this.#sendHeartbeats();
       }),
     );
   }
@@ -114,33 +127,33 @@
     for (const timer of this.#timers.splice(0)) timer.cancel();
   }
 
-  /** Adds a value that travels with every heartbeat from now on. */
+  /** Adds a value to every later heartbeat. */
   addExtra(extra: HeartbeatExtra): void {
     this.#extras.push(extra);
   }
 
-  /** Tells the peers that this host is about to stop. */
+  /** Announces to the peers whether this host is leaving. */
   setLeaving(isLeaving: boolean): void {
     this.#membership.setLeaving(isLeaving);
-    this.#beat();
+    this.#sendHeartbeats();
     this.#publish();
   }
 
-  #adoptList(): void {
+  #applyHostList(): void {
     const { blackboard, timer } = this.#options;
     const list = blackboard.read(HOST_LIST);
     if (list !== undefined) this.#membership.setHostList(list, timer.now());
     this.#publish();
   }
 
-  #beat(): void {
-    const { regular, probes, ended } = this.#membership.nextTargets(
+  #sendHeartbeats(): void {
+    const { regular, probes, removed } = this.#membership.nextTargets(
       this.#options.timer.now(),
     );
     this.#sendHeartbeat(regular, { isRegular: true });
     this.#sendHeartbeat(probes, { isRegular: false, isProbe: true });
-    this.#sendHeartbeat(ended, { isRegular: false });
-    this.#askForAll();
+    this.#sendHeartbeat(removed, { isRegular: false });
+    this.#requestAllMembers();
   }
 
   #sendHeartbeat(
@@ -151,7 +164,7 @@
     const body: Heartbeat = {
       sender: this.#membership.selfUpdate(),
       ...flags,
-      news: this.#recentNews(),
+      news: this.#recentUpdates(),
       extras: Object.fromEntries(
         this.#extras.map(({ name, read }) => [name, read()]),
       ),
@@ -160,12 +173,15 @@
     for (const host of targets) this.#options.link.send(host, message);
   }
 
-  /** In a large fleet a fresh host hears only few heartbeats and asks for the rest. */
-  #askForAll(): void {
-    if (!this.#isFresh || this.#membership.isFullMesh()) return;
-    this.#isFresh = false;
+  /**
+   * Requests all members once after the start, since a fleet without a full
+   * mesh sends this host only a few heartbeats.
+   */
+  #requestAllMembers(): void {
+    if (!this.#needsAllMembers || this.#membership.isFullMesh()) return;
+    this.#needsAllMembers = false;
     const body = { news: [this.#membership.selfUpdate()], wantsAll: true };
-    for (const to of this.#membership.pickGossipTargets(NEWS_FANOUT)) {
+    for (const to of this.#membership.pickGossipTargets(GOSSIP_FANOUT)) {
       sendMessage(this.#options.link, MEMBER_UPDATE, { to, body });
     }
   }
@@ -173,9 +189,11 @@
   #onHeartbeat(from: HostId, heartbeat: Heartbeat): void {
     if (from !== heartbeat.sender.host) return;
     const now = this.#options.timer.now();
-    const silence = this.#membership.failureReportOf(from);
+    const failureReport = this.#membership.failureReportOf(from);
     const isChange = this.#membership.applyHeartbeat(heartbeat, now);
-    if (isChange && silence !== undefined) this.#askForDenial(silence);
+    if (isChange && failureReport !== undefined) {
+      this.#requestRefutation(failureReport);
+    }
     if (heartbeat.isProbe) {
       const isRegular = this.#membership.isRegularTarget(from);
       this.#membership.incrementSequence();
@@ -186,39 +204,47 @@
       if (value !== undefined) receive(from, value);
     }
     if (isChange) this.#onChanges([heartbeat.sender]);
-    if (heartbeat.news !== undefined) this.#hearNews(heartbeat.news);
+    if (heartbeat.news !== undefined) this.#applyUpdates(heartbeat.news);
   }
 
-  #onNews(from: HostId, { news, wantsAll }: MemberUpdateMessage): void {
-    this.#hearNews(news);
+  #onUpdateMessage(
+    from: HostId,
+    { news, wantsAll }: MemberUpdateMessage,
+  ): void {
+    this.#applyUpdates(news);
     if (!wantsAll) return;
     const body = { news: this.#membership.allUpdates() };
     sendMessage(this.#options.link, MEMBER_UPDATE, { to: from, body });
   }
 
-  #hearNews(news: readonly MemberUpdate[]): void {
-    const fresh = this.#membership.applyUpdates(
-      news,
+  #applyUpdates(updates: readonly MemberUpdate[]): void {
+    const changes = this.#membership.applyUpdates(
+      updates,
       this.#options.timer.now(),
     );
-    if (fresh.length > 0) this.#onChanges(fresh);
+    if (changes.length > 0) this.#onChanges(changes);
   }
 
-  #recentNews(): MemberUpdate[] | undefined {
-    const since = this.#options.timer.now() - RECENT_MS;
-    this.#recent = this.#recent.filter(({ at }) => at > since);
-    if (this.#recent.length === 0) return undefined;
-    return this.#recent.slice(-MAX_RECENT).map(({ news }) => news);
+  #recentUpdates(): MemberUpdate[] | undefined {
+    const since = this.#options.timer.now() - PIGGYBACK_MS;
+    this.#recentChanges = this.#recentChanges.filter(({ at }) => at > since);
+    if (this.#recentChanges.length === 0) return undefined;
+    return this.#recentChanges.slice(-MAX_PIGGYBACKED).map(({ change }) =>
+      change
+    );
   }
 
-  /** Others hold the host for silent too; only its own denial tells all of them. */
-  #askForDenial(silence: MemberUpdate): void {
+  /**
+   * Sends a recovered host the report about it: other hosts believe it too, and
+   * only its refutation reaches all of them.
+   */
+  #requestRefutation(report: MemberUpdate): void {
     if (this.#membership.isFullMesh()) return;
-    const body = { news: [silence] };
-    sendMessage(this.#options.link, MEMBER_UPDATE, { to: silence.host, body });
+    const body = { news: [report] };
+    sendMessage(this.#options.link, MEMBER_UPDATE, { to: report.host, body });
   }
 
-  #tick(): void {
+  #detectFailures(): void {
     const changes = this.#membership.detectFailures(this.#options.timer.now());
     if (changes.length > 0) this.#onChanges(changes);
   }
@@ -229,16 +255,16 @@
       metrics.count("member_changes", 1, { state: change.state });
       log?.(change);
     }
-    this.#spread(changes);
+    this.#gossip(changes);
     this.#publish();
   }
 
-  #spread(news: readonly MemberUpdate[]): void {
+  #gossip(changes: readonly MemberUpdate[]): void {
     if (this.#membership.isFullMesh()) return;
     const at = this.#options.timer.now();
-    this.#recent.push(...news.map((item) => ({ news: item, at })));
-    const message = { kind: MEMBER_UPDATE.kind, body: { news } };
-    for (const host of this.#membership.pickGossipTargets(NEWS_FANOUT)) {
+    this.#recentChanges.push(...changes.map((change) => ({ change, at })));
+    const message = { kind: MEMBER_UPDATE.kind, body: { news: changes } };
+    for (const host of this.#membership.pickGossipTargets(GOSSIP_FANOUT)) {
       this.#options.link.send(host, message);
     }
   }
--- a/packages/coordination/src/memoryLink.ts
+++ b/packages/coordination/src/memoryLink.ts
@@ -12,41 +12,41 @@
 import { LinkSubscriptions } from "./linkSubscriptions.ts";
 import { PeerCodec } from "./peerMessages.ts";
 
-/** How a {@link MemoryNetwork} treats messages. */
+/** Delays and faults of a {@link MemoryNetwork}. */
 export interface MemoryNetworkOptions {
   readonly timer: Timer;
   readonly random: Random;
   readonly metrics?: Metrics;
-  /** One-way time of every message. */
+  /** One-way latency of every message. */
   readonly delayMs?: Milliseconds;
-  /** Up to so much more per message; above 0 messages overtake each other. */
+  /** Maximum random extra latency; above 0 messages can be reordered. */
   readonly jitterMs?: Milliseconds;
-  /** Share of messages that are lost, 0 to 1. */
+  /** Share of messages that are dropped, 0 to 1. */
   readonly dropShare?: number;
-  /** Share of messages that arrive twice, 0 to 1. */
+  /** Share of messages that are delivered twice, 0 to 1. */
   readonly duplicateShare?: number;
 }
 
-/** Shares and times that a running {@link MemoryNetwork} takes on. */
+/** Faults that can be changed while a {@link MemoryNetwork} runs. */
 export type MemoryNetworkFaults = Pick<
   MemoryNetworkOptions,
   "delayMs" | "jitterMs" | "dropShare" | "duplicateShare"
 >;
 
 /**
- * Joins the links of several hosts in one process. Messages pass through the
- * real codec and may be late, lost, doubled, reordered or cut off.
+ * Connects the links of several hosts in one process. Messages pass through the
+ * real codec and can be delayed, dropped, duplicated, reordered or blocked.
  */
 export class MemoryNetwork {
   readonly #timer: Timer;
   readonly #random: Random;
   readonly #metrics: Metrics | undefined;
   readonly #links = new Map<HostId, MemoryLink>();
-  readonly #cuts = new Set<string>();
+  readonly #blocked = new Set<string>();
   #faults: Required<MemoryNetworkFaults>;
-  /** Messages handed to the network since its start. */
+  /** Messages sent since the network was created. */
   sentMessages = 0;
-  /** Bytes of their frames. */
+  /** Bytes sent since the network was created. */
   sentBytes = 0;
 
   constructor(
@@ -66,7 +66,7 @@
     this.#faults = { delayMs, jitterMs, dropShare, duplicateShare };
   }
 
-  /** Joins a host; a host that joins again replaces its former link. */
+  /** Connects a host; an existing link of the host is closed. */
   join(host: HostId): MemoryLink {
     this.#links.get(host)?.close();
     const link = new MemoryLink(host, this);
@@ -78,12 +78,12 @@
     this.#faults = { ...this.#faults, ...faults };
   }
 
-  /** Cuts messages from one host to another, in that direction only. */
+  /** Blocks messages from one host to another in this direction only. */
   blockDirection(from: HostId, to: HostId): void {
-    this.#cuts.add(directionKey(from, to));
+    this.#blocked.add(directionKey(from, to));
   }
 
-  /** Cuts every message between hosts of different groups. */
+  /** Blocks messages between hosts of different groups. */
   partition(groups: readonly (readonly HostId[])[]): void {
     this.heal();
     for (const group of groups) {
@@ -95,47 +95,51 @@
   }
 
   heal(): void {
-    this.#cuts.clear();
+    this.#blocked.clear();
   }
 
-  /** Takes a frame from a link of this network. */
+  /** Transmits a frame from a link of this network. */
   transmit(from: HostId, to: HostId, options: { frame: Buffer }): void {
     const { frame } = options;
     this.sentMessages++;
     this.sentBytes += frame.length;
-    if (this.#cuts.has(directionKey(from, to))) return;
-    if (this.#happens(this.#faults.dropShare)) return;
-    this.#deliverLater(from, to, { frame });
-    if (this.#happens(this.#faults.duplicateShare)) {
-      this.#deliverLater(from, to, { frame });
+    if (this.#blocked.has(directionKey(from, to))) return;
+    if (this.#occurs(this.#faults.dropShare)) return;
+    this.#scheduleDelivery(from, to, { frame });
+    if (this.#occurs(this.#faults.duplicateShare)) {
+      this.#scheduleDelivery(from, to, { frame });
     }
   }
 
-  /** Counts a frame that was not taken. */
+  /** Counts a rejected frame. */
   countRejected(reason: string): void {
     this.#metrics?.count("peer_frames_rejected", 1, { reason });
   }
 
-  #deliverLater(from: HostId, to: HostId, options: { frame: Buffer }): void {
+  #scheduleDelivery(
+    from: HostId,
+    to: HostId,
+    options: { frame: Buffer },
+  ): void {
     const jitter = this.#random.float() * this.#faults.jitterMs;
     this.#timer.after(this.#faults.delayMs + jitter, () => {
-      if (this.#cuts.has(directionKey(from, to))) return;
+      if (this.#blocked.has(directionKey(from, to))) return;
       this.#links.get(to)?.receive(from, options.frame);
     });
   }
 
-  #happens(share: number): boolean {
+  #occurs(share: number): boolean {
     return share > 0 && this.#random.float() < share;
   }
 }
 
-/** One host's end of a {@link MemoryNetwork}. */
+/** Connects one host to a {@link MemoryNetwork}. */
 export class MemoryLink extends PeerLink {
   override readonly self: HostId;
   readonly #network: MemoryNetwork;
   readonly #codec = new PeerCodec();
   readonly #subscriptions = new LinkSubscriptions();
-  readonly #held: { from: HostId; frame: Buffer }[] = [];
+  readonly #buffered: { from: HostId; frame: Buffer }[] = [];
   #isPaused = false;
   #isClosed = false;
 
@@ -156,29 +160,29 @@
     return this.#subscriptions.add(kind, listener);
   }
 
-  /** Holds arriving frames, as the kernel does for a stopped process. */
+  /** Buffers incoming frames, as the kernel does for a stopped process. */
   pause(): void {
     this.#isPaused = true;
   }
 
-  /** Delivers what arrived during the pause, in order. */
+  /** Delivers the frames buffered during the pause, in order. */
   resume(): void {
     this.#isPaused = false;
-    for (const { from, frame } of this.#held.splice(0)) {
+    for (const { from, frame } of this.#buffered.splice(0)) {
       this.receive(from, frame);
     }
   }
 
-  /** Ends the link as the death of its process would. */
+  /** Closes the link, as if its process had crashed. */
   close(): void {
     this.#isClosed = true;
   }
 
-  /** Takes a frame from the network. */
+  /** Receives a frame from the network. */
   receive(from: HostId, frame: Buffer): void {
     if (this.#isClosed) return;
     if (this.#isPaused) {
-      this.#held.push({ from, frame });
+      this.#buffered.push({ from, frame });
       return;
     }
     const message = this.#codec.decode(frame);
--- a/packages/coordination/src/messageShapes.ts
+++ b/packages/coordination/src/messageShapes.ts
@@ -1,4 +1,4 @@
-/** Tells whether a received value has a given shape. */
+/** Type guard for a value received from a peer. */
 export type Shape<Value> = (value: unknown) => value is Value;
 
 type ShapeValue<Checked> = Checked extends Shape<infer Value> ? Value : never;
@@ -8,7 +8,7 @@
     : never;
 }[keyof Fields];
 
-/** The value that an {@link objectOf} shape describes. */
+/** Type of the values that an {@link objectOf} shape accepts. */
 export type ObjectValue<Fields> =
   & {
     readonly [Name in Exclude<keyof Fields, OptionalFields<Fields>>]:
@@ -21,7 +21,7 @@
 const MAX_TEXT_LENGTH = 1024;
 const MAX_LIST_LENGTH = 4096;
 
-/** A text of bounded length, with the brand that the caller names. */
+/** Accepts strings up to a maximum length, optionally branded. */
 export function textOf<Text extends string>(
   maximum = MAX_TEXT_LENGTH,
 ): Shape<Text> {
@@ -29,41 +29,41 @@
     typeof value === "string" && value.length <= maximum;
 }
 
-/** Any finite number, with the brand that the caller names. */
+/** Accepts finite numbers, optionally branded. */
 export function numberOf<Value extends number>(): Shape<Value> {
   return (value): value is Value =>
     typeof value === "number" && Number.isFinite(value);
 }
 
-/** True or false. */
+/** Accepts booleans. */
 export function isBoolean(value: unknown): value is boolean {
   return typeof value === "boolean";
 }
 
-/** Bytes, as msgpack carries them. */
+/** Accepts byte arrays, as decoded from msgpack. */
 export function isBytes(value: unknown): value is Uint8Array {
   return value instanceof Uint8Array;
 }
 
-/** Anything; the receiver checks it later. */
+/** Accepts any value; the receiver validates it. */
 export function isAnything(_value: unknown): _value is unknown {
   return true;
 }
 
-/** One of the given texts. */
+/** Accepts one of the given strings. */
 export function oneOf<Text extends string>(
   ...texts: readonly Text[]
 ): Shape<Text> {
   return (value): value is Text => texts.includes(value as Text);
 }
 
-/** The shape or nothing. */
+/** Accepts `undefined` or a value of the given shape. */
 export function optional<Value>(shape: Shape<Value>): Shape<Value | undefined> {
   return (value): value is Value | undefined =>
     value === undefined || shape(value);
 }
 
-/** A list of bounded length. */
+/** Accepts arrays up to a maximum length. */
 export function listOf<Item>(
   shape: Shape<Item>,
   maximum = MAX_LIST_LENGTH,
@@ -73,8 +73,8 @@
 }
 
 /**
- * An object with the given fields. Fields that are not named are ignored, so
- * that a newer release may add some while older ones still run.
+ * Accepts objects with the given fields. Unknown fields are ignored, so that
+ * newer releases can add fields.
  */
 export function objectOf<Fields extends Record<string, Shape<unknown>>>(
   fields: Fields,
@@ -87,7 +87,7 @@
   };
 }
 
-/** An object that any of the shapes describes. */
+/** Accepts values that match any of the shapes. */
 export function anyOf<Value>(...shapes: Shape<Value>[]): Shape<Value> {
   return (value): value is Value => shapes.some((shape) => shape(value));
 }
--- a/packages/coordination/src/messageStructures.ts
+++ b/packages/coordination/src/messageStructures.ts
@@ -1,12 +1,10 @@
 /**
  * Field names of the objects that hosts send often. Both ends know this table,
- * so that such an object travels as one byte and its values; spelled out, names
- * made up two thirds of a heartbeat and grew with every host and request.
+ * so an object with exactly these fields is encoded as one byte and its values.
  *
- * An object with other fields, or the same in another order, is spelled out: it
- * costs more and is understood all the same. The table is part of the protocol:
- * a release that changes it raises `PROTOCOL_VERSION`, or the other side reads
- * the values of one object under the names of another.
+ * An object whose fields or their order differ is encoded with its field names.
+ * The table is part of the protocol: changing it requires a new
+ * `PROTOCOL_VERSION`, otherwise receivers decode values under the wrong names.
  */
 export const MESSAGE_STRUCTURES: readonly (readonly string[])[] = [
   // Membership
--- a/packages/coordination/src/outboundConnection.ts
+++ b/packages/coordination/src/outboundConnection.ts
@@ -24,20 +24,20 @@
 import { MAX_FRAME_BYTES, type PeerCodec } from "./peerMessages.ts";
 import { HANDSHAKE_TIMEOUT_MS, type LinkIdentity } from "./linkIdentity.ts";
 
-/** Bytes that wait for one peer before messages to it are dropped. */
+/** Maximum bytes queued for one peer; further messages are dropped. */
 export const MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 
-/** Messages to a peer that cannot be reached for so long are old news. */
-const MAX_WAITING_MS = 5_000;
+/** Messages queued longer than this for an unreachable peer are dropped. */
+const MAX_QUEUE_TIME_MS = 5_000;
 const FIRST_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 1_000;
 const PING_PERIOD_MS = 1_000;
-/** A peer that answers no ping for so long is dialed anew. */
-const SILENCE_MS = 3_000;
-/** A connection that nobody used for so long is closed. */
-const IDLE_MS = 60_000;
+/** A connection without a pong for this time is closed and redialed. */
+const PONG_TIMEOUT_MS = 3_000;
+/** A connection without traffic for this time is closed. */
+const IDLE_TIMEOUT_MS = 60_000;
 
-/** What an {@link OutboundConnection} needs. */
+/** Dependencies and target of an {@link OutboundConnection}. */
 export interface OutboundConnectionOptions {
   readonly peer: HostId;
   /** Address of the peer port, `ip:port`. */
@@ -49,15 +49,15 @@
 }
 
 /**
- * The sending connection to one peer. It is dialed at the first message and
- * again, with jittered backoff, while messages come.
+ * Sends messages to one peer. The connection is dialed when the first message
+ * is sent and redialed with jittered backoff while messages are queued.
  */
 export class OutboundConnection {
   readonly address: string;
   readonly #options: OutboundConnectionOptions;
-  readonly #waiting: Buffer[] = [];
-  #waitingBytes = 0;
-  #waitingSince: Milliseconds = 0;
+  readonly #queue: Buffer[] = [];
+  #queuedBytes = 0;
+  #queuedSince: Milliseconds = 0;
   #socket: WebSocket | undefined;
   #isReady = false;
   #isClosed = false;
@@ -65,11 +65,11 @@
   #listenerChallenge = "";
   #channelBinding = "";
   #backoffMs = FIRST_BACKOFF_MS;
-  #redial: TimerSubscription | undefined;
-  #handshake: TimerSubscription | undefined;
-  #pinging: TimerSubscription | undefined;
-  #heardAt: Milliseconds = 0;
-  #usedAt: Milliseconds = 0;
+  #redialTimer: TimerSubscription | undefined;
+  #handshakeTimeout: TimerSubscription | undefined;
+  #pingInterval: TimerSubscription | undefined;
+  #lastPongAt: Milliseconds = 0;
+  #lastSentAt: Milliseconds = 0;
 
   constructor(options: OutboundConnectionOptions) {
     this.#options = options;
@@ -78,7 +78,7 @@
 
   send(frame: Buffer): void {
     if (this.#isClosed) return;
-    this.#usedAt = this.#options.timer.now();
+    this.#lastSentAt = this.#options.timer.now();
     if (this.#bufferedBytes() + frame.length > MAX_BUFFERED_BYTES) {
       this.#options.metrics.count("peer_messages_dropped", 1, {
         peer: this.#options.peer,
@@ -89,20 +89,22 @@
       this.#socket!.send(frame);
       return;
     }
-    if (this.#waiting.length === 0) this.#waitingSince = this.#usedAt;
-    this.#waiting.push(frame);
-    this.#waitingBytes += frame.length;
-    if (this.#socket === undefined && this.#redial === undefined) this.#dial();
+    if (this.#queue.length === 0) this.#queuedSince = this.#lastSentAt;
+    this.#queue.push(frame);
+    this.#queuedBytes += frame.length;
+    if (this.#socket === undefined && this.#redialTimer === undefined) {
+      this.#dial();
+    }
   }
 
   close(): void {
     this.#isClosed = true;
-    this.#redial?.cancel();
+    this.#redialTimer?.cancel();
     this.#dropSocket();
   }
 
   #bufferedBytes(): number {
-    return this.#waitingBytes + (this.#socket?.bufferedAmount ?? 0);
+    return this.#queuedBytes + (this.#socket?.bufferedAmount ?? 0);
   }
 
   #dial(): void {
@@ -110,12 +112,12 @@
     const scheme = identity.secureContext() === undefined ? "ws" : "wss";
     const socket = new WebSocket(`${scheme}://${this.address}/`, {
       ...identity.secureContext(),
-      checkServerIdentity: acceptAnyName,
+      checkServerIdentity: acceptAnyServerName,
       perMessageDeflate: false,
       maxPayload: MAX_FRAME_BYTES,
     });
     this.#socket = socket;
-    this.#handshake = timer.after(
+    this.#handshakeTimeout = timer.after(
       HANDSHAKE_TIMEOUT_MS,
       () => socket.terminate(),
     );
@@ -123,7 +125,7 @@
       this.#channelBinding = channelBindingOf(response.socket as TLSSocket);
     });
     socket.on("message", (data) => this.#onMessage(socket, data));
-    socket.on("pong", () => (this.#heardAt = timer.now()));
+    socket.on("pong", () => (this.#lastPongAt = timer.now()));
     socket.on("error", () => {});
     socket.on("close", () => this.#onClose(socket));
   }
@@ -132,12 +134,12 @@
     const message = this.#options.codec.decode(data as Buffer);
     if (message.isErr()) return this.#reject(socket, message.error.kind);
     const { kind, body } = message.value;
-    if (kind === CHALLENGE.kind) this.#answer(socket, body as Challenge);
-    else if (kind === WELCOME.kind) this.#verify(socket, body as Hello);
+    if (kind === CHALLENGE.kind) this.#sendHello(socket, body as Challenge);
+    else if (kind === WELCOME.kind) this.#verifyWelcome(socket, body as Hello);
     else this.#reject(socket, "unexpected");
   }
 
-  #answer(socket: WebSocket, { challenge }: Challenge): void {
+  #sendHello(socket: WebSocket, { challenge }: Challenge): void {
     const { identity, codec } = this.#options;
     this.#listenerChallenge = challenge;
     this.#challenge = identity.random.hex(CHALLENGE_BYTES);
@@ -153,7 +155,7 @@
     if (frame.isOk()) socket.send(frame.value);
   }
 
-  #verify(socket: WebSocket, hello: Hello): void {
+  #verifyWelcome(socket: WebSocket, hello: Hello): void {
     const { identity, peer } = this.#options;
     const input = {
       ...this.#proofInput({ side: "listener" }),
@@ -165,7 +167,7 @@
       isVersionSupported(hello.protocolVersion) &&
       isProofValid(identity.sharedSecrets(), hello.proof, input);
     if (!isPeer) return this.#reject(socket, "handshake");
-    this.#becomeReady(socket);
+    this.#onAuthenticated(socket);
   }
 
   #proofInput({ side }: { side: ProofInput["side"] }): ProofInput {
@@ -181,25 +183,25 @@
     };
   }
 
-  #becomeReady(socket: WebSocket): void {
+  #onAuthenticated(socket: WebSocket): void {
     const { timer } = this.#options;
-    this.#handshake?.cancel();
+    this.#handshakeTimeout?.cancel();
     this.#isReady = true;
     this.#backoffMs = FIRST_BACKOFF_MS;
-    this.#heardAt = timer.now();
-    this.#pinging = timer.every(PING_PERIOD_MS, () => this.#ping(socket));
-    for (const frame of this.#takeWaiting()) socket.send(frame);
+    this.#lastPongAt = timer.now();
+    this.#pingInterval = timer.every(PING_PERIOD_MS, () => this.#ping(socket));
+    for (const frame of this.#drainQueue()) socket.send(frame);
   }
 
-  #takeWaiting(): Buffer[] {
-    this.#waitingBytes = 0;
-    return this.#waiting.splice(0);
+  #drainQueue(): Buffer[] {
+    this.#queuedBytes = 0;
+    return this.#queue.splice(0);
   }
 
-  #dropOldWaiting(): void {
-    const waited = this.#options.timer.now() - this.#waitingSince;
-    if (this.#waiting.length === 0 || waited < MAX_WAITING_MS) return;
-    const dropped = this.#takeWaiting().length;
+  #dropExpiredQueue(): void {
+    const queuedFor = this.#options.timer.now() - this.#queuedSince;
+    if (this.#queue.length === 0 || queuedFor < MAX_QUEUE_TIME_MS) return;
+    const dropped = this.#drainQueue().length;
     this.#options.metrics.count("peer_messages_dropped", dropped, {
       peer: this.#options.peer,
     });
@@ -207,9 +209,9 @@
 
   #ping(socket: WebSocket): void {
     const now = this.#options.timer.now();
-    if (now - this.#usedAt > IDLE_MS) return socket.close();
-    // A peer that vanished without a word keeps TCP retrying for minutes; only silence tells.
-    if (now - this.#heardAt > SILENCE_MS) return socket.terminate();
+    if (now - this.#lastSentAt > IDLE_TIMEOUT_MS) return socket.close();
+    // TCP retries for minutes when the peer's host is lost.
+    if (now - this.#lastPongAt > PONG_TIMEOUT_MS) return socket.terminate();
     socket.ping();
   }
 
@@ -225,10 +227,10 @@
     const { timer, identity } = this.#options;
     const delay = this.#backoffMs * (0.5 + identity.random.float());
     this.#backoffMs = Math.min(this.#backoffMs * 2, MAX_BACKOFF_MS);
-    this.#redial = timer.after(delay, () => {
-      this.#redial = undefined;
-      this.#dropOldWaiting();
-      if (this.#waiting.length > 0) this.#dial();
+    this.#redialTimer = timer.after(delay, () => {
+      this.#redialTimer = undefined;
+      this.#dropExpiredQueue();
+      if (this.#queue.length > 0) this.#dial();
     });
   }
 
@@ -236,22 +238,25 @@
     const socket = this.#socket;
     this.#socket = undefined;
     this.#isReady = false;
-    this.#handshake?.cancel();
-    this.#pinging?.cancel();
+    this.#handshakeTimeout?.cancel();
+    this.#pingInterval?.cancel();
     socket?.terminate();
   }
 }
 
 /**
- * The handshake names the peer, and addresses come and go; a certificate only
- * has to be signed by the peers' authority. `undefined` is what Node.js reads as
- * "no error", other than the types of `ws` say.
+ * Accepts any server name: the handshake authenticates the host, and the
+ * certificate only has to be signed by the peers' CA. Node.js expects
+ * `undefined` for success, contrary to the types of `ws`.
  */
-function acceptAnyName(): boolean {
+function acceptAnyServerName(): boolean {
   return undefined as unknown as boolean;
 }
 
-/** Material that only the two ends of one TLS session share; empty without TLS. */
+/**
+ * Exports keying material that only the two ends of a TLS session share; empty
+ * without TLS.
+ */
 export function channelBindingOf(socket: TLSSocket): string {
   if (!socket.encrypted) return "";
   return socket.exportKeyingMaterial(
--- a/packages/coordination/src/peerMessages.ts
+++ b/packages/coordination/src/peerMessages.ts
@@ -4,33 +4,30 @@
 import { createPacker, FrameDecoder } from "./frameDecoder.ts";
 import type { Shape } from "./messageShapes.ts";
 
-/**
- * Largest frame between entry hosts. A whole bundle is at most a megabyte; more
- * than twice that is rubbish or an attack, and must not fill memory.
- */
+/** Largest frame between entry hosts; a bundle has at most one megabyte. */
 export const MAX_FRAME_BYTES = 2 * 1024 * 1024;
 
-/** One kind of peer message with the shape of its body. */
+/** Defines a kind of peer message and the shape of its body. */
 export interface MessageKind<Body> {
   readonly kind: string;
   readonly isBody: Shape<Body>;
 }
 
-/** Why a frame was not taken. */
+/** Why a frame was rejected. */
 export type FrameError =
   | { readonly kind: "too-large"; readonly bytes: number }
   | { readonly kind: "malformed"; readonly detail: string }
-  /** A kind of a newer release; ignored, since hosts are replaced one by one. */
+  /** Sent by a newer release, as during a rolling upgrade. */
   | { readonly kind: "unknown-kind"; readonly messageKind: string };
 
-/** Every kind of message that this release understands. */
+/** Holds the message kinds that this release understands. */
 export class MessageRegistry {
   readonly #kinds = new Map<string, MessageKind<unknown>>();
 
-  /** Adds a kind; two kinds of one name are a broken invariant. */
+  /** Adds a kind. Throws if the name is already registered. */
   register<Body>(kind: MessageKind<Body>): void {
     if (this.#kinds.has(kind.kind)) {
-      throw new Error(`Message kind is defined twice: ${kind.kind}`);
+      throw new Error(`Message kind "${kind.kind}" is already registered`);
     }
     this.#kinds.set(kind.kind, kind);
   }
@@ -40,10 +37,10 @@
   }
 }
 
-/** The kinds of this process; modules add theirs with {@link defineMessage}. */
+/** Holds the message kinds of this process; see {@link defineMessage}. */
 export const PEER_MESSAGE_REGISTRY: MessageRegistry = new MessageRegistry();
 
-/** Declares a kind of message and adds it to {@link PEER_MESSAGE_REGISTRY}. */
+/** Defines a message kind and registers it in {@link PEER_MESSAGE_REGISTRY}. */
 export function defineMessage<Body>(
   kind: string,
   isBody: Shape<Body>,
@@ -53,7 +50,7 @@
   return defined;
 }
 
-/** Sends a message of a declared kind. */
+/** Sends a message of a defined kind. */
 export function sendMessage<Body>(
   link: PeerLink,
   kind: MessageKind<Body>,
@@ -62,7 +59,10 @@
   link.send(options.to, { kind: kind.kind, body: options.body });
 }
 
-/** Subscribes to a declared kind; links check the body before they deliver it. */
+/**
+ * Subscribes to a defined kind and returns a function that unsubscribes.
+ * Messages with an invalid body are not delivered.
+ */
 export function subscribeMessage<Body>(
   link: PeerLink,
   kind: MessageKind<Body>,
@@ -74,8 +74,8 @@
 }
 
 /**
- * Turns messages into bounded msgpack frames and back. A message that goes to
- * many peers is packed once: frames are kept as long as their message lives.
+ * Encodes messages as size-limited msgpack frames and decodes them. Frames are
+ * cached per message object, so a broadcast message is encoded once.
  */
 export class PeerCodec {
   readonly #registry: MessageRegistry;
@@ -102,16 +102,19 @@
     if (frame.length > MAX_FRAME_BYTES) {
       return err({ kind: "too-large", bytes: frame.length });
     }
-    return this.#values.decode(frame).andThen((value) => this.#check(value));
+    return this.#values.decode(frame).andThen((value) => this.#validate(value));
   }
 
   #pack(message: PeerMessage): Buffer {
     return Buffer.from(this.#packer.pack([message.kind, message.body]));
   }
 
-  #check(value: unknown): Result<PeerMessage, FrameError> {
+  #validate(value: unknown): Result<PeerMessage, FrameError> {
     if (!Array.isArray(value) || typeof value[0] !== "string") {
-      return err({ kind: "malformed", detail: "The frame is not a message" });
+      return err({
+        kind: "malformed",
+        detail: "The frame does not contain a message",
+      });
     }
     const [kind, body] = value as [string, unknown];
     const known = this.#registry.find(kind);
@@ -121,7 +124,7 @@
     if (!known.isBody(body)) {
       return err({
         kind: "malformed",
-        detail: `The body does not fit ${kind}`,
+        detail: `The body of "${kind}" is invalid`,
       });
     }
     return ok({ kind, body });
--- a/packages/coordination/src/poisonRecordController.ts
+++ b/packages/coordination/src/poisonRecordController.ts
@@ -35,23 +35,23 @@
 } from "./poisonRecordTable.ts";
 
 const TICK_MS: Milliseconds = 200;
-/** Peers told at once; each passes news on, so that it reaches all in a few steps. */
-const FANOUT = 4;
+/** Peers that an update is sent to; each recipient forwards it. */
+const GOSSIP_FANOUT = 4;
+/** Number of ticks in which an update is sent, so that few hosts miss it. */
+const SENDS_PER_UPDATE = 3;
 /**
- * Ticks in which news is told. One telling to four peers misses about one host
- * in fifty; three leave one in a hundred thousand to the comparison of books.
+ * Interval at which the table is compared with a random peer's to recover lost
+ * updates.
  */
-const TELLINGS = 3;
-/** Books are compared with one peer so often, which repairs lost news. */
 const COMPARE_PERIOD_MS: Milliseconds = 1_000;
-const MAX_PER_MESSAGE = 64;
+const MAX_RECORDS_PER_MESSAGE = 64;
 
-/** Suspicions that hold now, for keepers that start later. */
+/** Current records, for pool schedulers that start later. */
 export const POISON_RECORDS: Topic<readonly SharedPoisonRecord[]> = createTopic<
   readonly SharedPoisonRecord[]
 >("suspicions", []);
 
-/** Tells suspicions that are news to the sender. */
+/** Sends records that changed the sender's table. */
 export const POISON_RECORD_UPDATE: MessageKind<
   { readonly suspicions: readonly SharedPoisonRecord[] }
 > = defineMessage(
@@ -64,16 +64,18 @@
         kind: oneOf("suspect", "cleared", "convicted", "ejected"),
         remainingMs: numberOf<Milliseconds>(),
       }),
-      MAX_PER_MESSAGE,
+      MAX_RECORDS_PER_MESSAGE,
     ),
   }),
 );
 
-/** Compares two books. */
+/** Digest of a table of poison records, for comparison with a peer's. */
 export interface PoisonRecordDigest {
   readonly count: number;
   readonly checksum: number;
-  /** Set on the way back, which gets no digest in return. */
+  /**
+   * Whether this replies to a digest; a reply is not answered with another one.
+   */
   readonly isAnswer: boolean;
 }
 /** See {@link PoisonRecordDigest}. */
@@ -89,19 +91,19 @@
     }),
   );
 
-/** What suspicions need to know of an entry host. */
+/** Fields of a member that the controller uses. */
 export interface PoisonRecordMember {
   readonly host: HostId;
   readonly state: "alive" | "suspect" | "dead";
 }
 
-/** Suspicions of one service, as its scheduler gives and takes them. */
+/** Poison records of one service, as exchanged with its scheduler. */
 export interface ServicePoisonRecords {
   readonly service: ServiceId;
   readonly records: readonly PoisonRecord[];
 }
 
-/** What a {@link PoisonRecordController} needs from its process. */
+/** Dependencies of a {@link PoisonRecordController}. */
 export interface PoisonRecordControllerOptions {
   readonly blackboard: Blackboard;
   readonly link: PeerLink;
@@ -109,24 +111,29 @@
   readonly random: Random;
   readonly metrics: Metrics;
   readonly members: Topic<readonly PoisonRecordMember[]>;
-  /** What the schedulers of this host learned since the last call. */
+  /**
+   * Returns the records created by this host's schedulers since the last call.
+   */
   readonly drain: () => readonly ServicePoisonRecords[];
-  /** Gives a scheduler of this host what others learned. */
-  readonly importPoisonRecords: (suspicions: ServicePoisonRecords) => void;
-  /** Upstreams that schedulers of this host hold ejected now. */
+  /** Passes records received from peers to this host's scheduler. */
+  readonly importPoisonRecords: (records: ServicePoisonRecords) => void;
+  /** Returns the upstreams currently ejected by this host's schedulers. */
   readonly ejections?: () => readonly SharedPoisonRecord[];
 }
 
 /**
- * Tells suspicions, convictions and ejections among the entry hosts: at once to
- * a few peers that pass them on, and by comparing books each second.
+ * Spreads poison records and ejections among the entry hosts by gossip and by
+ * periodic comparison of tables.
  */
 export class PoisonRecordController extends Controller {
   readonly #options: PoisonRecordControllerOptions;
-  readonly #book = new PoisonRecordTable();
-  readonly #endings: (() => void)[] = [];
-  #ticking: TimerSubscription[] = [];
-  #recent: { news: readonly SharedPoisonRecord[]; tellings: number }[] = [];
+  readonly #table = new PoisonRecordTable();
+  readonly #subscriptions: (() => void)[] = [];
+  #timers: TimerSubscription[] = [];
+  #recentUpdates: {
+    records: readonly SharedPoisonRecord[];
+    sends: number;
+  }[] = [];
 
   constructor(options: PoisonRecordControllerOptions) {
     super();
@@ -135,11 +142,11 @@
 
   override start(): void {
     const { link, timer } = this.#options;
-    this.#endings.push(
+    this.#subscriptions.push(
       subscribeMessage(
         link,
         POISON_RECORD_UPDATE,
-        (_from, { suspicions }) => this.#onNews(suspicions),
+        (_from, { suspicions }) => this.#onUpdate(suspicions),
       ),
       subscribeMessage(
         link,
@@ -147,70 +154,74 @@
         (from, digest) => this.#onDigest(from, digest),
       ),
     );
-    this.#ticking = [
+    this.#timers = [
       timer.every(TICK_MS, () => this.#tick()),
-      timer.every(COMPARE_PERIOD_MS, () => this.#compare()),
+      timer.every(COMPARE_PERIOD_MS, () => this.#sendComparison()),
     ];
   }
 
   override stop(): void {
-    for (const end of this.#endings.splice(0)) end();
-    for (const subscription of this.#ticking.splice(0)) subscription.cancel();
+    for (const end of this.#subscriptions.splice(0)) end();
+    for (const subscription of this.#timers.splice(0)) subscription.cancel();
   }
 
   /**
-   * Tells what the schedulers learned. Call it right after an upstream was
-   * lost, so that peers know before the caller can send the request again.
+   * Sends the records created by this host's schedulers. Call it right after an
+   * upstream failed, so that peers are informed before the caller retries.
    */
   flush(): void {
     const { drain, ejections } = this.#options;
-    const learned = drain().flatMap(({ service, records: suspicions }) =>
-      suspicions.map(({ fingerprint, kind, remainingMs }) => ({
+    const drained = drain().flatMap(({ service, records }) =>
+      records.map(({ fingerprint, kind, remainingMs }) => ({
         service,
         subject: fingerprint,
         kind,
         remainingMs,
       }))
     );
-    const own = [...learned, ...ejections?.() ?? []];
-    if (own.length > 0) this.#merge(own);
+    const local = [...drained, ...ejections?.() ?? []];
+    if (local.length > 0) this.#merge(local);
   }
 
   #tick(): void {
-    for (const recent of this.#recent) {
-      recent.tellings++;
-      this.#tell(recent.news);
+    for (const recent of this.#recentUpdates) {
+      recent.sends++;
+      this.#gossip(recent.records);
     }
-    this.#recent = this.#recent.filter(({ tellings }) => tellings < TELLINGS);
+    this.#recentUpdates = this.#recentUpdates.filter(({ sends }) =>
+      sends < SENDS_PER_UPDATE
+    );
     this.flush();
   }
 
-  #onNews(suspicions: readonly SharedPoisonRecord[]): void {
-    for (const absorbed of groupByService(this.#merge(suspicions))) {
-      this.#options.importPoisonRecords(absorbed);
+  #onUpdate(records: readonly SharedPoisonRecord[]): void {
+    for (const update of groupByService(this.#merge(records))) {
+      this.#options.importPoisonRecords(update);
     }
   }
 
-  #merge(suspicions: readonly SharedPoisonRecord[]): SharedPoisonRecord[] {
+  #merge(records: readonly SharedPoisonRecord[]): SharedPoisonRecord[] {
     const { blackboard, metrics, timer } = this.#options;
     const now = timer.now();
-    const news = this.#book.merge(suspicions, now);
-    if (news.length === 0) return news;
-    metrics.count("suspicions_learned", news.length);
-    blackboard.write(POISON_RECORDS, this.#book.entries(now));
-    this.#recent.push({ news, tellings: 1 });
-    this.#tell(news);
-    return news;
+    const updates = this.#table.merge(records, now);
+    if (updates.length === 0) return updates;
+    metrics.count("suspicions_learned", updates.length);
+    blackboard.write(POISON_RECORDS, this.#table.entries(now));
+    this.#recentUpdates.push({ records: updates, sends: 1 });
+    this.#gossip(updates);
+    return updates;
   }
 
-  #tell(news: readonly SharedPoisonRecord[]): void {
-    for (const peer of this.#pickPeers(FANOUT)) this.#send(peer, news);
+  #gossip(records: readonly SharedPoisonRecord[]): void {
+    for (const peer of this.#pickPeers(GOSSIP_FANOUT)) {
+      this.#send(peer, records);
+    }
   }
 
-  #compare(): void {
+  #sendComparison(): void {
     this.#options.blackboard.write(
       POISON_RECORDS,
-      this.#book.entries(this.#options.timer.now()),
+      this.#table.entries(this.#options.timer.now()),
     );
     for (const peer of this.#pickPeers(1)) {
       this.#sendDigest(peer, { isAnswer: false });
@@ -219,17 +230,21 @@
 
   #onDigest(from: HostId, digest: PoisonRecordDigest): void {
     const now = this.#options.timer.now();
-    const entries = this.#book.entries(now);
+    const entries = this.#table.entries(now);
     const isSame = digest.count === entries.length &&
-      digest.checksum === this.#book.checksum(now);
+      digest.checksum === this.#table.checksum(now);
     if (isSame) return;
     this.#send(from, entries);
     if (!digest.isAnswer) this.#sendDigest(from, { isAnswer: true });
   }
 
-  #send(to: HostId, suspicions: readonly SharedPoisonRecord[]): void {
-    for (let start = 0; start < suspicions.length; start += MAX_PER_MESSAGE) {
-      const part = suspicions.slice(start, start + MAX_PER_MESSAGE);
+  #send(to: HostId, records: readonly SharedPoisonRecord[]): void {
+    for (
+      let start = 0;
+      start < records.length;
+      start += MAX_RECORDS_PER_MESSAGE
+    ) {
+      const part = records.slice(start, start + MAX_RECORDS_PER_MESSAGE);
       sendMessage(this.#options.link, POISON_RECORD_UPDATE, {
         to,
         body: { suspicions: part },
@@ -239,8 +254,8 @@
 
   #sendDigest(to: HostId, { isAnswer }: { isAnswer: boolean }): void {
     const now = this.#options.timer.now();
-    const checksum = this.#book.checksum(now);
-    const body = { count: this.#book.size, checksum, isAnswer };
+    const checksum = this.#table.checksum(now);
+    const body = { count: this.#table.size, checksum, isAnswer };
     sendMessage(this.#options.link, POISON_RECORD_DIGEST, { to, body });
   }
 
@@ -257,7 +272,7 @@
   }
 }
 
-/** The request suspicions among shared ones, grouped for the schedulers. */
+/** Groups poison records by service and omits ejected upstreams. */
 export function groupByService(
   shared: readonly SharedPoisonRecord[],
 ): ServicePoisonRecords[] {
--- a/packages/coordination/src/poisonRecordTable.ts
+++ b/packages/coordination/src/poisonRecordTable.ts
@@ -6,39 +6,49 @@
 } from "@wasabivane/common";
 
 /**
- * What the hosts hold against request contents and upstreams, merged.
- *
- * Load pattern: a request that kills its upstream is sent again through another
- * host within a second, and a pool gets a new keeper that has seen nothing.
- * Without it each keeper learns at the price of its own upstreams. Entries are
- * merged so that order, repeats and paths do not matter: the graver or later
- * kind stands. The book is bounded by count; what ends soonest goes first.
+ * Maximum number of entries in a {@link PoisonRecordTable}; those that expire
+ * first are dropped.
  */
 export const MAX_POISON_RECORDS = 4_096;
 /**
- * Later ends count only by so much. Each hop adds its transit time to the span
- * that is left, and without this an entry passed in circles would never end.
+ * Minimum extension that counts as an update. Each hop adds transit time to the
+ * remaining time, so entries forwarded in a cycle would otherwise never expire.
  */
-const SLACK_MS: Milliseconds = 2_000;
+const MIN_EXTENSION_MS: Milliseconds = 2_000;
 
-/** Kinds by rising weight; a conviction stands until it ends. */
-const WEIGHT = { suspect: 0, cleared: 1, convicted: 2, ejected: 3 } as const;
+/**
+ * Precedence of the kinds; a higher one replaces a lower one until it expires.
+ */
+const PRECEDENCE = {
+  suspect: 0,
+  cleared: 1,
+  convicted: 2,
+  ejected: 3,
+} as const;
 
-/** One thing held against a request content or an upstream of a service. */
+/**
+ * Records that a request's content is suspected of crashing upstreams, or that
+ * an upstream of a service is ejected.
+ */
 export interface SharedPoisonRecord {
   readonly service: ServiceId;
-  /** The fingerprint of a request, or the upstream that is ejected. */
+  /** Fingerprint of the request, or the ejected upstream. */
   readonly subject: Digest | UpstreamId;
-  readonly kind: keyof typeof WEIGHT;
-  /** How long it holds on; clocks of hosts differ, spans do not. */
+  readonly kind: keyof typeof PRECEDENCE;
+  /**
+   * Time until it expires; sent as a duration because clocks of hosts differ.
+   */
   readonly remainingMs: Milliseconds;
 }
 
 interface Entry extends Omit<SharedPoisonRecord, "remainingMs"> {
-  readonly endsAt: Milliseconds;
+  readonly expiresAt: Milliseconds;
 }
 
-/** Keeps suspicions until they end; no timers and no messages. */
+/**
+ * Stores the merged records of all hosts until they expire. Merging is
+ * idempotent and independent of order.
+ */
 export class PoisonRecordTable {
   readonly #maximum: number;
   readonly #entries = new Map<string, Entry>();
@@ -51,28 +61,28 @@
     return this.#entries.size;
   }
 
-  /** Takes suspicions in; returns those that were news. */
+  /** Merges records and returns those that changed the table. */
   merge(
-    suspicions: readonly SharedPoisonRecord[],
+    records: readonly SharedPoisonRecord[],
     now: Milliseconds,
   ): SharedPoisonRecord[] {
-    const news = suspicions.filter((suspicion) => this.#take(suspicion, now));
-    this.#dropSoonest();
-    return news;
+    const updates = records.filter((record) => this.#add(record, now));
+    this.#enforceLimit();
+    return updates;
   }
 
-  /** Everything that holds now. */
+  /** Returns the unexpired entries. */
   entries(now: Milliseconds): SharedPoisonRecord[] {
-    this.#dropEnded(now);
-    return [...this.#entries.values()].map(({ endsAt, ...entry }) => ({
+    this.#removeExpired(now);
+    return [...this.#entries.values()].map(({ expiresAt, ...entry }) => ({
       ...entry,
-      remainingMs: endsAt - now,
+      remainingMs: expiresAt - now,
     }));
   }
 
-  /** Equal for equal books, whatever order they were filled in. */
+  /** Returns a checksum that does not depend on the order of insertion. */
   checksum(now: Milliseconds): number {
-    this.#dropEnded(now);
+    this.#removeExpired(now);
     let sum = 0;
     for (const [key, { kind }] of this.#entries) {
       sum = (sum + hashOf(`${key} ${kind}`)) >>> 0;
@@ -80,38 +90,38 @@
     return sum;
   }
 
-  #take(suspicion: SharedPoisonRecord, now: Milliseconds): boolean {
-    const { remainingMs, ...rest } = suspicion;
+  #add(record: SharedPoisonRecord, now: Milliseconds): boolean {
+    const { remainingMs, ...rest } = record;
     if (!(remainingMs > 0)) return false;
-    const entry = { ...rest, endsAt: now + remainingMs };
+    const entry = { ...rest, expiresAt: now + remainingMs };
     const key = keyOf(entry);
     const known = this.#entries.get(key);
-    const isKnown = known !== undefined && known.endsAt > now;
-    if (isKnown && !isNews(entry, known)) return false;
+    const isKnown = known !== undefined && known.expiresAt > now;
+    if (isKnown && !isUpdate(entry, known)) return false;
     this.#entries.set(key, entry);
     return true;
   }
 
-  #dropEnded(now: Milliseconds): void {
-    for (const [key, { endsAt }] of this.#entries) {
-      if (endsAt <= now) this.#entries.delete(key);
+  #removeExpired(now: Milliseconds): void {
+    for (const [key, { expiresAt }] of this.#entries) {
+      if (expiresAt <= now) this.#entries.delete(key);
     }
   }
 
-  #dropSoonest(): void {
+  #enforceLimit(): void {
     const excess = this.#entries.size - this.#maximum;
     if (excess <= 0) return;
-    const byEnd = [...this.#entries].sort(([, left], [, right]) =>
-      left.endsAt - right.endsAt
+    const byExpiry = [...this.#entries].sort(([, left], [, right]) =>
+      left.expiresAt - right.expiresAt
     );
-    for (const [key] of byEnd.slice(0, excess)) this.#entries.delete(key);
+    for (const [key] of byExpiry.slice(0, excess)) this.#entries.delete(key);
   }
 }
 
-function isNews(entry: Entry, known: Entry): boolean {
-  const difference = WEIGHT[entry.kind] - WEIGHT[known.kind];
+function isUpdate(entry: Entry, known: Entry): boolean {
+  const difference = PRECEDENCE[entry.kind] - PRECEDENCE[known.kind];
   if (difference !== 0) return difference > 0;
-  return entry.endsAt > known.endsAt + SLACK_MS;
+  return entry.expiresAt > known.expiresAt + MIN_EXTENSION_MS;
 }
 
 function keyOf({ service, subject, kind }: Entry): string {
--- a/packages/coordination/src/poolClient.ts
+++ b/packages/coordination/src/poolClient.ts
@@ -41,24 +41,24 @@
 
 const SYNC_PERIOD_MS = 1_000;
 
-/** What a client of the keepers needs from its process. */
+/** Dependencies of a {@link PoolClient}. */
 export interface PoolClientOptions {
   readonly blackboard: Blackboard;
   readonly link: PeerLink;
   readonly timer: Timer;
   readonly metrics: Metrics;
   readonly members: Topic<readonly PoolMember[]>;
-  /** The keeper in this process, reached without the link. */
+  /** Returns the coordinator in this process, which is called directly. */
   readonly localCoordinator: () => PoolCoordinator;
 }
 
 interface Waiting {
-  readonly ask: PlacementRequest;
+  readonly placementRequest: PlacementRequest;
   readonly decide: (decision: Decision) => void;
 }
 
 interface Running {
-  readonly ask: PlacementRequest;
+  readonly placementRequest: PlacementRequest;
   readonly upstream: UpstreamId;
   readonly grantedAt: Milliseconds;
   hasFirstToken: boolean;
@@ -67,19 +67,19 @@
 interface Pool {
   readonly waiting: Map<RequestId, Waiting>;
   readonly running: Map<RequestId, Running>;
-  keeper: PoolMember | undefined;
+  coordinator: PoolMember | undefined;
 }
 
 /**
- * Holds this host's waiting and running requests of every pool and talks to
- * the pools' keepers. A keeper may vanish at any moment: its successor gets
- * everything again, and decisions of a former keeper are not followed.
+ * Holds this host's waiting and running requests of every pool and sends them
+ * to the pools' coordinators. When the coordinator changes, everything is
+ * reported to the new one, and decisions of the former one are ignored.
  */
 export class PoolClient extends Controller {
   readonly #options: PoolClientOptions;
   readonly #pools = new Map<ServiceId, Pool>();
   readonly #subscriptions: (() => void)[] = [];
-  #syncing: TimerSubscription | undefined;
+  #syncTimer: TimerSubscription | undefined;
 
   constructor(options: PoolClientOptions) {
     super();
@@ -99,63 +99,69 @@
         POOL_REPORT_WANTED,
         (from, { service }) => this.#onReportWanted(from, service),
       ),
-      blackboard.watch(members, () => this.#followKeepers()),
+      blackboard.watch(members, () => this.#updateCoordinators()),
     );
-    this.#syncing = timer.every(SYNC_PERIOD_MS, () => this.#sync());
+    this.#syncTimer = timer.every(SYNC_PERIOD_MS, () => this.#sync());
   }
 
   override stop(): void {
     for (const unsubscribe of this.#subscriptions.splice(0)) unsubscribe();
-    this.#syncing?.cancel();
+    this.#syncTimer?.cancel();
   }
 
-  /** Asks for a place; `decide` is called once unless the ask is withdrawn. */
+  /**
+   * Submits a request; `decide` is called once unless the request is withdrawn.
+   */
   submit(
     service: ServiceId,
-    ask: PlacementRequest,
+    placementRequest: PlacementRequest,
     { decide }: { decide: (decision: Decision) => void },
   ): void {
     const pool = this.#poolOf(service);
-    pool.waiting.set(ask.request, { ask, decide });
-    if (pool.keeper === undefined) return;
-    if (this.#isLocal(pool)) {
-      this.#options.localCoordinator().submit(service, ask);
+    pool.waiting.set(placementRequest.request, { placementRequest, decide });
+    if (pool.coordinator === undefined) return;
+    if (this.#isCoordinatorLocal(pool)) {
+      this.#options.localCoordinator().submit(service, placementRequest);
       return;
     }
-    const wire = toWirePlacementRequest(ask, this.#options.timer.now());
+    const wire = toWirePlacementRequest(
+      placementRequest,
+      this.#options.timer.now(),
+    );
     this.#send(pool, POOL_PLACEMENT_REQUEST, { service, ask: wire });
   }
 
-  /** Takes back an ask that still waits; false when it was decided already. */
+  /** Withdraws a waiting request; false if it was already decided. */
   withdraw(service: ServiceId, request: RequestId): boolean {
     const pool = this.#poolOf(service);
     if (!pool.waiting.delete(request)) return false;
     const body = { service, request };
-    if (this.#isLocal(pool)) this.#options.localCoordinator().withdraw(body);
-    else this.#send(pool, POOL_WITHDRAW, body);
+    if (this.#isCoordinatorLocal(pool)) {
+      this.#options.localCoordinator().withdraw(body);
+    } else this.#send(pool, POOL_WITHDRAW, body);
     return true;
   }
 
-  /** Tells the keeper that the first token of a request arrived. */
+  /** Reports the first token of a request to the coordinator. */
   recordFirstToken(service: ServiceId, request: RequestId): void {
     const pool = this.#poolOf(service);
     const running = pool.running.get(request);
     if (running === undefined || running.hasFirstToken) return;
     running.hasFirstToken = true;
     const body = { service, request };
-    if (this.#isLocal(pool)) {
+    if (this.#isCoordinatorLocal(pool)) {
       this.#options.localCoordinator().recordFirstToken(body);
     } else this.#send(pool, POOL_FIRST_TOKEN, body);
   }
 
-  /** Tells the keeper that a granted request ended. */
+  /** Reports the end of a granted request to the coordinator. */
   finish(service: ServiceId, report: AttemptReport): void {
     const pool = this.#poolOf(service);
     if (!pool.running.delete(report.request)) return;
-    this.#tellFinish(pool, service, report);
+    this.#reportFinish(pool, service, report);
   }
 
-  /** Counts of this host's requests by pool. */
+  /** Returns this host's request counts by pool. */
   status(): {
     service: ServiceId;
     waiting: number;
@@ -166,40 +172,46 @@
       service,
       waiting: pool.waiting.size,
       running: pool.running.size,
-      keeper: pool.keeper?.host,
+      keeper: pool.coordinator?.host,
     }));
   }
 
-  /** Follows a decision of the keeper in this process. */
+  /** Applies a decision of the coordinator in this process. */
   applyLocalDecision(service: ServiceId, decision: Decision): void {
     const pool = this.#poolOf(service);
-    if (!this.#isLocal(pool)) return;
-    this.#follow(service, decision);
+    if (!this.#isCoordinatorLocal(pool)) return;
+    this.#applyDecision(service, decision);
   }
 
   #onDecision(from: HostId, { service, decision }: DecisionMessage): void {
     const pool = this.#poolOf(service);
-    if (pool.keeper?.host !== from) {
+    if (pool.coordinator?.host !== from) {
       this.#options.metrics.count("pool.decision_of_former_keeper");
       return;
     }
     const waiting = pool.waiting.get(decision.request);
     if (waiting !== undefined) {
       const { request: _request, ...rest } = decision;
-      this.#follow(service, { ...rest, placementRequest: waiting.ask });
+      this.#applyDecision(service, {
+        ...rest,
+        placementRequest: waiting.placementRequest,
+      });
     } else if (decision.kind === "grant") {
-      this.#giveBack(pool, service, decision);
+      this.#returnGrant(pool, service, decision);
     }
   }
 
-  /** A grant for a request that no longer waits frees its place, or the place is lost until the next sync. */
-  #giveBack(
+  /**
+   * Returns a grant for a request that no longer waits; otherwise its slot
+   * stays occupied until the next sync.
+   */
+  #returnGrant(
     pool: Pool,
     service: ServiceId,
     { request, upstream }: { request: RequestId; upstream: UpstreamId },
   ): void {
     if (pool.running.has(request)) return;
-    this.#tellFinish(pool, service, {
+    this.#reportFinish(pool, service, {
       request,
       upstream,
       outcome: "cancelled",
@@ -207,20 +219,23 @@
     });
   }
 
-  #follow(service: ServiceId, decision: Decision): void {
+  #applyDecision(service: ServiceId, decision: Decision): void {
     const pool = this.#poolOf(service);
     const { request } = decision.placementRequest;
     const waiting = pool.waiting.get(request);
     if (waiting === undefined) {
       if (decision.kind === "grant") {
-        this.#giveBack(pool, service, { request, upstream: decision.upstream });
+        this.#returnGrant(pool, service, {
+          request,
+          upstream: decision.upstream,
+        });
       }
       return;
     }
     pool.waiting.delete(request);
     if (decision.kind === "grant") {
       pool.running.set(request, {
-        ask: waiting.ask,
+        placementRequest: waiting.placementRequest,
         upstream: decision.upstream,
         grantedAt: this.#options.timer.now(),
         hasFirstToken: false,
@@ -229,13 +244,13 @@
     waiting.decide(decision);
   }
 
-  #followKeepers(): void {
+  #updateCoordinators(): void {
     for (const [service, pool] of this.#pools) {
-      const keeper = this.#currentKeeper(service);
-      const isSame = keeper?.host === pool.keeper?.host &&
-        keeper?.incarnation === pool.keeper?.incarnation;
+      const coordinator = this.#currentCoordinator(service);
+      const isSame = coordinator?.host === pool.coordinator?.host &&
+        coordinator?.incarnation === pool.coordinator?.incarnation;
       if (isSame) continue;
-      pool.keeper = keeper;
+      pool.coordinator = coordinator;
       this.#options.metrics.count("pool.keeper_changed");
       this.#report(pool, service);
     }
@@ -243,26 +258,26 @@
 
   #onReportWanted(from: HostId, service: ServiceId): void {
     const pool = this.#poolOf(service);
-    if (pool.keeper?.host === from) this.#report(pool, service);
+    if (pool.coordinator?.host === from) this.#report(pool, service);
   }
 
   #report(pool: Pool, service: ServiceId): void {
-    if (pool.keeper === undefined) return;
-    const report = this.#reportOf(pool, service);
-    if (this.#isLocal(pool)) {
+    if (pool.coordinator === undefined) return;
+    const report = this.#createReport(pool, service);
+    if (this.#isCoordinatorLocal(pool)) {
       this.#options.localCoordinator().report(this.#options.link.self, report);
     } else {
       this.#send(pool, POOL_REPORT, report);
     }
   }
 
-  #reportOf(pool: Pool, service: ServiceId): ReportMessage {
+  #createReport(pool: Pool, service: ServiceId): ReportMessage {
     const now = this.#options.timer.now();
-    const waiting = [...pool.waiting.values()].map(({ ask }) =>
-      toWirePlacementRequest(ask, now)
+    const waiting = [...pool.waiting.values()].map(({ placementRequest }) =>
+      toWirePlacementRequest(placementRequest, now)
     );
     const running = [...pool.running.values()].map((attempt) => ({
-      ask: toWirePlacementRequest(attempt.ask, now),
+      ask: toWirePlacementRequest(attempt.placementRequest, now),
       upstream: attempt.upstream,
       runningFor: now - attempt.grantedAt,
       hasFirstToken: attempt.hasFirstToken,
@@ -272,7 +287,9 @@
 
   #sync(): void {
     for (const [service, pool] of this.#pools) {
-      if (pool.keeper === undefined || this.#isLocal(pool)) continue;
+      if (pool.coordinator === undefined || this.#isCoordinatorLocal(pool)) {
+        continue;
+      }
       const requests = [...pool.waiting.keys(), ...pool.running.keys()];
       const body = {
         service,
@@ -284,8 +301,8 @@
     }
   }
 
-  #tellFinish(pool: Pool, service: ServiceId, report: AttemptReport): void {
-    if (this.#isLocal(pool)) {
+  #reportFinish(pool: Pool, service: ServiceId, report: AttemptReport): void {
+    if (this.#isCoordinatorLocal(pool)) {
       this.#options.localCoordinator().finish(service, report);
     } else this.#send(pool, POOL_FINISH, { service, report });
   }
@@ -296,24 +313,24 @@
       pool = {
         waiting: new Map(),
         running: new Map(),
-        keeper: this.#currentKeeper(service),
+        coordinator: this.#currentCoordinator(service),
       };
       this.#pools.set(service, pool);
     }
     return pool;
   }
 
-  #currentKeeper(service: ServiceId): PoolMember | undefined {
+  #currentCoordinator(service: ServiceId): PoolMember | undefined {
     const { blackboard, members } = this.#options;
     return coordinatorOf(service, blackboard.read(members));
   }
 
-  #isLocal(pool: Pool): boolean {
-    return pool.keeper?.host === this.#options.link.self;
+  #isCoordinatorLocal(pool: Pool): boolean {
+    return pool.coordinator?.host === this.#options.link.self;
   }
 
   #send<Body>(pool: Pool, kind: MessageKind<Body>, body: Body): void {
-    if (pool.keeper === undefined) return;
-    sendMessage(this.#options.link, kind, { to: pool.keeper.host, body });
+    if (pool.coordinator === undefined) return;
+    sendMessage(this.#options.link, kind, { to: pool.coordinator.host, body });
   }
 }
--- a/packages/coordination/src/poolCoordinator.ts
+++ b/packages/coordination/src/poolCoordinator.ts
@@ -41,27 +41,27 @@
 } from "./poolMessages.ts";
 
 const TICK_PERIOD_MS = 50;
-/** Longest wait of a new keeper for the members' reports; one heartbeat timeout is plenty. */
+/** Maximum time that a new coordinator waits for the members' reports. */
 const RECOVERY_MS = 1_000;
-/** A scheduler that nobody asked for so long is dropped. */
-const IDLE_MS = 60_000;
+/** A scheduler without requests for this time is removed. */
+const IDLE_TIMEOUT_MS = 60_000;
 
-/** What a keeper needs from its process. */
+/** Dependencies of a {@link PoolCoordinator}. */
 export interface PoolCoordinatorOptions {
   readonly blackboard: Blackboard;
   readonly link: PeerLink;
   readonly timer: Timer;
   readonly metrics: Metrics;
   readonly members: Topic<readonly PoolMember[]>;
-  /** Share of the listed hosts that this one hears, itself included. */
+  /** Share of listed hosts that this host can reach, including itself. */
   readonly reachableShare: Topic<number>;
-  /** Policy of a service under the bundle in force. */
+  /** Returns the policy of a service from the bundle in force. */
   readonly policyOf: (service: ServiceId) => PoolPolicy | undefined;
   readonly createScheduler: (
     service: ServiceId,
     policy: PoolPolicy,
   ) => Scheduler;
-  /** Takes decisions for requests of this host. */
+  /** Receives decisions for requests of this host. */
   readonly onLocalDecision: (service: ServiceId, decision: Decision) => void;
 }
 
@@ -80,18 +80,18 @@
 }
 
 /**
- * Runs the schedulers of the pools that other entries ask this host to keep.
+ * Runs the schedulers of the pools that this host coordinates.
  *
- * A keeper serves whoever asks it, also when its own view names another host:
- * views differ for seconds after a change, and a refusal would only make
- * callers wait. Two keepers then over-admit by at most a factor of two, and
- * in a partition each fills only the share of hosts that it hears.
+ * A coordinator serves every host that submits to it, even if its own
+ * membership names another coordinator: memberships differ for seconds after a
+ * change. Two coordinators of a pool admit at most twice its capacity; in a
+ * partition, each one uses only the share of hosts that it can reach.
  */
 export class PoolCoordinator extends Controller {
   readonly #options: PoolCoordinatorOptions;
   readonly #pools = new Map<ServiceId, Pool>();
   readonly #subscriptions: (() => void)[] = [];
-  #ticking: TimerSubscription | undefined;
+  #tickTimer: TimerSubscription | undefined;
 
   constructor(options: PoolCoordinatorOptions) {
     super();
@@ -99,14 +99,13 @@
   }
 
   override start(): void {
-    const { blackboard, link, timer, members, reachableShare: fleetShare } =
-      this.#options;
+    const { blackboard, link, timer, members, reachableShare } = this.#options;
     this.#subscriptions.push(
       subscribeMessage(
         link,
         POOL_PLACEMENT_REQUEST,
         (from, { service, ask }) =>
-          this.submit(service, this.#askOf(ask, from)),
+          this.submit(service, this.#decodePlacementRequest(ask, from)),
       ),
       subscribeMessage(
         link,
@@ -137,41 +136,46 @@
         members,
         (value, former) => this.#onMembers(value, former),
       ),
-      blackboard.watch(fleetShare, () => this.#applyShares()),
+      blackboard.watch(reachableShare, () => this.#applyShares()),
     );
-    this.#ticking = timer.every(TICK_PERIOD_MS, () => this.#tick());
+    this.#tickTimer = timer.every(TICK_PERIOD_MS, () => this.#tick());
   }
 
   override stop(): void {
     for (const unsubscribe of this.#subscriptions.splice(0)) unsubscribe();
-    this.#ticking?.cancel();
+    this.#tickTimer?.cancel();
     this.#pools.clear();
   }
 
-  /** Services whose pools this host keeps now, with their schedulers. */
+  /** Returns the schedulers of the pools that this host coordinates. */
   schedulers(): ReadonlyMap<ServiceId, Scheduler> {
     return new Map(
       [...this.#pools].map(([service, pool]) => [service, pool.scheduler]),
     );
   }
 
-  /** Takes a request of the given origin into the pool of a service. */
-  submit(service: ServiceId, ask: PlacementRequest): void {
+  /** Submits a request to the pool of a service. */
+  submit(service: ServiceId, placementRequest: PlacementRequest): void {
     const pool = this.#poolOf(service);
     if (pool === undefined) {
-      this.#deliver(service, refusalOf(ask));
+      this.#deliver(service, createRefusal(placementRequest));
       return;
     }
-    const known = pool.requests.get(ask.request);
+    const known = pool.requests.get(placementRequest.request);
     if (known !== undefined) {
       if (known.decision !== undefined) this.#deliver(service, known.decision);
       return;
     }
-    pool.requests.set(ask.request, { origin: ask.origin });
-    this.#deliverAll(service, pool.scheduler.submit(ask, this.#now()));
+    pool.requests.set(placementRequest.request, {
+      origin: placementRequest.origin,
+    });
+    this.#deliverAll(
+      service,
+      pool.scheduler.submit(placementRequest, this.#now()),
+    );
   }
 
-  /** Takes back a request that still waits. */
+  /** Withdraws a waiting request. */
   withdraw({ service, request }: RequestMessage): void {
     const pool = this.#pools.get(service);
     if (pool?.scheduler.withdraw(request, this.#now())) {
@@ -179,39 +183,39 @@
     }
   }
 
-  /** Notes the first token of a running request. */
+  /** Records the first token of a running request. */
   recordFirstToken({ service, request }: RequestMessage): void {
     this.#pools.get(service)?.scheduler.recordFirstToken(request, this.#now());
   }
 
-  /** Frees the place of a request that ended. */
+  /** Frees the slot of a finished request. */
   finish(service: ServiceId, report: AttemptReport): void {
     const pool = this.#pools.get(service);
     if (pool === undefined || !pool.requests.delete(report.request)) return;
     this.#deliverAll(service, pool.scheduler.finish(report, this.#now()));
   }
 
-  /** Makes the pool's picture of one origin equal to what the origin says of itself. */
+  /** Synchronizes the requests of one origin with its report. */
   report(origin: HostId, report: ReportMessage): void {
     const pool = this.#poolOf(report.service);
     if (pool === undefined) return;
     pool.reported.add(origin);
-    this.#adoptRunning(pool, origin, report);
-    this.#dropUnreported(pool, origin, report);
+    this.#adoptRunningRequests(pool, origin, report);
+    this.#removeUnreported(pool, origin, report);
     for (const wire of report.waiting) {
-      this.submit(report.service, this.#askOf(wire, origin));
+      this.submit(report.service, this.#decodePlacementRequest(wire, origin));
     }
     this.#endRecovery(pool, report.service);
   }
 
-  /** Passes on an engine's load report. */
+  /** Forwards an engine's load report to the scheduler. */
   applyLoadReport(service: ServiceId, report: LoadReport): void {
     const scheduler = this.#pools.get(service)?.scheduler;
     if (scheduler === undefined) return;
     this.#deliverAll(service, scheduler.applyLoadReport(report, this.#now()));
   }
 
-  /** Passes on an engine's cache event. */
+  /** Forwards an engine's cache event to the scheduler. */
   applyCacheEvent(service: ServiceId, event: CacheEvent): void {
     this.#pools.get(service)?.scheduler.applyCacheEvent(event, this.#now());
   }
@@ -232,21 +236,25 @@
     });
   }
 
-  #adoptRunning(pool: Pool, origin: HostId, { running }: ReportMessage): void {
+  #adoptRunningRequests(
+    pool: Pool,
+    origin: HostId,
+    { running }: ReportMessage,
+  ): void {
     const now = this.#now();
     for (const { ask: wire, upstream, runningFor, hasFirstToken } of running) {
       if (pool.requests.get(wire.request)?.decision !== undefined) continue;
       pool.scheduler.withdraw(wire.request, now);
-      const ask = this.#askOf(wire, origin);
+      const placementRequest = this.#decodePlacementRequest(wire, origin);
       const decision: Decision = {
         kind: "grant",
-        placementRequest: ask,
+        placementRequest,
         upstream,
         expectedCachedTokens: 0,
       };
       pool.requests.set(wire.request, { origin, decision });
       pool.scheduler.adopt({
-        placementRequest: ask,
+        placementRequest,
         upstream,
         grantedAt: now - runningFor,
         hasFirstToken,
@@ -254,7 +262,7 @@
     }
   }
 
-  #dropUnreported(pool: Pool, origin: HostId, report: ReportMessage): void {
+  #removeUnreported(pool: Pool, origin: HostId, report: ReportMessage): void {
     const reported = new Set([
       ...report.waiting.map(({ request }) => request),
       ...report.running.map(({ ask }) => ask.request),
@@ -262,7 +270,7 @@
     for (const [request, tracked] of [...pool.requests]) {
       if (tracked.origin !== origin || reported.has(request)) continue;
       if (tracked.decision?.kind === "grant") {
-        this.finish(report.service, cancelledAttempt(tracked.decision));
+        this.finish(report.service, createCancelledReport(tracked.decision));
       } else {
         this.withdraw({ service: report.service, request });
         pool.requests.delete(request);
@@ -280,12 +288,14 @@
       ) => [member.host, member]),
     );
     for (const { host, incarnation } of former) {
-      if (alive.get(host)?.incarnation !== incarnation) this.#dropOrigin(host);
+      if (alive.get(host)?.incarnation !== incarnation) {
+        this.#removeOrigin(host);
+      }
     }
     for (const [service, pool] of this.#pools) this.#endRecovery(pool, service);
   }
 
-  #dropOrigin(host: HostId): void {
+  #removeOrigin(host: HostId): void {
     for (const [service, pool] of this.#pools) {
       for (const [request, { origin }] of pool.requests) {
         if (origin === host) pool.requests.delete(request);
@@ -312,7 +322,7 @@
       this.#pools.set(service, pool);
       pool.scheduler.setCapacityShare(0, now);
       this.#options.metrics.count("pool.keeper_started");
-      this.#askForReports(service);
+      this.#requestReports(service);
       this.#endRecovery(pool, service);
     }
     pool.usedAt = now;
@@ -320,24 +330,27 @@
   }
 
   /**
-   * A new keeper knows nothing of what runs already. Granting at once would
-   * fill every upstream a second time; it waits until each member that is
-   * alive has reported, and no longer than a dead one takes to be noticed.
+   * Ends recovery once every alive member has reported or the recovery time is
+   * over. Granting earlier would ignore running requests and overload the
+   * upstreams.
    */
   #endRecovery(pool: Pool, service: ServiceId): void {
     if (!pool.isRecovering) return;
     const { blackboard, members, link } = this.#options;
-    const hasAll = blackboard.read(members)
+    const haveAllReported = blackboard.read(members)
       .filter(({ state, host }) => state === "alive" && host !== link.self)
       .every(({ host }) => pool.reported.has(host));
-    const isOver = this.#now() - pool.startedAt >= RECOVERY_MS;
-    if (!hasAll && !isOver) return;
+    const hasTimedOut = this.#now() - pool.startedAt >= RECOVERY_MS;
+    if (!haveAllReported && !hasTimedOut) return;
     pool.isRecovering = false;
     this.#applyShare(pool, service);
   }
 
-  /** Members that never used the pool would not report by themselves. */
-  #askForReports(service: ServiceId): void {
+  /**
+   * Requests reports from all members, including those that have not used the
+   * pool.
+   */
+  #requestReports(service: ServiceId): void {
     const { blackboard, members, link } = this.#options;
     for (const { host, state } of blackboard.read(members)) {
       if (host === link.self || state === "dead") continue;
@@ -358,7 +371,7 @@
     );
   }
 
-  /** Applies the policies of a new bundle to the pools that run. */
+  /** Applies the policies of a new bundle to running pools. */
   refreshPolicies(): void {
     for (const [service, pool] of this.#pools) {
       const policy = this.#options.policyOf(service);
@@ -372,17 +385,17 @@
     for (const [service, pool] of this.#pools) {
       this.#endRecovery(pool, service);
       this.#deliverAll(service, pool.scheduler.tick(now));
-      if (this.#isAbandoned(pool, service)) this.#pools.delete(service);
+      if (this.#isUnused(pool, service)) this.#pools.delete(service);
     }
   }
 
-  #isAbandoned(pool: Pool, service: ServiceId): boolean {
+  #isUnused(pool: Pool, service: ServiceId): boolean {
     const { blackboard, members, link } = this.#options;
     if (pool.requests.size > 0) return false;
     if (coordinatorOf(service, blackboard.read(members))?.host === link.self) {
       return false;
     }
-    return this.#now() - pool.usedAt > IDLE_MS;
+    return this.#now() - pool.usedAt > IDLE_TIMEOUT_MS;
   }
 
   #deliverAll(service: ServiceId, decisions: readonly Decision[]): void {
@@ -390,14 +403,14 @@
   }
 
   #deliver(service: ServiceId, decision: Decision): void {
-    const { link, onLocalDecision: decideLocally } = this.#options;
+    const { link, onLocalDecision } = this.#options;
     const requests = this.#pools.get(service)?.requests;
     const tracked = requests?.get(decision.placementRequest.request);
     if (decision.kind === "refuse") {
       requests?.delete(decision.placementRequest.request);
     } else if (tracked !== undefined) tracked.decision = decision;
     if (decision.placementRequest.origin === link.self) {
-      decideLocally(service, decision);
+      onLocalDecision(service, decision);
       return;
     }
     sendMessage(link, POOL_DECISION, {
@@ -406,7 +419,10 @@
     });
   }
 
-  #askOf(wire: WirePlacementRequest, origin: HostId): PlacementRequest {
+  #decodePlacementRequest(
+    wire: WirePlacementRequest,
+    origin: HostId,
+  ): PlacementRequest {
     return fromWirePlacementRequest(wire, { origin, now: this.#now() });
   }
 
@@ -415,20 +431,20 @@
   }
 }
 
-function refusalOf(ask: PlacementRequest): Decision {
+function createRefusal(placementRequest: PlacementRequest): Decision {
   return {
     kind: "refuse",
-    placementRequest: ask,
+    placementRequest,
     reason: "no-upstream",
     retryAfter: RECOVERY_MS,
   };
 }
 
-function cancelledAttempt(
-  { placementRequest: ask, upstream }: Extract<Decision, { kind: "grant" }>,
+function createCancelledReport(
+  { placementRequest, upstream }: Extract<Decision, { kind: "grant" }>,
 ): AttemptReport {
   return {
-    request: ask.request,
+    request: placementRequest.request,
     upstream,
     outcome: "cancelled",
     outputTokens: 0,
--- a/packages/coordination/src/poolMembers.ts
+++ b/packages/coordination/src/poolMembers.ts
@@ -4,7 +4,7 @@
   type ServiceId,
 } from "@wasabivane/common";
 
-/** What pools need to know of an entry host. */
+/** Fields of a member that pools use. */
 export interface PoolMember {
   readonly host: HostId;
   readonly incarnation: string;
@@ -12,12 +12,15 @@
   readonly isLeaving: boolean;
 }
 
-/** The member that keeps a pool: the first alive one by rendezvous order. */
+/**
+ * Returns the coordinator of a pool: the first eligible member in rendezvous
+ * order.
+ */
 export function coordinatorOf(
   service: ServiceId,
   members: readonly PoolMember[],
 ): PoolMember | undefined {
-  const candidates = members.filter(canKeep);
+  const candidates = members.filter(isEligible);
   const [first] = rendezvousOrder(
     `pool:${service}`,
     candidates.map(({ host }) => host),
@@ -25,6 +28,6 @@
   return candidates.find(({ host }) => host === first);
 }
 
-function canKeep(member: PoolMember): boolean {
+function isEligible(member: PoolMember): boolean {
   return member.state !== "dead" && !member.isLeaving;
 }
--- a/packages/coordination/src/poolMessages.ts
+++ b/packages/coordination/src/poolMessages.ts
@@ -28,18 +28,18 @@
 } from "./messageShapes.ts";
 import { defineMessage, type MessageKind } from "./peerMessages.ts";
 
-/** Most asks in one report; a pool's bounds are far lower. */
-const MAX_REPORTED = 65_536;
+/** Maximum number of requests or attempts in one report. */
+const MAX_REPORTED_REQUESTS = 65_536;
 
 const isRequest = textOf<RequestId>();
 const isService = textOf<ServiceId>();
 const isUpstream = textOf<UpstreamId>();
 
 /**
- * An {@link PlacementRequest} as it crosses hosts. Monotonic clocks of two hosts share no
- * origin, so that the deadline travels as the time that is left.
+ * A placement request as sent between hosts. The deadline is sent as remaining
+ * time, since monotonic clocks of two hosts have different origins.
  */
-const isWireAsk = objectOf({
+const isWirePlacementRequest = objectOf({
   request: isRequest,
   originDomain: textOf<FailureDomain>(),
   account: textOf<ClientAccountId>(),
@@ -67,9 +67,9 @@
   estimate: optional(numberOf<Milliseconds>()),
 });
 
-/** An attempt that runs at an upstream, as told to a new keeper. */
+/** A running attempt, as reported to a new coordinator. */
 const isWireAttempt = objectOf({
-  ask: isWireAsk,
+  ask: isWirePlacementRequest,
   upstream: isUpstream,
   runningFor: numberOf<Milliseconds>(),
   hasFirstToken: isBoolean,
@@ -85,13 +85,13 @@
 
 const isRequestBody = objectOf({ service: isService, request: isRequest });
 
-/** An entry wants a place for a request. */
+/** Sends a placement request to the coordinator. */
 export const POOL_PLACEMENT_REQUEST = defineMessage(
   "pool-ask",
-  objectOf({ service: isService, ask: isWireAsk }),
+  objectOf({ service: isService, ask: isWirePlacementRequest }),
 );
 
-/** The keeper decided; the entry still holds the ask. */
+/** Sends the coordinator's decision to the request's origin. */
 export const POOL_DECISION = defineMessage(
   "pool-decision",
   objectOf({
@@ -100,32 +100,32 @@
   }),
 );
 
-/** A request that waited wants no place any more. */
+/** Withdraws a waiting request. */
 export const POOL_WITHDRAW = defineMessage("pool-withdraw", isRequestBody);
 
-/** The first token of a running request arrived. */
+/** Reports the first token of a running request. */
 export const POOL_FIRST_TOKEN = defineMessage(
   "pool-first-token",
   isRequestBody,
 );
 
-/** A running request ended. */
+/** Reports the end of a running request. */
 export const POOL_FINISH = defineMessage(
   "pool-finish",
   objectOf({ service: isService, report: isAttemptReport }),
 );
 
-/** All that one entry has waiting and running in a pool. */
+/** Reports all waiting and running requests of one host in a pool. */
 export const POOL_REPORT = defineMessage(
   "pool-report",
   objectOf({
     service: isService,
-    waiting: listOf(isWireAsk, MAX_REPORTED),
-    running: listOf(isWireAttempt, MAX_REPORTED),
+    waiting: listOf(isWirePlacementRequest, MAX_REPORTED_REQUESTS),
+    running: listOf(isWireAttempt, MAX_REPORTED_REQUESTS),
   }),
 );
 
-/** A checksum of the same, to notice lost messages cheaply. */
+/** Sends a checksum of a host's requests in a pool, to detect lost messages. */
 export const POOL_SYNC = defineMessage(
   "pool-sync",
   objectOf({
@@ -136,7 +136,10 @@
   }),
 );
 
-/** The keeper's picture of an entry differs; it wants a report. */
+/**
+ * Requests a {@link POOL_REPORT}, because the checksum differs or the
+ * coordinator is new.
+ */
 export const POOL_REPORT_WANTED = defineMessage(
   "pool-report-wanted",
   objectOf({ service: isService }),
@@ -146,10 +149,10 @@
 type Checked<Check> = Check extends Shape<infer Value> ? Value : never;
 
 /** See {@link POOL_PLACEMENT_REQUEST}. */
-export type WirePlacementRequest = Checked<typeof isWireAsk>;
-/** A grant as it crosses hosts. */
+export type WirePlacementRequest = Checked<typeof isWirePlacementRequest>;
+/** A grant as sent between hosts. */
 export type WireGrant = Checked<typeof isWireGrant>;
-/** A refusal as it crosses hosts. */
+/** A refusal as sent between hosts. */
 export type WireRefusal = Checked<typeof isWireRefusal>;
 /** See {@link POOL_PLACEMENT_REQUEST}. */
 export type PlacementRequestMessage = BodyOf<typeof POOL_PLACEMENT_REQUEST>;
@@ -164,16 +167,19 @@
 /** See {@link POOL_SYNC}. */
 export type SyncMessage = BodyOf<typeof POOL_SYNC>;
 
-/** Prepares an ask for the wire. */
+/** Encodes a placement request for sending. */
 export function toWirePlacementRequest(
-  ask: PlacementRequest,
+  placementRequest: PlacementRequest,
   now: Milliseconds,
 ): WirePlacementRequest {
-  const { origin: _origin, deadline, ...rest } = ask;
+  const { origin: _origin, deadline, ...rest } = placementRequest;
   return { ...rest, timeLeft: deadline - now };
 }
 
-/** Restores an ask on the receiver's clock; `origin` is the authenticated sender. */
+/**
+ * Decodes a placement request, with its deadline on the receiver's clock;
+ * `origin` is the authenticated sender.
+ */
 export function fromWirePlacementRequest(
   wire: WirePlacementRequest,
   { origin, now }: { origin: HostId; now: Milliseconds },
@@ -182,13 +188,13 @@
   return { ...rest, origin, deadline: now + timeLeft };
 }
 
-/** Prepares a decision for the wire. */
+/** Encodes a decision for sending. */
 export function toWireDecision(decision: Decision): WireGrant | WireRefusal {
-  const { placementRequest: ask, ...rest } = decision;
-  return { ...rest, request: ask.request };
+  const { placementRequest, ...rest } = decision;
+  return { ...rest, request: placementRequest.request };
 }
 
-/** A sum over request ids in which their order does not matter. */
+/** Returns a checksum of request ids that does not depend on their order. */
 export function checksumOf(requests: Iterable<RequestId>): number {
   let sum = 0;
   for (const request of requests) sum = (sum + hashOf(request)) >>> 0;
--- a/packages/coordination/src/responseMessages.ts
+++ b/packages/coordination/src/responseMessages.ts
@@ -11,34 +11,36 @@
 } from "./messageShapes.ts";
 import { defineMessage, type MessageKind } from "./peerMessages.ts";
 
-/** Most parts in one message. */
+/** Maximum number of parts in one message. */
 const MAX_PARTS = 1_024;
 const MAX_HEADERS = 32;
 
 const isHeader = objectOf({ name: textOf<string>(), value: textOf<string>() });
 
-/** Asks the owner of a request for its answer from a position on. */
+/**
+ * Requests a response from the owner of its request, starting at a position.
+ */
 export interface ResponseReadRequest {
   readonly request: RequestId;
-  /** Numbers the reads of one host; the piece repeats it. */
+  /** Number of the read; the reply repeats it. */
   readonly read: number;
-  /** Steps that the reader has: the head counts as one, each part as one. */
+  /** Steps already received; the response head and each part count as one. */
   readonly position: number;
 }
 
-/** A piece of an answer, in reply to {@link ResponseReadRequest}. */
+/** Part of a response, sent in reply to a {@link ResponseReadRequest}. */
 export interface ResponseChunk {
   readonly request: RequestId;
   readonly read: number;
   readonly position: number;
-  /** False when the owner no longer has the answer from its first byte. */
+  /** False if the owner no longer holds the start of the response. */
   readonly isKept: boolean;
   readonly status?: number | undefined;
   readonly headers?:
     | readonly { readonly name: string; readonly value: string }[]
     | undefined;
   readonly parts: readonly Uint8Array[];
-  /** How the answer ended, as JSON of the owner's release. */
+  /** How the response ended, as JSON. */
   readonly end?: string | undefined;
 }
 
@@ -53,7 +55,7 @@
     }),
   );
 
-const isPiece: Shape<ResponseChunk> = objectOf({
+const isResponseChunk: Shape<ResponseChunk> = objectOf({
   request: textOf<RequestId>(),
   read: numberOf<number>(),
   position: numberOf<number>(),
@@ -67,4 +69,4 @@
 /** See {@link ResponseChunk}. */
 export const RESPONSE_CHUNK: MessageKind<ResponseChunk> = defineMessage<
   ResponseChunk
->("answer-piece", isPiece);
+>("answer-piece", isResponseChunk);
--- a/packages/coordination/src/stopController.ts
+++ b/packages/coordination/src/stopController.ts
@@ -21,39 +21,44 @@
 import { type StopMember, type StopSender, StopSlots } from "./stopSlots.ts";
 
 const TICK_MS: Milliseconds = 100;
-const ASK_PERIOD_MS: Milliseconds = 500;
-/** Time for answers that ended last to reach their other hosts. */
-const LAST_HANDOVER_MS: Milliseconds = 2_000;
-/** A lost release would hold the slot for the time of a death. */
-const RELEASES = 3;
+const REQUEST_PERIOD_MS: Milliseconds = 500;
+/** Minimum time for handing over jobs that finished last. */
+const MIN_FINAL_HANDOVER_MS: Milliseconds = 2_000;
+/** Number of times the release is sent, in case messages are lost. */
+const RELEASE_SENDS = 3;
 
-/** How far a planned stop is. */
+/** Phase of a planned stop. */
 export type StopPhase =
   | { readonly kind: "serving" }
-  /** Other hosts of the failure domain are stopping; this one serves on. */
+  /**
+   * Other hosts of the failure domain are stopping; this host keeps serving.
+   */
   | { readonly kind: "waiting-for-slot" }
-  /** Readiness is off and the balancer has time to notice; requests are served. */
+  /**
+   * Readiness is off, so that the load balancer drains; requests are still
+   * served.
+   */
   | { readonly kind: "unready" }
-  /** No new connections; running answers finish and waiting work moves. */
+  /** No new connections; running streams finish and waiting jobs move. */
   | { readonly kind: "draining" }
-  /** Answers that ended last go to other hosts. */
+  /** Jobs that finished last are handed over to other hosts. */
   | { readonly kind: "handing-over" }
-  /** The process may end. */
+  /** The process may exit. */
   | {
     readonly kind: "ended";
-    /** Answers that still ran when the plan's time was up. */
+    /** Streams still running when the plan's time ran out. */
     readonly openStreams: number;
-    /** Whether every job was handed over. */
+    /** Whether all jobs were handed over. */
     readonly isHandedOver: boolean;
   };
 
-/** The phase of this host's planned stop. */
+/** Phase of this host's planned stop. */
 export const STOP_PHASE: Topic<StopPhase> = createTopic<StopPhase>(
   "stop-phase",
   { kind: "serving" },
 );
 
-/** Asks a host of the same failure domain for a slot. */
+/** Requests a stop slot from a host of the same failure domain. */
 export const STOP_SLOT_REQUEST: MessageKind<
   { readonly clock: number; readonly incarnation: string }
 > = defineMessage(
@@ -61,7 +66,7 @@
   objectOf({ clock: numberOf<number>(), incarnation: textOf<string>() }),
 );
 
-/** Answers {@link STOP_SLOT_REQUEST}. */
+/** Replies to {@link STOP_SLOT_REQUEST}. */
 export const STOP_SLOT_REPLY: MessageKind<
   {
     readonly clock: number;
@@ -77,11 +82,11 @@
   }),
 );
 
-/** Tells that a process has ended its stop. */
+/** Announces that a process has finished its stop. */
 export const STOP_SLOT_RELEASE: MessageKind<{ readonly incarnation: string }> =
   defineMessage("stop-release", objectOf({ incarnation: textOf<string>() }));
 
-/** What a {@link StopController} needs from its process. */
+/** Dependencies of a {@link StopController}. */
 export interface StopControllerOptions {
   readonly blackboard: Blackboard;
   readonly link: PeerLink;
@@ -90,23 +95,26 @@
   readonly incarnation: string;
   readonly failureDomain: FailureDomain;
   readonly members: Topic<readonly StopMember[]>;
-  /** Answers that run on this host now. */
+  /** Returns the number of streams running on this host. */
   readonly openStreams: () => number;
-  /** Moves jobs to other hosts; see `JobService`. */
+  /** Moves jobs to other hosts; see `JobService.handOver`. */
   readonly handOver: (withinMs: Milliseconds) => Promise<boolean>;
-  /** Tells the members that this host leaves. */
+  /** Announces to the members whether this host is leaving. */
   readonly setLeaving: (isLeaving: boolean) => void;
 }
 
-/** Stops this host by a stop plan: slowly enough to cut nothing. */
+/**
+ * Stops this host according to a stop plan, without interrupting running
+ * streams before the plan's time is up.
+ */
 export class StopController extends Controller {
   readonly #options: StopControllerOptions;
   readonly #slots: StopSlots;
-  readonly #endings: (() => void)[] = [];
-  #ticking: TimerSubscription[] = [];
+  readonly #subscriptions: (() => void)[] = [];
+  #timers: TimerSubscription[] = [];
   #plan: StopPlan | undefined;
-  #heldAt: Milliseconds = 0;
-  #handingOver: Promise<boolean> | undefined;
+  #acquiredAt: Milliseconds = 0;
+  #handover: Promise<boolean> | undefined;
 
   constructor(options: StopControllerOptions) {
     super();
@@ -120,12 +128,12 @@
   override start(): void {
     const { blackboard, link, timer, members } = this.#options;
     this.#onMembers(blackboard.read(members));
-    this.#endings.push(
+    this.#subscriptions.push(
       blackboard.watch(members, (value) => this.#onMembers(value)),
       subscribeMessage(
         link,
         STOP_SLOT_REQUEST,
-        (from, body) => this.#onAsk({ ...body, host: from }),
+        (from, body) => this.#onSlotRequest({ ...body, host: from }),
       ),
       subscribeMessage(link, STOP_SLOT_REPLY, (from, body) => {
         const sender = { ...body, host: from };
@@ -137,24 +145,24 @@
         (_from, { incarnation }) => this.#slots.applyRelease(incarnation),
       ),
     );
-    this.#ticking = [
+    this.#timers = [
       timer.every(TICK_MS, () => this.#tick()),
-      timer.every(ASK_PERIOD_MS, () => this.#askNeighbours()),
+      timer.every(REQUEST_PERIOD_MS, () => this.#requestSlot()),
     ];
   }
 
   override stop(): void {
-    for (const end of this.#endings.splice(0)) end();
-    for (const subscription of this.#ticking.splice(0)) subscription.cancel();
+    for (const end of this.#subscriptions.splice(0)) end();
+    for (const subscription of this.#timers.splice(0)) subscription.cancel();
   }
 
-  /** Orders this host to stop by a plan; a second order changes nothing. */
+  /** Starts a planned stop; later calls have no effect. */
   requestStop(plan: StopPlan): void {
     if (this.#plan !== undefined) return;
     this.#plan = plan;
     this.#slots.request();
-    this.#enter({ kind: "waiting-for-slot" });
-    this.#askNeighbours();
+    this.#enterPhase({ kind: "waiting-for-slot" });
+    this.#requestSlot();
     this.#tick();
   }
 
@@ -166,7 +174,7 @@
     this.#slots.setMembers(members, this.#options.timer.now());
   }
 
-  #onAsk(sender: StopSender): void {
+  #onSlotRequest(sender: StopSender): void {
     const { link, timer, incarnation } = this.#options;
     const isGranted = this.#slots.handleRequest(sender, timer.now());
     const { clock, host: to } = sender;
@@ -174,7 +182,7 @@
     sendMessage(link, STOP_SLOT_REPLY, { to, body });
   }
 
-  #askNeighbours(): void {
+  #requestSlot(): void {
     const ticket = this.#slots.requestTimestamp;
     if (ticket === undefined) return;
     const { link, incarnation } = this.#options;
@@ -189,42 +197,44 @@
     if (plan === undefined) return;
     const { timer, openStreams } = this.#options;
     const now = timer.now();
-    const elapsed = now - this.#heldAt;
+    const elapsed = now - this.#acquiredAt;
     const { kind } = this.#phase;
     if (kind === "waiting-for-slot") {
-      if (this.#slots.tryAcquire(plan.hostsAtOnce, now)) this.#turnUnready(now);
+      if (this.#slots.tryAcquire(plan.hostsAtOnce, now)) {
+        this.#becomeUnready(now);
+      }
     } else if (kind === "unready") {
       if (elapsed >= plan.readinessMs) this.#drain(plan);
     } else if (kind === "draining") {
-      const isOver = elapsed >= plan.streamsMs;
-      if (openStreams() === 0 || isOver) void this.#finish(plan, elapsed);
+      const hasTimedOut = elapsed >= plan.streamsMs;
+      if (openStreams() === 0 || hasTimedOut) void this.#finish(plan, elapsed);
     }
   }
 
-  #turnUnready(now: Milliseconds): void {
-    this.#heldAt = now;
-    this.#enter({ kind: "unready" });
+  #becomeUnready(now: Milliseconds): void {
+    this.#acquiredAt = now;
+    this.#enterPhase({ kind: "unready" });
     this.#options.setLeaving(true);
   }
 
-  /** Waiting work moves while answers finish; it need not wait for them. */
+  /** Waiting jobs are handed over while streams finish. */
   #drain({ handoverMs, readinessMs }: StopPlan): void {
-    this.#enter({ kind: "draining" });
+    this.#enterPhase({ kind: "draining" });
     const withinMs = Math.max(0, handoverMs - readinessMs);
-    this.#handingOver = this.#options.handOver(withinMs);
+    this.#handover = this.#options.handOver(withinMs);
   }
 
   async #finish(plan: StopPlan, elapsed: Milliseconds): Promise<void> {
     const { handOver, openStreams, metrics } = this.#options;
-    this.#enter({ kind: "handing-over" });
-    await this.#handingOver;
-    const withinMs = Math.max(LAST_HANDOVER_MS, plan.handoverMs - elapsed);
+    this.#enterPhase({ kind: "handing-over" });
+    await this.#handover;
+    const withinMs = Math.max(MIN_FINAL_HANDOVER_MS, plan.handoverMs - elapsed);
     const isHandedOver = await handOver(withinMs);
     const unfinished = openStreams();
     if (unfinished > 0) metrics.count("stop_unfinished_streams", unfinished);
     if (!isHandedOver) metrics.count("stop_unfinished_handovers");
     this.#release();
-    this.#enter({ kind: "ended", openStreams: unfinished, isHandedOver });
+    this.#enterPhase({ kind: "ended", openStreams: unfinished, isHandedOver });
   }
 
   #release(): void {
@@ -233,14 +243,14 @@
     const neighbours = blackboard.read(members).filter((member) =>
       member.failureDomain === failureDomain && member.host !== link.self
     );
-    for (let times = 0; times < RELEASES; times++) {
+    for (let sent = 0; sent < RELEASE_SENDS; sent++) {
       for (const { host: to } of neighbours) {
         sendMessage(link, STOP_SLOT_RELEASE, { to, body: { incarnation } });
       }
     }
   }
 
-  #enter(phase: StopPhase): void {
+  #enterPhase(phase: StopPhase): void {
     this.#options.metrics.count("stop_phases", 1, { phase: phase.kind });
     this.#options.blackboard.write(STOP_PHASE, phase);
   }
--- a/packages/coordination/src/stopSlots.ts
+++ b/packages/coordination/src/stopSlots.ts
@@ -1,24 +1,9 @@
 import type { FailureDomain, HostId, Milliseconds } from "@wasabivane/common";
 
-/**
- * Decides when this host may stop, so that few hosts of one failure domain stop
- * at once.
- *
- * Load pattern: an operator, or a rollout that went wrong, stops several hosts of
- * a domain in the same second. Without it their callers all move to the hosts
- * that are left, which then shed. The hosts of the domain grant each other by
- * logical clocks (Ricart and Agrawala): who asked first goes first, so two that
- * ask at once cannot both be refused or both go. A host may go while fewer
- * others than there are slots have not granted it.
- */
-
-/**
- * A host that died without releasing its slot holds it so long; its callers
- * press on the others meanwhile.
- */
+/** How long a host that died without releasing its slot keeps it. */
 export const SLOT_HOLD_MS: Milliseconds = 60_000;
 
-/** What stopping needs to know of an entry host. */
+/** Fields of a member that planned stops use. */
 export interface StopMember {
   readonly host: HostId;
   readonly incarnation: string;
@@ -26,38 +11,47 @@
   readonly state: "alive" | "suspect" | "dead";
 }
 
-/** When a host asked; earlier tickets go first. */
+/**
+ * Logical timestamp of a host's slot request; earlier requests take precedence.
+ */
 export interface StopTimestamp {
   readonly clock: number;
   readonly host: HostId;
 }
 
-/** A message of another host, with the process that sent it. */
+/** Sender and logical clock of a message about stop slots. */
 export interface StopSender {
   readonly host: HostId;
   readonly incarnation: string;
   readonly clock: number;
 }
 
-type Standing = "idle" | "asking" | "holding";
+type SlotState = "idle" | "asking" | "holding";
 
-/** The slots of one failure domain, as one of its hosts sees them. */
+/**
+ * Limits how many hosts of one failure domain stop at once, so that the
+ * remaining hosts are not overloaded.
+ *
+ * The hosts of the domain grant each other slots by the Ricart-Agrawala
+ * algorithm: requests are ordered by logical clocks. A host may stop while
+ * fewer other hosts than there are slots have not granted its request.
+ */
 export class StopSlots {
   readonly #self: HostId;
   readonly #domain: FailureDomain;
-  readonly #granted = new Set<HostId>();
-  /** Processes that this host let go first while it asked itself. */
-  readonly #yielded = new Map<
+  readonly #grants = new Set<HostId>();
+  /** Processes granted ahead of this host's own request. */
+  readonly #grantedBeforeOwn = new Map<
     HostId,
     { incarnation: string; until: Milliseconds }
   >();
-  /** Incarnations that ended their stop. */
-  readonly #released = new Set<string>();
+  /** Incarnations that have finished their stop. */
+  readonly #releasedIncarnations = new Set<string>();
   readonly #deadSince = new Map<HostId, Milliseconds>();
   #neighbours: readonly StopMember[] = [];
   #clock = 0;
-  #standing: Standing = "idle";
-  #ticket: StopTimestamp | undefined;
+  #state: SlotState = "idle";
+  #requestTimestamp: StopTimestamp | undefined;
 
   constructor(
     { self, domain }: { self: HostId; domain: FailureDomain },
@@ -67,7 +61,7 @@
   }
 
   get requestTimestamp(): StopTimestamp | undefined {
-    return this.#ticket;
+    return this.#requestTimestamp;
   }
 
   setMembers(members: readonly StopMember[], now: Milliseconds): void {
@@ -80,82 +74,86 @@
     }
   }
 
-  /** Starts to ask; asking again changes nothing. */
+  /** Requests a slot; later calls have no effect. */
   request(): StopTimestamp {
-    if (this.#ticket === undefined) {
+    if (this.#requestTimestamp === undefined) {
       this.#clock++;
-      this.#ticket = { clock: this.#clock, host: this.#self };
-      this.#standing = "asking";
+      this.#requestTimestamp = { clock: this.#clock, host: this.#self };
+      this.#state = "asking";
     }
-    return this.#ticket;
+    return this.#requestTimestamp;
   }
 
-  /** Hosts whose grant is still wanted. */
+  /** Returns the hosts whose grant is still missing. */
   hostsToAsk(): HostId[] {
-    if (this.#standing !== "asking") return [];
+    if (this.#state !== "asking") return [];
     return this.#neighbours
-      .filter(({ host, state }) => state !== "dead" && !this.#granted.has(host))
+      .filter(({ host, state }) => state !== "dead" && !this.#grants.has(host))
       .map(({ host }) => host);
   }
 
-  /** Whether this host grants a neighbour's ticket. */
+  /** Handles a neighbour's request and returns whether it is granted. */
   handleRequest(
     { host, incarnation, clock }: StopSender,
     now: Milliseconds,
   ): boolean {
     this.#clock = Math.max(this.#clock, clock) + 1;
-    if (this.#standing === "holding") return false;
-    if (this.#ticket === undefined) return true;
-    if (!isEarlierTicket({ clock, host }, this.#ticket)) return false;
-    // A grant came from that host before it asked, or from a process that ran
-    // there earlier and may have granted more; both are void, also if they come
-    // late, since this host would else stop together with the one it yields to.
-    this.#granted.delete(host);
-    this.#yielded.set(host, { incarnation, until: now + SLOT_HOLD_MS });
+    if (this.#state === "holding") return false;
+    if (this.#requestTimestamp === undefined) return true;
+    if (!isEarlierRequest({ clock, host }, this.#requestTimestamp)) {
+      return false;
+    }
+    // An earlier grant by that host, or by a former process on it, no longer
+    // holds; otherwise both hosts could stop at once.
+    this.#grants.delete(host);
+    this.#grantedBeforeOwn.set(host, {
+      incarnation,
+      until: now + SLOT_HOLD_MS,
+    });
     return true;
   }
 
-  /** Takes a neighbour's grant of one of this host's tickets. */
+  /** Applies a neighbour's grant of this host's request. */
   applyGrant(
     { host, incarnation, clock }: StopSender,
     now: Milliseconds,
   ): void {
     this.#clock = Math.max(this.#clock, clock);
-    if (clock !== this.#ticket?.clock) return;
-    const yielded = this.#yielded.get(host);
-    const isVoid = yielded !== undefined && yielded.until > now &&
-      yielded.incarnation !== incarnation;
-    if (!isVoid) this.#granted.add(host);
+    if (clock !== this.#requestTimestamp?.clock) return;
+    const granted = this.#grantedBeforeOwn.get(host);
+    const isRevoked = granted !== undefined && granted.until > now &&
+      granted.incarnation !== incarnation;
+    if (!isRevoked) this.#grants.add(host);
   }
 
-  /** A neighbour's process has ended its stop. */
+  /** Records that a neighbour's process has finished its stop. */
   applyRelease(incarnation: string): void {
-    this.#released.add(incarnation);
+    this.#releasedIncarnations.add(incarnation);
   }
 
-  /** Takes a slot if one is free; a slot once taken is kept to the end. */
+  /** Acquires a slot if one is free; it is kept until the process ends. */
   tryAcquire(slots: number, now: Milliseconds): boolean {
-    if (this.#standing === "holding") return true;
-    if (this.#standing !== "asking") return false;
-    const taken = this.#neighbours.filter((member) =>
-      this.#isTaking(member, now)
+    if (this.#state === "holding") return true;
+    if (this.#state !== "asking") return false;
+    const occupying = this.#neighbours.filter((member) =>
+      this.#occupiesSlot(member, now)
     );
-    if (taken.length >= slots) return false;
-    this.#standing = "holding";
+    if (occupying.length >= slots) return false;
+    this.#state = "holding";
     return true;
   }
 
-  #isTaking(
+  #occupiesSlot(
     { host, incarnation, state }: StopMember,
     now: Milliseconds,
   ): boolean {
-    if (state !== "dead") return !this.#granted.has(host);
-    if (this.#released.has(incarnation)) return false;
+    if (state !== "dead") return !this.#grants.has(host);
+    if (this.#releasedIncarnations.has(incarnation)) return false;
     return now - (this.#deadSince.get(host) ?? now) < SLOT_HOLD_MS;
   }
 }
 
-function isEarlierTicket(left: StopTimestamp, right: StopTimestamp): boolean {
+function isEarlierRequest(left: StopTimestamp, right: StopTimestamp): boolean {
   if (left.clock !== right.clock) return left.clock < right.clock;
   return left.host < right.host;
 }
--- a/packages/coordination/src/viewController.ts
+++ b/packages/coordination/src/viewController.ts
@@ -39,9 +39,12 @@
   viewOfHostList,
 } from "./views.ts";
 
-/** Time between lease requests; two rounds may be lost before a lease runs out. */
+/**
+ * Interval between lease requests; shorter than a lease, so that lost requests
+ * do not end it.
+ */
 export const LEASE_RENEWAL_PERIOD_MS: Milliseconds = 600;
-/** Views that one message names; more than a few may be active only in deep trouble. */
+/** Maximum number of views in one message. */
 const MAX_VIEWS = 64;
 
 const viewShape: Shape<View> = objectOf({
@@ -78,10 +81,10 @@
   }),
 );
 
-/** What the status page says about views. */
+/** View status for the status page. */
 export interface ViewStatus {
   readonly newest: View | undefined;
-  /** Whether this host may decide about bare keys. */
+  /** Whether this host may decide about caller-generated keys. */
   readonly isActive: boolean;
 }
 
@@ -91,7 +94,7 @@
   { newest: undefined, isActive: false },
 );
 
-/** What a {@link ViewController} needs from its process. */
+/** Dependencies of a {@link ViewController}. */
 export interface ViewControllerOptions {
   readonly host: HostId;
   readonly incarnation: Incarnation;
@@ -101,13 +104,16 @@
   readonly metrics: Metrics;
 }
 
-/** Asks for leases, grants them, and tells when this host may act as a home of keys. */
+/**
+ * Requests and grants leases, and tells in which view this host may act as a
+ * home of keys.
+ */
 export class ViewController extends Controller {
   readonly #options: ViewControllerOptions;
   readonly #clock: ElapsedClock;
   readonly #lease: ViewLease;
   readonly #subscriptions: (() => void)[] = [];
-  #rounds: TimerSubscription | undefined;
+  #renewal: TimerSubscription | undefined;
 
   constructor(options: ViewControllerOptions) {
     super();
@@ -125,50 +131,56 @@
       subscribeMessage(link, LEASE_REPLY, (from, body) => {
         this.#lease.applyReply(from, body, this.#clock.now());
       }),
-      blackboard.watch(HOST_LIST, () => this.#adoptList()),
+      blackboard.watch(HOST_LIST, () => this.#applyHostList()),
+    );
+    this.#applyHostList();
+    this.#renewal = timer.every(
+      LEASE_RENEWAL_PERIOD_MS,
+      () => this.#requestLeases(),
     );
-    this.#adoptList();
-    this.#rounds = timer.every(LEASE_RENEWAL_PERIOD_MS, () => this.#ask());
   }
 
   override stop(): void {
     for (const unsubscribe of this.#subscriptions.splice(0)) unsubscribe();
-    this.#rounds?.cancel();
+    this.#renewal?.cancel();
   }
 
-  /** What this host may decide about now; ask right before each decision. */
+  /** Returns the active view, if any. Call it right before each decision. */
   activeView(): ActiveView | undefined {
     return this.#lease.activeView(this.#clock.now());
   }
 
-  /** How long ago something was on the clock of {@link ActiveView}. */
+  /**
+   * Returns the time elapsed since an instant on the clock of {@link
+   * ActiveView}.
+   */
   elapsedSince(instant: Milliseconds): Milliseconds {
     return this.#clock.now() - instant;
   }
 
-  /** The newest view known here, active or not. */
+  /** Returns the newest known view, active or not. */
   newestView(): View | undefined {
     return this.#lease.newestView;
   }
 
-  #adoptList(): void {
+  #applyHostList(): void {
     const list = this.#options.blackboard.read(HOST_LIST);
     if (list !== undefined) this.#lease.addView(viewOfHostList(list));
   }
 
-  #ask(): void {
+  #requestLeases(): void {
     const { host, link } = this.#options;
     this.#publish();
     if (!this.#lease.isParticipant()) return;
     const request = this.#lease.nextRequest(this.#clock.now());
     const message = { kind: LEASE_REQUEST.kind, body: request };
     for (const target of this.#lease.targets()) {
-      if (target === host) this.#askSelf(request);
+      if (target === host) this.#requestOwnLease(request);
       else link.send(target, message);
     }
   }
 
-  #askSelf(request: LeaseRequest): void {
+  #requestOwnLease(request: LeaseRequest): void {
     const { host } = this.#options;
     const now = this.#clock.now();
     this.#lease.applyReply(
--- a/packages/coordination/src/viewLease.ts
+++ b/packages/coordination/src/viewLease.ts
@@ -9,59 +9,65 @@
   type View,
 } from "./views.ts";
 
-/** How long a lease lasts, counted by its holder from when it asked. */
+/** Duration of a lease, counted by the holder from its request. */
 export const LEASE_DURATION_MS: Milliseconds = 2_000;
-/** By how much two monotonic clocks may differ over one lease. */
+/** Maximum drift between two monotonic clocks during one lease. */
 export const MAX_CLOCK_DRIFT_MS: Milliseconds = 100;
-/** Retired versions that are remembered; a forgotten one is only retired again. */
+/**
+ * Maximum number of retired versions to remember; a forgotten one is retired
+ * again.
+ */
 const MAX_RETIRED = 256;
-/** Views that a tenure may reach back over. */
+/** Maximum number of contiguous views in a tenure. */
 const MAX_TENURES = 16;
-/** Requests of so many rounds back may still be answered. */
+/** Number of recent requests whose replies are still accepted. */
 const MAX_OPEN_REQUESTS = 8;
 
 interface GrantedLease {
   readonly incarnation: Incarnation;
   readonly version: number;
   readonly until: Milliseconds;
-  /** Which period of support the lease was granted in. */
-  readonly period: number;
+  /** Support period in which the lease was granted. */
+  readonly supportPeriod: number;
   readonly unbrokenSince: number;
 }
 
-interface HeldAnswer {
-  readonly answer: LeaseReply;
+interface ReceivedReply {
+  readonly reply: LeaseReply;
   readonly sentAt: Milliseconds;
 }
 
 type Grant = Pick<LeaseReply, "granted" | "unbrokenSince">;
 
-/** The whole state of a {@link ViewLease}, as plain data that can be copied. */
+/** State of a {@link ViewLease}, as plain data that can be copied. */
 export interface ViewLeaseState {
   views: Map<number, View>;
   retired: Set<number>;
   isJoined: boolean;
   supported: number | undefined;
-  /** Counts changes of the supported view. */
+  /** Incremented when the supported view changes. */
   supportPeriod: number;
   granted: Map<HostId, GrantedLease>;
-  replies: Map<HostId, HeldAnswer>;
+  replies: Map<HostId, ReceivedReply>;
   serial: number;
   sentAt: Map<number, Milliseconds>;
   tenures: readonly Tenure[];
-  /** Views that leases were asked for in since this host was last active, newest first. */
+  /**
+   * Views in which leases were requested since this host was last active,
+   * newest first.
+   */
   viewsSinceActive: readonly View[];
-  /** The newest own request when this host was last active. */
+  /** Serial of the newest request when this host was last active. */
   activeSerial: number;
-  /** When the leases that were last counted end. */
+  /** When the leases of the last active view expire. */
   activeUntil: Milliseconds;
 }
 
-/** Who a {@link ViewLease} works for, and its durations. */
+/** Identity and durations of a {@link ViewLease}. */
 export interface ViewLeaseOptions {
   readonly host: HostId;
   readonly incarnation: Incarnation;
-  /** When the process started, on its monotonic clock. */
+  /** Start of the process on its monotonic clock. */
   readonly startedAt: Milliseconds;
   readonly leaseMs?: Milliseconds;
   readonly driftMs?: Milliseconds;
@@ -69,13 +75,14 @@
 }
 
 /**
- * Decides when this host may act as a home of keys: while it is *active* in
- * the newest view it knows. Two hosts are never active in two views at once;
- * docs/DECISIONS/0002-at-most-once.md holds the argument. In short: a granter
- * supports one view at a time, a holder needs majorities of its own view and of
- * every older one that may still be active, and a restarted granter, which
- * forgot what it granted, waits until its old leases ran out and learns from
- * majorities what may be active before it grants again.
+ * Decides when this host may act as a home of keys: while it is *active* in the
+ * newest view that it knows. Two hosts are never active in two views at once;
+ * see docs/DECISIONS/0002-at-most-once.md.
+ *
+ * A granter supports one view at a time. A holder needs a majority of its own
+ * view and of every older view that may still be active. A restarted granter
+ * waits until leases of its former incarnation have expired, and learns from
+ * majorities which views may be active, before it grants again.
  */
 export class ViewLease {
   readonly #options: Required<Omit<ViewLeaseOptions, "state">>;
@@ -87,10 +94,10 @@
       driftMs: MAX_CLOCK_DRIFT_MS,
       ...options,
     };
-    this.state = options.state ?? createState();
+    this.state = options.state ?? createViewLeaseState();
   }
 
-  /** The newest view known here. */
+  /** The newest known view. */
   get newestView(): View | undefined {
     let newest: View | undefined;
     for (const view of this.state.views.values()) {
@@ -99,7 +106,10 @@
     return newest;
   }
 
-  /** Takes a view from the platform or a peer; old, doubled and reordered ones do no harm. */
+  /**
+   * Adds a view from the platform or a peer; duplicate and outdated views are
+   * ignored.
+   */
   addView(view: View): void {
     const { views, retired } = this.state;
     if (views.has(view.version) || retired.has(view.version)) return;
@@ -108,38 +118,42 @@
       views.set(view.version, view);
       return;
     }
-    // Lists change with upstreams too; where the hosts stay, so does the view, under its newest number.
+    // Lists also change with upstreams; a view whose hosts are unchanged only
+    // gets the newer version.
     if (view.version > newest.version) this.#renumber(newest, view);
     else retired.add(view.version);
   }
 
-  /** Starts a round: the request goes to every host of {@link targets}. */
+  /** Creates a lease request for every host of {@link targets}. */
   nextRequest(now: Milliseconds): LeaseRequest {
     const { state } = this;
     state.serial++;
     state.sentAt.set(state.serial, now);
     state.sentAt.delete(state.serial - MAX_OPEN_REQUESTS);
-    this.#notePassed();
+    this.#recordRequestedView();
     return {
       serial: state.serial,
       incarnation: this.#options.incarnation,
-      views: this.#views(),
+      views: this.#knownViews(),
     };
   }
 
-  /** Whether this host grants or holds leases; in a larger fleet only some do. */
+  /**
+   * Tells whether this host belongs to a known view and so grants and holds
+   * leases.
+   */
   isParticipant(): boolean {
     const { host } = this.#options;
-    return this.#views().some(({ hosts }) => hosts.includes(host));
+    return this.#knownViews().some(({ hosts }) => hosts.includes(host));
   }
 
-  /** Every host that a lease may be needed from; this one is asked like the others. */
+  /** Returns every host to request a lease from, including this one. */
   targets(): HostId[] {
-    const hosts = this.#views().flatMap((view) => view.hosts);
+    const hosts = this.#knownViews().flatMap((view) => view.hosts);
     return [...new Set([this.#options.host, ...hosts])];
   }
 
-  /** Answers a request as granter. */
+  /** Handles a lease request as granter. */
   handleRequest(
     from: HostId,
     request: LeaseRequest,
@@ -154,39 +168,41 @@
       asker: request.incarnation,
       incarnation: this.#options.incarnation,
       isJoined: this.state.isJoined,
-      views: this.#views().filter(({ version }) => !versions.includes(version)),
+      views: this.#knownViews().filter(({ version }) =>
+        !versions.includes(version)
+      ),
       retired: versions.filter((version) => retired.has(version)),
       supported: this.state.supported,
       ...grant,
     };
   }
 
-  /** Takes an answer as holder. */
-  applyReply(from: HostId, answer: LeaseReply, now: Milliseconds): void {
-    const sentAt = this.state.sentAt.get(answer.serial);
-    const isOwn = answer.asker === this.#options.incarnation;
+  /** Applies a granter's reply as holder. */
+  applyReply(from: HostId, reply: LeaseReply, now: Milliseconds): void {
+    const sentAt = this.state.sentAt.get(reply.serial);
+    const isOwn = reply.asker === this.#options.incarnation;
     if (sentAt === undefined || !isOwn) return;
     this.activeView(now);
-    for (const view of answer.views) this.addView(view);
-    for (const version of answer.retired) this.#retireVersion(version);
+    for (const view of reply.views) this.addView(view);
+    for (const version of reply.retired) this.#retireVersion(version);
     const known = this.state.replies.get(from);
     if (known !== undefined && known.sentAt > sentAt) return;
-    this.state.replies.set(from, { answer, sentAt });
-    this.#retire(now);
-    this.#join();
+    this.state.replies.set(from, { reply, sentAt });
+    this.#retireViews(now);
+    this.#joinIfInformed();
     this.activeView(now);
   }
 
-  /** What this host may act for; call it right before each decision. */
+  /** Returns the active view, if any. Call it right before each decision. */
   activeView(now: Milliseconds): ActiveView | undefined {
     const { state } = this;
     const view = this.newestView;
     if (view === undefined || !state.isJoined) return undefined;
-    const until = this.#leasedUntil(view);
+    const until = this.#leaseExpiryOfMajorities(view);
     if (until <= now) return undefined;
     const isSame = state.tenures[0]?.view.version === view.version;
     const hasLapsed = now >= state.activeUntil;
-    if (hasLapsed || !isSame) this.#enter(view, now);
+    if (hasLapsed || !isSame) this.#enterView(view, now);
     state.activeUntil = until;
     state.activeSerial = state.serial;
     state.viewsSinceActive = [view];
@@ -194,8 +210,9 @@
   }
 
   /**
-   * Whether no lease of a former view is left. Without this wait the old and the
-   * new home of a key could act at once, and the key would run twice.
+   * Tells whether all leases of the previously supported view have expired.
+   * Otherwise the old and the new home of a key could be active at once and
+   * both grant the key.
    */
   protected haveFormerLeasesExpired(now: Milliseconds): boolean {
     const { granted, supported } = this.state;
@@ -205,24 +222,24 @@
   }
 
   /**
-   * Whether leases that a former incarnation granted have run out. A restarted
-   * host forgot them; without this wait it could support a second view at once.
+   * Tells whether leases granted by a former incarnation have expired.
+   * Otherwise a restarted host could support a second view at once.
    */
   protected haveForgottenLeasesExpired(now: Milliseconds): boolean {
     const { startedAt, leaseMs, driftMs } = this.#options;
     return now >= startedAt + leaseMs + driftMs;
   }
 
-  #views(): View[] {
+  #knownViews(): View[] {
     return [...this.state.views.values()];
   }
 
   #grant(from: HostId, request: LeaseRequest, now: Milliseconds): Grant {
     const newest = this.newestView;
     if (newest === undefined || !this.state.isJoined) return {};
-    const isAsked = newest.hosts.includes(from) &&
+    const isEligible = newest.hosts.includes(from) &&
       request.views.some((view) => view.version === newest.version);
-    if (!isAsked || !this.haveForgottenLeasesExpired(now)) return {};
+    if (!isEligible || !this.haveForgottenLeasesExpired(now)) return {};
     if (!this.#support(newest, now)) return {};
     return this.#renew(from, request, now);
   }
@@ -238,59 +255,59 @@
 
   #renew(from: HostId, request: LeaseRequest, now: Milliseconds): Grant {
     const { leaseMs, driftMs } = this.#options;
-    const { supportPeriod: period, supported } = this.state;
+    const { supportPeriod, supported } = this.state;
     const { incarnation, serial } = request;
     const former = this.state.granted.get(from);
     const isSameHolder = former?.incarnation === incarnation;
-    // An old process that wakes beside its successor must not act as the same home.
+    // A former process of the holder's host may still use its lease.
     if (former !== undefined && !isSameHolder && former.until > now) return {};
-    const isUnbroken = isSameHolder && former.period >= period - 1;
+    const isUnbroken = isSameHolder &&
+      former.supportPeriod >= supportPeriod - 1;
     const unbrokenSince = isUnbroken ? former.unbrokenSince : serial;
     const until = now + leaseMs + driftMs;
     const version = supported!;
-    const lease = { incarnation, version, until, period, unbrokenSince };
+    const lease = { incarnation, version, until, supportPeriod, unbrokenSince };
     this.state.granted.set(from, lease);
     return { granted: version, unbrokenSince };
   }
 
-  /** When the leases of a majority in every view that counts end. */
-  #leasedUntil(view: View): Milliseconds {
-    const ends = this.#views().map((counted) =>
-      this.#majorityEnd(counted, view)
+  /** Returns when the leases held from majorities of all known views expire. */
+  #leaseExpiryOfMajorities(view: View): Milliseconds {
+    const ends = this.#knownViews().map((counted) =>
+      this.#majorityExpiry(counted, view)
     );
     return Math.min(...ends);
   }
 
-  #majorityEnd(counted: View, view: View): Milliseconds {
+  #majorityExpiry(counted: View, view: View): Milliseconds {
     const ends = counted.hosts
-      .map((host) => this.#leaseEnd(host, view))
+      .map((host) => this.#leaseExpiry(host, view))
       .sort((left, right) => right - left);
     return ends[majoritySize(counted) - 1] ?? -Infinity;
   }
 
-  #leaseEnd(host: HostId, view: View): Milliseconds {
+  #leaseExpiry(host: HostId, view: View): Milliseconds {
     const held = this.state.replies.get(host);
-    if (held?.answer.granted !== view.version) return -Infinity;
+    if (held?.reply.granted !== view.version) return -Infinity;
     return held.sentAt + this.#options.leaseMs;
   }
 
   /**
-   * Forgets views that can never be active again: a majority of their hosts
-   * supports a newer one, and what those hosts know was learned with it. Only
-   * answers younger than a lease count: a granter that restarted since asks the
-   * others anew after that time, and so hears of the newer view.
+   * Retires views that can never be active again because a majority of their
+   * hosts supports a newer view. Only replies younger than a lease count, since
+   * a granter may have restarted after an older one.
    */
-  #retire(now: Milliseconds): void {
+  #retireViews(now: Milliseconds): void {
     const newest = this.newestView;
-    for (const view of this.#views()) {
+    for (const view of this.#knownViews()) {
       if (view === newest) continue;
-      const moved = view.hosts.filter((host) =>
-        this.#hasMovedOn(host, { view, now })
+      const supporters = view.hosts.filter((host) =>
+        this.#supportsNewerView(host, { view, now })
       );
-      if (moved.length < majoritySize(view)) continue;
+      if (supporters.length < majoritySize(view)) continue;
       this.#retireVersion(view.version);
     }
-    this.#forget(now);
+    this.#removeExpired(now);
   }
 
   #retireVersion(version: number): void {
@@ -299,22 +316,22 @@
     this.state.retired.add(version);
   }
 
-  #hasMovedOn(
+  #supportsNewerView(
     host: HostId,
     { view, now }: { view: View; now: Milliseconds },
   ): boolean {
     const held = this.state.replies.get(host);
     if (held === undefined) return false;
     if (held.sentAt + this.#options.leaseMs <= now) return false;
-    return (held.answer.supported ?? -Infinity) > view.version;
+    return (held.reply.supported ?? -Infinity) > view.version;
   }
 
-  #forget(now: Milliseconds): void {
-    const { retired, replies: answers, granted } = this.state;
+  #removeExpired(now: Milliseconds): void {
+    const { retired, replies, granted } = this.state;
     const targets = this.targets();
     const oldest = now - this.#options.leaseMs;
-    for (const [host, { sentAt }] of answers) {
-      if (!targets.includes(host) && sentAt <= oldest) answers.delete(host);
+    for (const [host, { sentAt }] of replies) {
+      if (!targets.includes(host) && sentAt <= oldest) replies.delete(host);
     }
     for (const [host, { until }] of granted) {
       if (!targets.includes(host) && until <= now) granted.delete(host);
@@ -323,76 +340,79 @@
   }
 
   /**
-   * A restarted host forgot which views may be active. It takes part again once
-   * majorities that did not forget have told it, or once every host has spoken,
-   * as at the first start of a fleet.
+   * Joins once majorities of joined hosts have replied, or once every host has
+   * replied, as on the first start of a fleet. A restarted host does not know
+   * which views may be active.
    */
-  #join(): void {
+  #joinIfInformed(): void {
     if (this.state.isJoined) return;
-    const views = this.#views();
+    const views = this.#knownViews();
     this.state.isJoined = views.length > 0 &&
-      views.every((view) => this.#hasHeardEnough(view));
+      views.every((view) => this.#hasEnoughReplies(view));
   }
 
-  #hasHeardEnough(view: View): boolean {
-    const heard = view.hosts.filter((host) => this.#hasHeard(host));
-    const joined = heard.filter((host) =>
-      this.state.replies.get(host)!.answer.isJoined
+  #hasEnoughReplies(view: View): boolean {
+    const replied = view.hosts.filter((host) => this.#hasValidReply(host));
+    const joined = replied.filter((host) =>
+      this.state.replies.get(host)!.reply.isJoined
     );
-    return heard.length === view.hosts.length ||
+    return replied.length === view.hosts.length ||
       joined.length >= majoritySize(view);
   }
 
-  #hasHeard(host: HostId): boolean {
+  #hasValidReply(host: HostId): boolean {
     const held = this.state.replies.get(host);
     return held !== undefined && this.haveForgottenLeasesExpired(held.sentAt);
   }
 
-  #notePassed(): void {
-    const { state, newestView: newest } = this;
-    const isNoted = state.viewsSinceActive[0]?.version === newest?.version;
-    if (newest === undefined || isNoted) return;
-    state.viewsSinceActive = [newest, ...state.viewsSinceActive].slice(
+  #recordRequestedView(): void {
+    const { state, newestView } = this;
+    const isNoted = state.viewsSinceActive[0]?.version === newestView?.version;
+    if (newestView === undefined || isNoted) return;
+    state.viewsSinceActive = [newestView, ...state.viewsSinceActive].slice(
       0,
       MAX_TENURES,
     );
   }
 
   /**
-   * Begins a tenure or goes on with the last one. Views in which this host held
-   * leases without being active count too: another host may have been a key's
-   * home in them, and granted the key, while the leases here went on.
+   * Starts a tenure or continues the last one. Views in which this host held
+   * leases without being active count too, because another host may have been a
+   * key's home in them.
    */
-  #enter(view: View, now: Milliseconds): void {
+  #enterView(view: View, now: Milliseconds): void {
     const { state } = this;
     const active = state.tenures[0]?.view.version;
     const passed = state.viewsSinceActive.filter(({ version }) =>
       version !== view.version && version !== active
     );
     const former = state.tenures[0]?.view;
-    const isUnbroken = former !== undefined &&
-      [former, view].every((counted) => this.#isUnbroken(counted, view));
-    if (!isUnbroken) {
+    const isContinuous = former !== undefined &&
+      [former, view].every((counted) => this.#isContinuous(counted, view));
+    if (!isContinuous) {
       state.tenures = [{ view, startedAt: now }];
       return;
     }
     const isSame = former.version === view.version && passed.length === 0;
     if (isSame) return;
-    const since = [view, ...passed].map((seen) => ({
-      view: seen,
+    const newTenures = [view, ...passed].map((entered) => ({
+      view: entered,
       startedAt: now,
     }));
-    state.tenures = [...since, ...state.tenures].slice(0, MAX_TENURES);
+    state.tenures = [...newTenures, ...state.tenures].slice(0, MAX_TENURES);
   }
 
-  /** Whether a majority testifies that no other host acted since this one last did. */
-  #isUnbroken(counted: View, view: View): boolean {
-    const witnesses = counted.hosts.filter((host) => {
-      const answer = this.state.replies.get(host)?.answer;
-      return answer?.granted === view.version &&
-        answer.unbrokenSince! <= this.state.activeSerial;
+  /**
+   * Tells whether a majority confirms that no other host was active since this
+   * one last was.
+   */
+  #isContinuous(counted: View, view: View): boolean {
+    const confirming = counted.hosts.filter((host) => {
+      const reply = this.state.replies.get(host)?.reply;
+      return reply?.granted === view.version &&
+        reply.unbrokenSince! <= this.state.activeSerial;
     });
-    return witnesses.length >= majoritySize(counted);
+    return confirming.length >= majoritySize(counted);
   }
 
   #renumber(former: View, view: View): void {
@@ -407,11 +427,11 @@
       const version = renumbered(lease.version)!;
       state.granted.set(host, { ...lease, version });
     }
-    for (const [host, { answer, sentAt }] of state.replies) {
-      const granted = renumbered(answer.granted);
-      const supported = renumbered(answer.supported);
+    for (const [host, { reply, sentAt }] of state.replies) {
+      const granted = renumbered(reply.granted);
+      const supported = renumbered(reply.supported);
       state.replies.set(host, {
-        answer: { ...answer, granted, supported },
+        reply: { ...reply, granted, supported },
         sentAt,
       });
     }
@@ -421,7 +441,7 @@
   }
 }
 
-function createState(): ViewLeaseState {
+function createViewLeaseState(): ViewLeaseState {
   return {
     views: new Map(),
     retired: new Set(),
--- a/packages/coordination/src/views.ts
+++ b/packages/coordination/src/views.ts
@@ -7,64 +7,72 @@
 } from "@wasabivane/common";
 
 /**
- * Hosts of a view; a larger fleet takes that many of its hosts, so that messages
- * stay bounded. Four of nine may fail at once.
+ * Maximum number of hosts in a view; larger fleets use a subset, which bounds
+ * the number of lease messages.
  */
 export const MAX_VIEW_HOSTS = 9;
 
-/** The hosts among which homes of keys are chosen, ordered by the platform's list version. */
+/**
+ * Set of hosts that act as homes of keys; ordered by the version of the
+ * platform's host list.
+ */
 export interface View {
   readonly version: number;
   readonly hosts: readonly HostId[];
 }
 
-/** Asks a host of a view for a lease; also tells what the asker knows. */
+/** Requests a lease and reports the views that the requester knows. */
 export interface LeaseRequest {
   readonly serial: number;
   readonly incarnation: Incarnation;
-  /** Every view that may be active as far as the asker knows. */
+  /** Every view that may be active, as known to the requester. */
   readonly views: readonly View[];
 }
 
-/** What a granter says to a {@link LeaseRequest}. */
+/** Replies to a {@link LeaseRequest}. */
 export interface LeaseReply {
   readonly serial: number;
-  /** Who asked; a successor that counts its requests anew must not take the answer for its own. */
+  /** Incarnation of the requester; serials start anew with each incarnation. */
   readonly asker: Incarnation;
   readonly incarnation: Incarnation;
   readonly isJoined: boolean;
-  /** Views that may be active and that the asker did not name itself. */
+  /** Views that may be active and that the request did not list. */
   readonly views: readonly View[];
-  /** Which of the asker's views can never be active again. */
+  /** Versions of the requester's views that can never be active again. */
   readonly retired: readonly number[];
-  /** The view that the granter supports; it has no lease left in an older one. */
+  /**
+   * Version of the view that the granter supports; it has no unexpired lease in
+   * an older one.
+   */
   readonly supported?: number | undefined;
-  /** The view in which a lease was granted, if one was. */
+  /** Version of the view in which a lease was granted, if any. */
   readonly granted?: number | undefined;
   /**
-   * The holder's request since when this granter renewed its lease and granted
-   * nothing that could have let another host act in its place.
+   * Serial of the holder's request since which this granter has renewed the
+   * lease without granting one that could let another host act in its place.
    */
   readonly unbrokenSince?: number | undefined;
 }
 
-/** A view in which this host was active, and since when. */
+/** View in which this host has been active, with the start time. */
 export interface Tenure {
   readonly view: View;
-  /** On the monotonic clock. */
+  /** Start time on the monotonic clock. */
   readonly startedAt: Milliseconds;
 }
 
-/** What this host may act for at present. */
+/** The active view of this host, in which it may act as a home of keys. */
 export interface ActiveView {
   readonly view: View;
-  /** On the monotonic clock; the view is not active from then on. */
+  /** Expiry on the monotonic clock. */
   readonly until: Milliseconds;
-  /** The present view and those before it without a gap, newest first. */
+  /** The current view and the contiguous earlier ones, newest first. */
   readonly tenures: readonly Tenure[];
 }
 
-/** The view of a host list: its live hosts, or a bounded choice among them. */
+/**
+ * Derives the view of a host list: its live hosts, or a limited subset of them.
+ */
 export function viewOfHostList(list: HostList): View {
   const hosts = list.entryHosts
     .filter(({ state }) => state === "live")
@@ -75,25 +83,28 @@
   return { version: list.version, hosts: [...chosen].sort() };
 }
 
-/** Whether two views choose the same homes for every key. */
+/**
+ * Tells whether two views have the same hosts and so the same home for each
+ * key.
+ */
 export function hasSameHosts(left: View, right: View): boolean {
   return left.hosts.length === right.hosts.length &&
     left.hosts.every((host, index) => host === right.hosts[index]);
 }
 
-/** How many hosts of a view are more than half of them. */
+/** Returns the number of hosts that form a majority of a view. */
 export function majoritySize(view: View): number {
   return Math.floor(view.hosts.length / 2) + 1;
 }
 
-/** The host that decides about a key under a view. */
+/** Returns the host that decides about a key in a view. */
 export function homeOf(key: string, view: View): HostId | undefined {
   return rendezvousOrder(key, view.hosts)[0];
 }
 
 /**
- * Since when a host alone decides about a key: the tenure reaches back over
- * earlier views as long as the host was the key's home in them too.
+ * Returns when the host became the only one that decides about a key: the start
+ * of the earliest contiguous tenure in which it was the key's home.
  */
 export function tenureStartOf(
   key: string,
--- a/packages/coordination/src/webSocketLink.ts
+++ b/packages/coordination/src/webSocketLink.ts
@@ -28,7 +28,7 @@
 import { channelBindingOf, OutboundConnection } from "./outboundConnection.ts";
 import { MAX_FRAME_BYTES, PeerCodec } from "./peerMessages.ts";
 
-/** What a {@link WebSocketLink} needs. */
+/** Dependencies and settings of a {@link WebSocketLink}. */
 export interface WebSocketLinkOptions {
   readonly host: HostId;
   readonly incarnation: Incarnation;
@@ -40,15 +40,16 @@
   readonly addresses?: ReadonlyMap<HostId, string>;
 }
 
-/** Why a link could not listen. */
+/** Why a link could not start listening. */
 export interface ListenError {
   readonly kind: "cannot-listen";
   readonly detail: string;
 }
 
 /**
- * The peer link over WebSockets. Each host dials the peers that it sends to;
- * a connection carries messages one way, so that no two dials have to agree.
+ * Sends peer messages over WebSockets. Each host dials the peers that it sends
+ * to; a connection carries messages in one direction only, so simultaneous
+ * dials need no tie-breaking.
  */
 export class WebSocketLink extends PeerLink {
   override readonly self: HostId;
@@ -79,7 +80,7 @@
     };
   }
 
-  /** Listens for peers; resolves with the port, which port 0 leaves to the system. */
+  /** Starts listening and resolves with the port; port 0 selects a free one. */
   listen(
     options: { address: string; port: number },
   ): Promise<Result<number, ListenError>> {
@@ -116,14 +117,16 @@
       return;
     }
     this.#options.metrics.count("peer_bytes_sent", frame.value.length);
-    this.#peer(to)?.send(frame.value);
+    this.#connectionTo(to)?.send(frame.value);
   }
 
   override subscribe(kind: string, listener: PeerListener): () => void {
     return this.#subscriptions.add(kind, listener);
   }
 
-  /** Replaces where peers are found; connections to other addresses end. */
+  /**
+   * Replaces the peer addresses and closes connections to changed addresses.
+   */
   setAddresses(addresses: ReadonlyMap<HostId, string>): void {
     this.#addresses = addresses;
     for (const [host, peer] of this.#outbound) {
@@ -133,12 +136,12 @@
     }
   }
 
-  /** Replaces the secrets for handshakes from now on. */
+  /** Replaces the shared secrets used by later handshakes. */
   setSharedSecrets(sharedSecrets: readonly string[]): void {
     this.#sharedSecrets = sharedSecrets;
   }
 
-  /** Replaces certificates for connections from now on. */
+  /** Replaces the certificates used by later connections. */
   renewSecureContext(secureContext: SecureContextOptions): void {
     this.#secureContext = secureContext;
     const server = this.#server;
@@ -147,7 +150,7 @@
     }
   }
 
-  /** Ends every connection and stops listening. */
+  /** Closes every connection and stops listening. */
   close(): void {
     for (const peer of this.#outbound.values()) peer.close();
     for (const socket of this.#inbound) socket.terminate();
@@ -155,9 +158,9 @@
     this.#server?.close();
   }
 
-  #peer(host: HostId): OutboundConnection | undefined {
-    const known = this.#outbound.get(host);
-    if (known !== undefined) return known;
+  #connectionTo(host: HostId): OutboundConnection | undefined {
+    const existing = this.#outbound.get(host);
+    if (existing !== undefined) return existing;
     const address = this.#addresses.get(host);
     if (address === undefined) return undefined;
     const { timer, metrics } = this.#options;
