--- a/packages/coordination/tests/configuration.test.ts
+++ b/packages/coordination/tests/configuration.test.ts
@@ -34,7 +34,7 @@
   return sorted[Math.ceil(share * sorted.length) - 1]!;
 }
 
-test("a change is in force on 8 hosts within 2 s and each host sends little", async (t) => {
+test("a change is in force on 8 hosts within 2 s with little traffic", async (t) => {
   const delays: number[] = [];
   let bytes = 0;
   let idleBytes = 0;
@@ -57,8 +57,8 @@
 });
 
 test("a change is in force on 8 hosts within 6 s when only one host can read", async (t) => {
-  // Callers on seven hosts would keep the old limits. The last host by rank
-  // can read, the others cannot; it must notice that nobody else reads.
+  // The only host that can read is not among the preferred readers and has to
+  // notice that nobody reads.
   const delays: number[] = [];
   for (let reader = 1; reader <= 8; reader++) {
     const fleet = await startFleet({ seed: reader });
@@ -72,16 +72,16 @@
   t.true(quantile(delays, 0.99) <= 6_000);
 });
 
-test("eight hosts that start at once stay within a small read budget", async (t) => {
+test("eight hosts that start at once make few platform reads", async (t) => {
   const fleet = new ConfigurationFleet();
   fleet.platform.bundle.publish(bundleOf(1));
   await fleet.advance(10_000);
   t.deepEqual(fleet.versions(), everyHost(fleet, 1));
-  // Two readers, two values, one watch a second each, and the first answers.
+  // Two readers read two values once a second, plus the first reads.
   t.true(fleet.platform.reads <= 2 * 2 * 12);
 });
 
-test("reads back off while the service is down and hosts keep what they have", async (t) => {
+test("reads back off and hosts keep their version while the platform is down", async (t) => {
   const fleet = await startFleet();
   fleet.platform.canRead = () => false;
   const before = fleet.platform.reads;
@@ -90,20 +90,19 @@
   t.true(fleet.platform.reads - before <= 8 * 2 * 14);
 });
 
-test("a fresh host takes the peers' version while the service is down", async (t) => {
+test("a starting host gets the version of its peers while the platform is down", async (t) => {
   const fleet = await startFleet();
   fleet.platform.canRead = () => false;
   fleet.kill(hostName(8));
-  const fresh = fleet.add(hostName(8));
+  const added = fleet.add(hostName(8));
   fleet.refreshMembers();
   await fleet.advance(2_000);
   t.deepEqual(fleet.versions(), everyHost(fleet, 1));
-  t.is(fresh.inForceAt.size, 1);
+  t.is(added.inForceAt.size, 1);
 });
 
-test("a fresh host never serves the old version of a stale service", async (t) => {
-  // The service falls back to version 1 after version 3 was in force. A host
-  // that starts then would serve removed keys if it believed the service.
+test("a starting host never serves an old version from an outdated platform", async (t) => {
+  // Serving the old version would accept keys that have been removed.
   const fleet = await startFleet();
   fleet.platform.bundle.publish(bundleOf(3));
   await fleet.advance(2_000);
@@ -112,22 +111,22 @@
   t.deepEqual(fleet.versions(), everyHost(fleet, 3));
   for (const index of [1, 2, 3, 4, 5, 6, 7, 8]) {
     fleet.kill(hostName(index));
-    const fresh = fleet.add(hostName(index));
+    const added = fleet.add(hostName(index));
     fleet.refreshMembers();
     await fleet.advance(3_000);
-    t.deepEqual([...fresh.inForceAt.keys()], [3]);
+    t.deepEqual([...added.inForceAt.keys()], [3]);
   }
   t.true(fleet.count("bundles_stale") > 0);
 });
 
-test("a fresh host without peers or service serves nothing", async (t) => {
+test("a starting host without peers or platform has no bundle in force", async (t) => {
   const fleet = new ConfigurationFleet({ size: 1 });
   fleet.platform.canRead = () => false;
   await fleet.advance(30_000);
   t.deepEqual(fleet.versions(), [0]);
 });
 
-test("a lost announcement heals within seconds", async (t) => {
+test("lost announcements are recovered within seconds", async (t) => {
   const fleet = await startFleet();
   fleet.network.setFaults({ dropShare: 0.5 });
   const since = fleet.timer.now();
@@ -136,7 +135,7 @@
   t.true(Math.max(...fleet.delaysOf(2, since)) <= 6_000);
 });
 
-test("a partition heals to the newest version on both sides", async (t) => {
+test("both sides have the newest version after a partition", async (t) => {
   const fleet = await startFleet();
   const left = [1, 2, 3].map(hostName);
   const right = [4, 5, 6, 7, 8].map(hostName);
@@ -150,9 +149,8 @@
   t.deepEqual(fleet.versions(), everyHost(fleet, 2));
 });
 
-test("a bundle with a forged signature is taken from nobody", async (t) => {
-  // Someone publishes a newer version signed with a key that settings do not
-  // pin. Every host keeps its version, and a good later one still gets through.
+test("a bundle with an untrusted signature is rejected from any source", async (t) => {
+  // A valid later bundle must still be accepted.
   const fleet = await startFleet();
   const forged = bundleOf(9, { key: exampleSigningKey("someone-else") });
   fleet.platform.bundle.publish(forged);
@@ -164,12 +162,11 @@
   t.deepEqual(fleet.versions(), everyHost(fleet, 2));
 });
 
-test("a peer that names a version which nobody has holds nobody up for long", async (t) => {
-  // A broken peer repeats a version far ahead and never sends it. Hosts that
-  // kept asking it for that one would miss the change that is really there.
+test("a peer that announces an unavailable version does not block updates", async (t) => {
+  // Hosts that only tried to fetch the announced version would miss the change.
   const fleet = await startFleet();
-  const liar = fleet.hosts.get(hostName(3))!;
-  liar.controller.stop();
+  const faultyPeer = fleet.hosts.get(hostName(3))!;
+  faultyPeer.controller.stop();
   const body = {
     inForce: { version: 999, root: "0".repeat(64) },
     hostListVersion: 0,
@@ -177,7 +174,7 @@
   };
   fleet.timer.every(500, () => {
     for (const index of [1, 2, 4, 5, 6, 7, 8]) {
-      liar.link.send(hostName(index), {
+      faultyPeer.link.send(hostName(index), {
         kind: CONFIGURATION_NOTICE.kind,
         body,
       });
@@ -190,7 +187,7 @@
   t.deepEqual(fleet.versions(), everyHost(fleet, 2));
 });
 
-test("versions that arrive in reverse order leave the newest in force", async (t) => {
+test("the newest version stays in force when versions arrive in reverse order", async (t) => {
   const fleet = await startFleet();
   for (const version of [6, 5, 4, 2]) {
     fleet.platform.bundle.publish(bundleOf(version));
@@ -204,9 +201,8 @@
   }
 });
 
-test("two bundles of one version settle on the same one everywhere, with an alarm", async (t) => {
-  // Two operators sign version 2 at once. Halves of a partition take one each;
-  // after it heals, all hosts must agree without anyone's help.
+test("two bundles of one version converge to the same one everywhere and are reported", async (t) => {
+  // Each side of a partition gets a different bundle of version 2.
   const fleet = await startFleet();
   const one = bundleOf(2, { weight: 2 });
   const other = bundleOf(2, { weight: 3 });
@@ -229,7 +225,7 @@
   }
 });
 
-test("the host list spreads from the readers and only grows", async (t) => {
+test("the host list spreads from the readers and its version never decreases", async (t) => {
   const fleet = await startFleet();
   const list = { version: 7, entryHosts: [], upstreams: [] };
   fleet.platform.hostList.publish(list);
@@ -241,19 +237,18 @@
   }
 });
 
-test("a bundle near a megabyte reaches a fresh host in chunks, then changes as a difference", async (t) => {
-  // The whole would not fit the peers' budget at each change, and one frame of
-  // it would hold up heartbeats. Half of the messages of the first fetch repeat.
+test("a large bundle reaches a starting host in chunks and changes as a difference", async (t) => {
+  // Half of the messages of the first fetch are duplicated.
   const fleet = new ConfigurationFleet({ size: 3 });
   fleet.platform.bundle.publish(bundleOf(1, { accounts: 3_000 }));
   await fleet.advance(4_000);
   fleet.platform.canRead = () => false;
   fleet.kill(hostName(3));
-  const fresh = fleet.add(hostName(3));
+  const added = fleet.add(hostName(3));
   fleet.refreshMembers();
   fleet.network.setFaults({ duplicateShare: 0.5 });
   const whole = await bytesSentDuring(fleet, 3_000);
-  t.deepEqual([...fresh.inForceAt.keys()], [1]);
+  t.deepEqual([...added.inForceAt.keys()], [1]);
   t.true(whole > 500_000, `${whole} bytes`);
   fleet.network.setFaults({ duplicateShare: 0 });
   fleet.platform.canRead = (host) => host !== hostName(3);
@@ -263,19 +258,19 @@
   t.true(difference < 100_000, `${difference} bytes`);
 });
 
-test("a host that slept through many versions takes the whole bundle", async (t) => {
+test("a host that missed many versions fetches the whole bundle", async (t) => {
   const fleet = await startFleet({ size: 3 });
-  const sleeper = fleet.hosts.get(hostName(2))!;
-  sleeper.link.pause();
+  const paused = fleet.hosts.get(hostName(2))!;
+  paused.link.pause();
   fleet.platform.canRead = (host) => host !== hostName(2);
   for (let version = 2; version <= 14; version++) {
     fleet.platform.bundle.publish(bundleOf(version));
     await fleet.advance(200);
   }
-  sleeper.link.resume();
+  paused.link.resume();
   await fleet.advance(4_000);
   t.deepEqual(fleet.versions(), everyHost(fleet, 14));
   t.true(
-    sleeper.metrics.counter("documents_fetched", { document: "bundle" }) > 0,
+    paused.metrics.counter("documents_fetched", { document: "bundle" }) > 0,
   );
 });
--- a/packages/coordination/tests/helpers/asyncTime.ts
+++ b/packages/coordination/tests/helpers/asyncTime.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds, VirtualTimer } from "@wasabivane/common";
 
-/** Moves virtual time and lets promises settle after each call that is due. */
+/** Advances virtual time in steps and lets promises settle after each one. */
 export async function advance(
   timer: VirtualTimer,
   span: Milliseconds,
@@ -13,7 +13,7 @@
   }
 }
 
-/** Lets promises settle that are ready. */
+/** Lets resolved promises run their callbacks. */
 export async function settle(): Promise<void> {
   for (let turn = 0; turn < 4; turn++) await Promise.resolve();
 }
--- a/packages/coordination/tests/helpers/configurationFleet.ts
+++ b/packages/coordination/tests/helpers/configurationFleet.ts
@@ -45,11 +45,13 @@
   readonly link: MemoryLink;
   readonly controller: ConfigurationController;
   readonly changes: ConfigurationChange[];
-  /** When each version came into force. */
+  /** Time at which each version came into force. */
   readonly inForceAt: Map<number, Milliseconds>;
 }
 
-/** Configuration controllers of several hosts over one in-memory network. */
+/**
+ * Runs configuration controllers of several hosts over one in-memory network.
+ */
 export class ConfigurationFleet {
   readonly timer = new VirtualTimer();
   readonly random: SeededRandom;
@@ -70,7 +72,7 @@
     this.refreshMembers();
   }
 
-  /** Starts a host that knows nothing. */
+  /** Starts a host without configuration. */
   add(host: HostId): ConfigurationHost {
     const blackboard = new Blackboard();
     const metrics = new MemoryMetrics();
@@ -106,7 +108,7 @@
     return added;
   }
 
-  /** Tells every host who is alive. */
+  /** Updates every host's membership. */
   refreshMembers(): void {
     const members = [...this.hosts.keys()].map((host) => ({
       host,
@@ -117,7 +119,7 @@
     }
   }
 
-  /** Ends a host without a word. */
+  /** Kills a host. */
   kill(host: HostId): void {
     this.hosts.get(host)?.link.close();
     this.hosts.get(host)?.controller.stop();
@@ -128,14 +130,14 @@
     return advance(this.timer, span);
   }
 
-  /** The version in force on each host, 0 for none. */
+  /** Returns the version in force on each host; 0 for none. */
   versions(): number[] {
     return [...this.hosts.values()].map(({ blackboard }) =>
       blackboard.read(BUNDLE_IN_FORCE)?.bundle.version ?? 0
     );
   }
 
-  /** The roots in force, without repeats. */
+  /** Returns the distinct roots in force. */
   roots(): string[] {
     const roots = [...this.hosts.values()].map(({ blackboard }) =>
       blackboard.read(BUNDLE_IN_FORCE)?.root ?? ""
@@ -143,14 +145,14 @@
     return [...new Set(roots)];
   }
 
-  /** Milliseconds from `since` until a version was in force, by host. */
+  /** Returns the time from `since` until the version was in force, by host. */
   delaysOf(version: number, since: Milliseconds): Milliseconds[] {
     return [...this.hosts.values()].map(({ inForceAt }) =>
       (inForceAt.get(version) ?? Infinity) - since
     );
   }
 
-  /** A counter summed over the hosts. */
+  /** Returns the sum of a counter over all hosts. */
   count(name: string): number {
     return [...this.hosts.values()].reduce(
       (sum, { metrics }) =>
@@ -165,12 +167,14 @@
 const SIGNING_KEY = exampleSigningKey();
 const TRUSTED_KEY = trustedKeyOf(SIGNING_KEY);
 
-/** `entry-1` and so on. */
+/** Returns the name of a host by its number. */
 export function hostName(index: number): HostId {
   return asId<HostId>(`entry-${index}`);
 }
 
-/** A signed bundle of a version; the weight makes its content differ, accounts make it large. */
+/**
+ * Creates a signed bundle; `weight` varies its content and `accounts` its size.
+ */
 export function bundleOf(
   version: number,
   { weight = 1, accounts = 0, key = SIGNING_KEY }: {
--- a/packages/coordination/tests/helpers/hostTimer.ts
+++ b/packages/coordination/tests/helpers/hostTimer.ts
@@ -6,17 +6,17 @@
   VirtualTimer,
 } from "@wasabivane/common";
 
-/** The virtual time that all hosts of a test share. */
+/** Virtual time shared by all hosts of a test. */
 export class SharedTimer extends VirtualTimer {}
 
 /**
- * One host's clocks and timers over the shared time. Calls that come due while
- * the process is paused run when it wakes; a killed process runs none.
+ * Provides the clocks and timers of one host. Callbacks due during a pause run
+ * on resuming; a killed host runs none.
  */
 export class HostTimer extends Timer {
   readonly #world: Timer;
   readonly #skewMs: Milliseconds;
-  readonly #due: (() => void)[] = [];
+  readonly #deferred: (() => void)[] = [];
   #isPaused = false;
   #isKilled = false;
 
@@ -69,7 +69,7 @@
 
   resume(): void {
     this.#isPaused = false;
-    for (const call of this.#due.splice(0)) this.#run(call);
+    for (const call of this.#deferred.splice(0)) this.#run(call);
   }
 
   kill(): void {
@@ -78,7 +78,7 @@
 
   #run(call: () => void): void {
     if (this.#isKilled) return;
-    if (this.#isPaused) this.#due.push(call);
+    if (this.#isPaused) this.#deferred.push(call);
     else call();
   }
 }
--- a/packages/coordination/tests/helpers/jobFleet.ts
+++ b/packages/coordination/tests/helpers/jobFleet.ts
@@ -33,13 +33,13 @@
 
 const MEMBERS = createTopic<readonly JobMember[]>("members", []);
 const DAY_MS = 86_400_000;
-/** Time after which the membership calls a silent host dead. */
+/** Time after which the membership considers a silent host dead. */
 export const DETECTION_MS = 3_000;
 
-/** The client account of the tests. */
+/** Client account of the jobs. */
 export const ACCOUNT = asId<ClientAccountId>("lawyer");
 
-/** One start of an entry host's process. */
+/** Process of an entry host. */
 export interface JobHost {
   readonly host: HostId;
   readonly incarnation: string;
@@ -52,17 +52,17 @@
   isLeaving: boolean;
 }
 
-/** Job controllers of several hosts that run what they hold at fake upstreams. */
+/** Runs job controllers of several hosts with fake upstreams. */
 export class JobFleet {
   readonly timer = new VirtualTimer();
   readonly random: SeededRandom;
   readonly network: MemoryNetwork;
   readonly hosts = new Map<HostId, JobHost>();
-  /** Every dispatch that reached an upstream. */
+  /** Dispatches that reached an upstream. */
   readonly dispatches = new Map<JobId, JobDispatch[]>();
-  /** Share of dispatches that the upstream's host refuses before any byte. */
+  /** Share of dispatches that the upstream refuses before any byte is sent. */
   refusedShare = 0;
-  /** Whether hosts dispatch what they hold. */
+  /** Whether hosts dispatch the jobs that are ready. */
   isDispatching = false;
   readonly #domains: number;
   readonly #options: Partial<JobControllerOptions>;
@@ -90,7 +90,7 @@
     timer.every(100, () => this.#dispatchReady());
   }
 
-  /** Starts a process on a host; one that ran there before is gone. */
+  /** Starts a process on a host, replacing its former one. */
   start(index: number): JobHost {
     const host = hostName(index);
     this.hosts.get(host)?.controller.stop();
@@ -129,7 +129,7 @@
     return started;
   }
 
-  /** Tells each host whom it can reach. */
+  /** Updates each host's membership to the hosts that it can reach. */
   refreshMembers(): void {
     for (const { host, blackboard } of this.hosts.values()) {
       const members = [...this.hosts.values()].map((other): JobMember => ({
@@ -143,7 +143,7 @@
     }
   }
 
-  /** Ends a host's process; the others notice after the detection time. */
+  /** Kills processes and waits until the others have detected it. */
   async kill(...hosts: HostId[]): Promise<void> {
     for (const host of hosts) {
       const { link, controller } = this.hosts.get(host)!;
@@ -155,7 +155,9 @@
     this.refreshMembers();
   }
 
-  /** Stops a process; it wakes with its old view and late messages. */
+  /**
+   * Pauses a process; its state and incoming messages are kept until it wakes.
+   */
   async pause(host: HostId): Promise<void> {
     const paused = this.hosts.get(host)!;
     paused.isPaused = true;
@@ -187,21 +189,24 @@
     return advance(this.timer, span);
   }
 
-  /** Lets long times pass quickly, a quarter of a second at once. */
+  /** Advances the time in steps of 250 ms, for long durations. */
   advanceCoarsely(span: Milliseconds): Promise<void> {
     return advance(this.timer, span, { grain: 250 });
   }
 
-  /** Offers a job at a host and waits for the outcome. */
-  async accept(host: HostId, offer: Partial<JobSubmission> = {}): Promise<Job> {
+  /** Submits a job at a host and waits until it is accepted. */
+  async accept(
+    host: HostId,
+    changes: Partial<JobSubmission> = {},
+  ): Promise<Job> {
     const accepting = this.hosts.get(host)!.controller.accept(
-      this.offer(offer),
+      this.createSubmission(changes),
     );
     await this.advance(20);
     return (await accepting)._unsafeUnwrap();
   }
 
-  offer(offer: Partial<JobSubmission> = {}): JobSubmission {
+  createSubmission(changes: Partial<JobSubmission> = {}): JobSubmission {
     return {
       account: ACCOUNT,
       service: asId<ServiceId>("drafter"),
@@ -211,22 +216,22 @@
       headers: {},
       body: Buffer.from("clause review"),
       expiresAt: this.timer.wallNow() + DAY_MS,
-      ...offer,
+      ...changes,
     };
   }
 
-  /** Hosts named in a job's id: its holder first, then its copies. */
+  /** Returns the hosts in a job's id: its holder, then its copies. */
   membersOf(job: Job): HostId[] {
     return job.id.split("~").slice(1) as HostId[];
   }
 
-  /** A host that is no member of the job. */
+  /** Returns a host that holds no copy of the job. */
   nonMemberOf(job: Job): HostId {
     const members = this.membersOf(job);
     return [...this.hosts.keys()].find((host) => !members.includes(host))!;
   }
 
-  /** What a host tells a caller about a job. */
+  /** Returns the status of a job that a host reports to its caller. */
   async statusAt(host: HostId, job: Job): Promise<string> {
     const asking = this.hosts.get(host)!.controller.lookUp(job.id, ACCOUNT);
     await this.advance(1_100);
@@ -236,7 +241,7 @@
     return status.kind === "ended" ? status.answer.ending : status.kind;
   }
 
-  /** Records a dispatch as the daemon does, and makes it where that is allowed. */
+  /** Records a dispatch and makes it if that is allowed. */
   async dispatch(
     host: HostId,
     job: Job,
@@ -254,7 +259,7 @@
     return "dispatched";
   }
 
-  /** Ends a job at its runner with a whole answer. */
+  /** Ends a job with a complete response. */
   finish(host: HostId, job: Job): void {
     this.hosts.get(host)!.controller.recordFinished(job.id, WHOLE);
   }
@@ -263,7 +268,7 @@
     return this.dispatches.get(job.id)?.length ?? 0;
   }
 
-  /** Jobs held by all hosts together, copies counted each. */
+  /** Returns the number of copies held by all hosts. */
   heldCopies(): number {
     return [...this.hosts.values()].reduce(
       (sum, { controller }) => sum + controller.held.jobs,
@@ -289,7 +294,9 @@
     }
   }
 
-  /** An upstream knows a request if it was dispatched there. */
+  /**
+   * Ends a resumed job; the upstream knows it only if it was dispatched there.
+   */
   #resume(
     { controller }: JobHost,
     { job, dispatch }: { job: Job; dispatch: JobDispatch },
@@ -319,7 +326,7 @@
   }
 }
 
-/** A whole answer. */
+/** A complete response. */
 export const WHOLE: JobResponse = {
   ending: "whole",
   status: 200,
--- a/packages/coordination/tests/helpers/keyFaults.ts
+++ b/packages/coordination/tests/helpers/keyFaults.ts
@@ -17,44 +17,46 @@
 import { bareKey, claimOf, DISPATCH } from "./keys.ts";
 import { createList, hostName, MemberFleet } from "./memberFleet.ts";
 
-/** What happened over some schedules, as a judge who sees everything counts it. */
+/** Counts of outcomes over several runs, from a global view. */
 export interface FaultTally {
   requests: number;
   dispatched: number;
   whole: number;
   notRun: number;
   unknown: number;
-  /** Keys of which a caller heard "unknown" last and which never were dispatched: the price. */
+  /** Keys reported as unknown last that were never dispatched. */
   unknownThatHadNotRun: number;
   doubleDispatches: number;
   falseNotRun: number;
-  /** Answers of homes by kind and reason. */
+  /** Claim outcomes by kind and reason. */
   answers: Record<string, number>;
 }
 
-/** Which keys the callers use. */
+/** Kind of the callers' keys. */
 export type KeyKind = "ticket" | "bare";
 
 interface Call {
   key: IdempotencyKey;
   dispatches: number;
-  /** What the caller heard last; a broken connection says no more than "unknown". */
+  /** Last ending reported to the caller; "unknown" if the connection broke. */
   lastEnding: "whole" | "not-run" | "unknown";
 }
 
 const ACCOUNT = asId<ClientAccountId>("oyako");
-const HOSTS = 6;
-const LEAST_LISTED = 3;
-const SETTLE_MS = 9_000;
-const FAULTY_MS = 50_000;
-const FAULTS = 14;
-const CALLS = 60;
+const HOST_COUNT = 6;
+const MIN_LISTED_HOSTS = 3;
+const STARTUP_MS = 9_000;
+const FAULT_PERIOD_MS = 50_000;
+const FAULT_COUNT = 14;
+const CALL_COUNT = 60;
 const MAX_ATTEMPTS = 4;
-/** Half of what two hosts' clocks may differ by. */
-const HOST_SKEW_SPREAD_MS = 240;
-const GIVE_UP_SHARE = 0.15;
+/**
+ * Maximum clock offset of a host; two hosts differ by at most twice as much.
+ */
+const MAX_HOST_OFFSET_MS = 240;
+const RELEASE_SHARE = 0.15;
 
-/** An empty tally. */
+/** Creates an empty tally. */
 export function createTally(): FaultTally {
   return {
     requests: 0,
@@ -69,7 +71,10 @@
   };
 }
 
-/** Runs one random schedule of faults and calls; the same seed gives both kinds of keys the same one. */
+/**
+ * Runs one random schedule of faults and calls; a seed produces the same
+ * schedule for both kinds of keys.
+ */
 export async function runFaults(
   seed: number,
   { kind, tally }: { kind: KeyKind; tally: FaultTally },
@@ -81,9 +86,12 @@
   readonly #fleet: MemberFleet;
   readonly #kind: KeyKind;
   readonly #tally: FaultTally;
-  /** Draws faults and calls; the fleet draws its own. */
+  /** Generates faults and calls; the fleet uses its own generator. */
   readonly #random: SeededRandom;
-  readonly #names = Array.from({ length: HOSTS }, (_, at) => hostName(at + 1));
+  readonly #names = Array.from(
+    { length: HOST_COUNT },
+    (_, at) => hostName(at + 1),
+  );
   readonly #lists: HostList[] = [];
   readonly #calls: Call[] = [];
 
@@ -91,7 +99,7 @@
     this.#kind = kind;
     this.#tally = tally;
     this.#random = new SeededRandom(seed);
-    this.#fleet = new MemberFleet({ size: HOSTS, seed: seed + 1 });
+    this.#fleet = new MemberFleet({ size: HOST_COUNT, seed: seed + 1 });
     this.#lists.push(this.#fleet.list);
   }
 
@@ -102,21 +110,24 @@
       dropShare: 0.02,
       duplicateShare: 0.05,
     });
-    for (let fault = 0; fault < FAULTS; fault++) {
-      this.#at(this.#random.float() * FAULTY_MS, this.#drawFault());
+    for (let fault = 0; fault < FAULT_COUNT; fault++) {
+      this.#schedule(
+        this.#random.float() * FAULT_PERIOD_MS,
+        this.#randomFault(),
+      );
     }
-    for (let call = 0; call < CALLS; call++) this.#scheduleCall();
-    await advance(fleet.sharedTimer, SETTLE_MS + FAULTY_MS);
+    for (let call = 0; call < CALL_COUNT; call++) this.#scheduleCall();
+    await advance(fleet.sharedTimer, STARTUP_MS + FAULT_PERIOD_MS);
     fleet.network.heal();
     await advance(fleet.sharedTimer, 30_000);
-    this.#judge();
+    this.#countOutcomes();
   }
 
-  #at(delay: Milliseconds, action: () => void): void {
-    this.#fleet.sharedTimer.after(SETTLE_MS + delay, action);
+  #schedule(delay: Milliseconds, action: () => void): void {
+    this.#fleet.sharedTimer.after(STARTUP_MS + delay, action);
   }
 
-  #drawFault(): () => void {
+  #randomFault(): () => void {
     const host = this.#random.pick(this.#names);
     const length = 500 + this.#random.float() * 12_000;
     const share = this.#random.float();
@@ -137,8 +148,8 @@
     if (!this.#fleet.hosts.has(host)) return;
     this.#fleet.kill(host);
     this.#fleet.sharedTimer.after(length, () => {
-      const skewMs = (share - 0.5) * 2 * HOST_SKEW_SPREAD_MS;
-      this.#fleet.start(host, { skewMs, list: this.#someList(share) });
+      const skewMs = (share - 0.5) * 2 * MAX_HOST_OFFSET_MS;
+      this.#fleet.start(host, { skewMs, list: this.#randomList(share) });
     });
   }
 
@@ -153,46 +164,48 @@
   }
 
   #partition(share: number, { length }: { length: Milliseconds }): void {
-    const cut = 1 + Math.floor(share * (HOSTS - 1));
+    const cut = 1 + Math.floor(share * (HOST_COUNT - 1));
     const order = [...this.#names].sort((left, right) =>
-      this.#place(left, share) - this.#place(right, share)
+      this.#pseudoRandomRank(left, share) - this.#pseudoRandomRank(right, share)
     );
     this.#fleet.network.partition([order.slice(0, cut), order.slice(cut)]);
     this.#fleet.sharedTimer.after(length, () => this.#fleet.network.heal());
   }
 
-  #place(host: HostId, share: number): number {
+  #pseudoRandomRank(host: HostId, share: number): number {
     return (this.#names.indexOf(host) * 7 + Math.floor(share * 100)) % 11;
   }
 
-  /** A host leaves or joins the list; some read the new one, the others do not. */
+  /**
+   * Adds a host to the list or removes it; only some hosts read the new list.
+   */
   #changeList(host: HostId, { share }: { share: number }): void {
     const newest = this.#lists.at(-1)!;
     const listed = newest.entryHosts.map((item) => item.host);
     const changed = listed.includes(host)
       ? listed.filter((other) => other !== host)
       : [...listed, host];
-    if (changed.length < LEAST_LISTED) return;
+    if (changed.length < MIN_LISTED_HOSTS) return;
     const list = createList(changed, { version: newest.version + 1 });
     this.#lists.push(list);
     const readers = this.#names.filter((name) =>
-      this.#fleet.hosts.has(name) && this.#place(name, share) < 6
+      this.#fleet.hosts.has(name) && this.#pseudoRandomRank(name, share) < 6
     );
     this.#fleet.publish(list, readers);
   }
 
-  /** A stale replica of the platform answers with some list of the past. */
+  /** Lets a host read an old list, as from an outdated platform replica. */
   #rereadList(host: HostId, { share }: { share: number }): void {
     const reader = this.#fleet.hosts.get(host);
-    reader?.blackboard.write(HOST_LIST, this.#someList(share));
+    reader?.blackboard.write(HOST_LIST, this.#randomList(share));
   }
 
-  #someList(share: number): HostList {
+  #randomList(share: number): HostList {
     return this.#lists[Math.floor(share * this.#lists.length)]!;
   }
 
   #scheduleCall(): void {
-    const at = this.#random.float() * FAULTY_MS;
+    const at = this.#random.float() * FAULT_PERIOD_MS;
     const skew = (this.#random.float() * 2 - 1) * MAX_CALLER_CLOCK_SKEW_MS;
     const entries = Array.from(
       { length: MAX_ATTEMPTS },
@@ -200,12 +213,12 @@
     );
     const gaps = entries.map(() => 200 + this.#random.float() * 8_000);
     const waits = entries.map(() => this.#random.float() * 2_500);
-    const givesUp = entries.map(() => this.#random.float() < GIVE_UP_SHARE);
-    const chance = new SeededRandom(this.#random.int(2 ** 30));
-    this.#at(at, () => {
+    const givesUp = entries.map(() => this.#random.float() < RELEASE_SHARE);
+    const keyRandom = new SeededRandom(this.#random.int(2 ** 30));
+    this.#schedule(at, () => {
       const issuedAt = this.#fleet.sharedTimer.wallNow() + skew;
       const key = this.#kind === "bare"
-        ? bareKey(issuedAt, chance)
+        ? bareKey(issuedAt, keyRandom)
         : this.#fleet.hosts.get(entries[0]!)?.keys.mintTicket(ACCOUNT);
       if (key === undefined) return;
       const call: Call = { key, dispatches: 0, lastEnding: "unknown" };
@@ -230,17 +243,20 @@
     if (host === undefined || call.lastEnding === "whole") return;
     call.lastEnding = "unknown";
     const outcome = await host.keys.claim(claimOf(call.key));
-    this.#count(outcome);
+    this.#countClaimOutcome(outcome);
     if (outcome.kind === "granted") {
       host.timer.after(options.wait, () => {
-        this.#use(call, outcome.owned, { entry, givesUp: options.givesUp });
+        this.#useGrant(call, outcome.owned, {
+          entry,
+          givesUp: options.givesUp,
+        });
       });
       return;
     }
-    if (outcome.kind === "not-run") this.#sayNotRun(call);
+    if (outcome.kind === "not-run") this.#reportNotRun(call);
   }
 
-  #count(outcome: ClaimOutcome): void {
+  #countClaimOutcome(outcome: ClaimOutcome): void {
     const { answers } = this.#tally;
     const name = "reason" in outcome
       ? `${outcome.kind}: ${outcome.reason}`
@@ -248,7 +264,7 @@
     answers[name] = (answers[name] ?? 0) + 1;
   }
 
-  #use(
+  #useGrant(
     call: Call,
     owned: OwnedKey,
     { entry, givesUp }: { entry: HostId; givesUp: boolean },
@@ -257,7 +273,7 @@
     if (keys === undefined) return;
     if (givesUp) {
       void keys.release(owned).then((isReleased) => {
-        if (isReleased) this.#sayNotRun(call);
+        if (isReleased) this.#reportNotRun(call);
         else call.lastEnding = "unknown";
       });
       return;
@@ -268,12 +284,12 @@
     call.lastEnding = "whole";
   }
 
-  #sayNotRun(call: Call): void {
+  #reportNotRun(call: Call): void {
     call.lastEnding = "not-run";
     if (call.dispatches > 0) this.#tally.falseNotRun++;
   }
 
-  #judge(): void {
+  #countOutcomes(): void {
     const tally = this.#tally;
     for (const call of this.#calls) {
       tally.requests++;
--- a/packages/coordination/tests/helpers/keys.ts
+++ b/packages/coordination/tests/helpers/keys.ts
@@ -20,26 +20,29 @@
 
 const UUID_TIME_DIGITS = 12;
 
-/** Some dispatch of a test. */
+/** A dispatch for tests. */
 export const DISPATCH: Dispatch = {
   upstream: asId<UpstreamId>("drafter-1"),
   nonce: asId<Nonce>("nonce"),
 };
 
-/** A UUIDv7 that a caller made at that time. */
+/** Creates a UUIDv7 with the given time. */
 export function bareKey(issuedAt: number, random: Random): IdempotencyKey {
   const time = Math.floor(issuedAt).toString(16).padStart(
     UUID_TIME_DIGITS,
     "0",
   );
-  const chance = random.hex(10);
-  const text = `${time.slice(0, 8)}-${time.slice(8)}-7${chance.slice(0, 3)}-8${
-    chance.slice(3, 6)
-  }-${chance.slice(6, 18)}`;
+  const randomDigits = random.hex(10);
+  const text = `${time.slice(0, 8)}-${time.slice(8)}-7${
+    randomDigits.slice(0, 3)
+  }-8${randomDigits.slice(3, 6)}-${randomDigits.slice(6, 18)}`;
   return asId<IdempotencyKey>(text);
 }
 
-/** A key made now whose home under the present list is the given host. */
+/**
+ * Creates a claim of a new key whose home is the given host in the current
+ * view.
+ */
 export function keyWithHome(
   fleet: MemberFleet,
   home: HostId,
@@ -52,7 +55,7 @@
   }
 }
 
-/** A claim of a key with usual values. */
+/** Creates a claim of a key with default values. */
 export function claimOf(
   key: IdempotencyKey,
   changes: { account?: string; body?: string; isIdempotent?: boolean } = {},
@@ -67,7 +70,7 @@
   };
 }
 
-/** Claims at a host and lets time pass until the outcome is there. */
+/** Claims a key at a host and advances the time until the outcome is known. */
 export function claimAt(
   fleet: MemberFleet,
   host: HostId,
@@ -78,7 +81,7 @@
   return outcome;
 }
 
-/** The same, for a claim that must be granted. */
+/** Claims a key that must be granted. */
 export async function ownAt(
   fleet: MemberFleet,
   host: HostId,
@@ -86,5 +89,5 @@
 ): Promise<OwnedKey> {
   const outcome = await claimAt(fleet, host, request);
   if (outcome.kind === "granted") return outcome.owned;
-  throw new Error(`Claim is not granted: ${JSON.stringify(outcome)}`);
+  throw new Error(`Claim was not granted: ${JSON.stringify(outcome)}`);
 }
--- a/packages/coordination/tests/helpers/memberFleet.ts
+++ b/packages/coordination/tests/helpers/memberFleet.ts
@@ -36,12 +36,12 @@
   readonly keys: KeyService;
 }
 
-/** The name of the host with that number. */
+/** Returns the name of a host by its number. */
 export function hostName(index: number): HostId {
   return asId<HostId>(`entry-${index}`);
 }
 
-/** A published list of the first `size` hosts. */
+/** Creates a host list of the given hosts. */
 export function createList(
   hosts: readonly HostId[],
   { version = 1 }: { version?: number } = {},
@@ -63,14 +63,17 @@
   return asId<FailureDomain>(DOMAINS[(number - 1) % DOMAINS.length]!);
 }
 
-/** How a process of a {@link MemberFleet} starts. */
+/** Options for starting a process of a {@link MemberFleet}. */
 export interface StartOptions {
-  /** By how much its wall clock is off. */
+  /** Offset of its wall clock. */
   readonly skewMs?: Milliseconds;
   readonly list?: HostList;
 }
 
-/** Membership controllers of several hosts over one in-memory network. */
+/**
+ * Runs the membership, view and key controllers of several hosts over one
+ * in-memory network.
+ */
 export class MemberFleet {
   readonly sharedTimer = new SharedTimer();
   readonly random: SeededRandom;
@@ -93,7 +96,7 @@
     for (const host of names) this.start(host);
   }
 
-  /** Starts a process on a host; it knows a list, the published one unless told. */
+  /** Starts a process on a host, by default with the published host list. */
   start(
     host: HostId,
     { skewMs = 0, list = this.list }: StartOptions = {},
@@ -170,7 +173,7 @@
     this.at(host).link.resume();
   }
 
-  /** Publishes a list; only the named hosts read it. */
+  /** Publishes a list to the given hosts. */
   publish(list: HostList, readers: Iterable<HostId> = this.hosts.keys()): void {
     this.list = list;
     for (const host of readers) {
@@ -186,7 +189,7 @@
     return this.hosts.get(host)!;
   }
 
-  /** What `observer` knows of `host`. */
+  /** Returns what `observer` knows of `host`. */
   memberAt(observer: HostId, host: HostId): Member | undefined {
     const members = this.at(observer).blackboard.read(MEMBERS);
     return members.find((member) => member.host === host);
--- a/packages/coordination/tests/helpers/pausableTimer.ts
+++ b/packages/coordination/tests/helpers/pausableTimer.ts
@@ -5,7 +5,7 @@
   type TimerSubscription,
 } from "@wasabivane/common";
 
-/** A timer whose calls wait while its process is paused, as under SIGSTOP. */
+/** Timer whose callbacks wait while its process is paused, as under SIGSTOP. */
 export class PausableTimer extends Timer {
   readonly #timer: Timer;
   readonly #process: () => { readonly isPaused: boolean } | undefined;
@@ -29,10 +29,10 @@
 
   override after(delay: Milliseconds, callback: () => void): TimerSubscription {
     let subscription = this.#timer.after(delay, run);
-    const pause = (): boolean => this.#process()?.isPaused === true;
+    const isPaused = (): boolean => this.#process()?.isPaused === true;
     const timer = this.#timer;
     function run(): void {
-      if (pause()) subscription = timer.after(1, run);
+      if (isPaused()) subscription = timer.after(1, run);
       else callback();
     }
     return { cancel: () => subscription.cancel() };
--- a/packages/coordination/tests/helpers/platform.ts
+++ b/packages/coordination/tests/helpers/platform.ts
@@ -9,9 +9,9 @@
 import type { HostId, Milliseconds, Timer } from "@wasabivane/common";
 import { err, ok, type Result } from "neverthrow";
 
-type Answer<Value> = Result<Revisioned<Value> | undefined, PlatformError>;
+type ReadResult<Value> = Result<Revisioned<Value> | undefined, PlatformError>;
 
-/** One value of the platform with its waiting watches. */
+/** Holds a published value and the long polls that wait for it. */
 class PublishedValue<Value> {
   #current: Revisioned<Value> | undefined;
   readonly #watches = new Set<() => void>();
@@ -24,16 +24,16 @@
   read(
     timer: Timer,
     options: { afterRevision: number; waitMs: Milliseconds },
-  ): Promise<Answer<Value>> {
+  ): Promise<ReadResult<Value>> {
     return new Promise((resolve) => {
-      const answer = (): void => {
-        this.#watches.delete(answer);
+      const respond = (): void => {
+        this.#watches.delete(respond);
         timeout.cancel();
         timer.after(1, () => resolve(ok(this.#newer(options.afterRevision))));
       };
-      const timeout = timer.after(options.waitMs, answer);
-      this.#watches.add(answer);
-      if (this.#newer(options.afterRevision) !== undefined) answer();
+      const timeout = timer.after(options.waitMs, respond);
+      this.#watches.add(respond);
+      if (this.#newer(options.afterRevision) !== undefined) respond();
     });
   }
 
@@ -43,7 +43,7 @@
   }
 }
 
-/** A platform whose service can be down for all or for some hosts. */
+/** Simulates a platform that can be unavailable for all or some hosts. */
 export class FakePlatform {
   readonly bundle = new PublishedValue<SignedBundle>();
   readonly hostList = new PublishedValue<HostList>();
@@ -59,18 +59,18 @@
     host: HostId,
     value: PublishedValue<Value>,
     options: { afterRevision: number; waitMs: Milliseconds },
-  ): Promise<Answer<Value>> {
+  ): Promise<ReadResult<Value>> {
     this.reads++;
     if (!this.canRead(host)) {
       return err({ kind: "unreachable", detail: "Connection refused" });
     }
-    const answer = await value.read(this.#timer, options);
-    if (this.canRead(host)) return answer;
+    const result = await value.read(this.#timer, options);
+    if (this.canRead(host)) return result;
     return err({ kind: "unreachable", detail: "Connection reset" });
   }
 }
 
-/** The bundle as one host reads it. */
+/** Reads the bundle for one host. */
 export class FakeBundleSource extends BundleSource {
   readonly #platform: FakePlatform;
   readonly #host: HostId;
@@ -83,12 +83,12 @@
 
   override read(
     options: { afterRevision: number; waitMs: Milliseconds },
-  ): Promise<Answer<SignedBundle>> {
+  ): Promise<ReadResult<SignedBundle>> {
     return this.#platform.read(this.#host, this.#platform.bundle, options);
   }
 }
 
-/** The host list as one host reads it. */
+/** Reads the host list for one host. */
 export class FakeHostListSource extends HostListSource {
   readonly #platform: FakePlatform;
   readonly #host: HostId;
@@ -101,7 +101,7 @@
 
   override read(
     options: { afterRevision: number; waitMs: Milliseconds },
-  ): Promise<Answer<HostList>> {
+  ): Promise<ReadResult<HostList>> {
     return this.#platform.read(this.#host, this.#platform.hostList, options);
   }
 }
--- a/packages/coordination/tests/helpers/stopFleet.ts
+++ b/packages/coordination/tests/helpers/stopFleet.ts
@@ -22,7 +22,7 @@
 
 const MEMBERS = createTopic<readonly StopMember[]>("members", []);
 
-/** A plan with one host of a failure domain at a time. */
+/** Stop plan that allows one host per failure domain at a time. */
 export const PLAN: StopPlan = {
   stopPlan: "usual",
   readinessMs: 2_000,
@@ -41,16 +41,16 @@
   readonly controller: StopController;
   readonly phases: string[];
   openStreams: number;
-  handOverTakes: Milliseconds;
+  handOverMs: Milliseconds;
   isAlive: boolean;
 }
 
-/** Stop controllers of hosts in failure domains. */
+/** Runs stop controllers of hosts in several failure domains. */
 export class StopFleet {
   readonly timer = new VirtualTimer();
   readonly network: MemoryNetwork;
   readonly hosts: StoppingHost[] = [];
-  /** Most hosts of one failure domain that were stopping at once. */
+  /** Maximum number of hosts of one failure domain stopping at once. */
   mostAtOnce = 0;
   #starts = 0;
 
@@ -66,7 +66,7 @@
       );
     }
     this.refreshMembers();
-    this.timer.every(10, () => this.#observe());
+    this.timer.every(10, () => this.#recordStopping());
   }
 
   at(index: number): StoppingHost {
@@ -81,7 +81,7 @@
     return this.at(index).blackboard.read(STOP_PHASE).kind;
   }
 
-  /** Ends a process; the others notice three seconds later. */
+  /** Kills a process; the others detect it after three seconds. */
   kill(index: number): void {
     const killed = this.at(index);
     killed.isAlive = false;
@@ -125,7 +125,7 @@
       link,
       phases,
       openStreams: 0,
-      handOverTakes: 200,
+      handOverMs: 200,
       isAlive: true,
       controller: new StopController({
         blackboard,
@@ -138,7 +138,7 @@
         openStreams: () => started.openStreams,
         handOver: () =>
           new Promise((resolve) =>
-            timer.after(started.handOverTakes, () => resolve(true))
+            timer.after(started.handOverMs, () => resolve(true))
           ),
         setLeaving: () => {},
       }),
@@ -158,7 +158,7 @@
     this.refreshMembers();
   }
 
-  #observe(): void {
+  #recordStopping(): void {
     const stopping = new Map<string, number>();
     for (const { blackboard, domain, isAlive } of this.hosts) {
       const { kind } = blackboard.read(STOP_PHASE);
--- a/packages/coordination/tests/jobFaults.test.ts
+++ b/packages/coordination/tests/jobFaults.test.ts
@@ -4,10 +4,13 @@
 import { ACCOUNT, JobFleet } from "./helpers/jobFleet.ts";
 
 const SEEDS = 10;
-const EVENTS = 14;
+const FAULTS_PER_SEED = 14;
 
-/** One fault that ends by itself or by a later event. */
-async function strike(fleet: JobFleet, random: SeededRandom): Promise<void> {
+/** Injects one random fault, which a later one may end. */
+async function injectFault(
+  fleet: JobFleet,
+  random: SeededRandom,
+): Promise<void> {
   const hosts = [...fleet.hosts.keys()];
   const host = random.pick(hosts);
   const { isPaused } = fleet.hosts.get(host)!;
@@ -15,7 +18,7 @@
   if (kind === 0 && hosts.length > 4) await fleet.kill(host);
   else if (kind === 1) restart(fleet, host);
   else if (kind === 2 && !isPaused) await fleet.pause(host);
-  else if (kind === 3) await fleet.partition(split(hosts, random));
+  else if (kind === 3) await fleet.partition(splitRandomly(hosts, random));
   else if (kind === 4) fleet.heal();
   else if (isPaused) fleet.wake(host);
   await fleet.advanceCoarsely(random.int(20_000));
@@ -27,19 +30,22 @@
   fleet.start(Number(host.split("-")[1]));
 }
 
-function split(hosts: readonly HostId[], random: SeededRandom): HostId[][] {
+function splitRandomly(
+  hosts: readonly HostId[],
+  random: SeededRandom,
+): HostId[][] {
   const left = hosts.filter(() => random.float() < 0.5);
   return [left, hosts.filter((host) => !left.includes(host))];
 }
 
-async function acceptSome(
+async function submitJobs(
   fleet: JobFleet,
   random: SeededRandom,
 ): Promise<Job[]> {
   const awake = [...fleet.hosts.values()].filter(({ isPaused }) => !isPaused);
   const accepting = Array.from(
     { length: 4 },
-    () => random.pick(awake).controller.accept(fleet.offer()),
+    () => random.pick(awake).controller.accept(fleet.createSubmission()),
   );
   await fleet.advanceCoarsely(3_500);
   const settled = await Promise.all(
@@ -58,10 +64,9 @@
   return status.kind === "ended" ? status.answer.ending : status.kind;
 }
 
-test("random kills, restarts, pauses and partitions never run a job twice or deny a run", async (t) => {
-  // Whatever strikes in whatever order, a job is dispatched at most once, "not
-  // run" is said only of jobs that never left, and when all is healed each
-  // accepted job has an ending or will run.
+test("random faults never run a job twice or report a run as not run", async (t) => {
+  // A job is dispatched at most once and reported as not run only if it was
+  // never dispatched; once all faults have ended, each accepted job ends.
   const endings: Record<string, number> = {};
   for (let seed = 1; seed <= SEEDS; seed++) {
     const fleet = new JobFleet({ seed, size: 7 });
@@ -73,10 +78,10 @@
     });
     fleet.refusedShare = random.pick([0, 0.5]);
     const jobs: Job[] = [];
-    for (let event = 0; event < EVENTS; event++) {
-      if (event % 3 === 0) jobs.push(...await acceptSome(fleet, random));
+    for (let event = 0; event < FAULTS_PER_SEED; event++) {
+      if (event % 3 === 0) jobs.push(...await submitJobs(fleet, random));
       fleet.isDispatching = random.float() < 0.4;
-      await strike(fleet, random);
+      await injectFault(fleet, random);
     }
     fleet.heal();
     for (const { host, isPaused } of fleet.hosts.values()) {
--- a/packages/coordination/tests/jobs.test.ts
+++ b/packages/coordination/tests/jobs.test.ts
@@ -18,14 +18,14 @@
   }
 });
 
-test("a job runs once, its answer is kept until it is fetched, and nothing stays", async (t) => {
+test("a job runs once and is deleted after its response has been fetched", async (t) => {
   const fleet = new JobFleet();
   const job = await fleet.accept(FIRST);
   fleet.isDispatching = true;
   await fleet.advance(1_000);
-  const stranger = fleet.nonMemberOf(job);
-  t.is(await fleet.statusAt(stranger, job), "whole");
-  const { controller } = fleet.hosts.get(stranger)!;
+  const nonMember = fleet.nonMemberOf(job);
+  t.is(await fleet.statusAt(nonMember, job), "whole");
+  const { controller } = fleet.hosts.get(nonMember)!;
   const other = controller.lookUp(job.id, asId<ClientAccountId>("rival"));
   await fleet.advance(1_100);
   t.deepEqual((await other)._unsafeUnwrapErr(), { kind: "not-found" });
@@ -34,13 +34,12 @@
   t.is((await fetching)._unsafeUnwrap().kind, "ended");
   await fleet.advance(1_000);
   t.is(fleet.heldCopies(), 0);
-  t.is(await fleet.statusAt(stranger, job), "not-found");
+  t.is(await fleet.statusAt(nonMember, job), "not-found");
   t.is(fleet.timesDispatched(job), 1);
 });
 
-test("a waiting job survives its holder and then the next holder", async (t) => {
-  // The caller was told "accepted". Holders die one after the other before the
-  // dispatch; each time a copy moves the job on and finds a fresh member.
+test("a waiting job survives the loss of its holder and of the next one", async (t) => {
+  // After each loss, a replica takes over the job and adds a new member.
   const fleet = new JobFleet();
   const job = await fleet.accept(FIRST);
   const copy = fleet.membersOf(job)[1]!;
@@ -57,7 +56,7 @@
   t.is(fleet.timesDispatched(job), 1);
 });
 
-test("a lost copy is replaced", async (t) => {
+test("a lost replica is replaced", async (t) => {
   const fleet = new JobFleet();
   const job = await fleet.accept(FIRST);
   await fleet.kill(fleet.membersOf(job)[2]!);
@@ -68,9 +67,8 @@
   t.is(fleet.timesDispatched(job), 1);
 });
 
-test("a job left with two members grows back to three", async (t) => {
-  // All hosts are members and one is lost, so nobody can replace it. When its
-  // host is back, the job must not stay one loss away from its end.
+test("a job with two members gets a third one when a host becomes available", async (t) => {
+  // Otherwise a second loss would end the job.
   const fleet = new JobFleet({ size: 3 });
   await fleet.accept(FIRST);
   await fleet.kill(hostName(3));
@@ -82,19 +80,19 @@
   t.is(fleet.heldCopies(), 3);
 });
 
-test("a host that let go of a job can hold it again", async (t) => {
-  // A partition makes the job move away from a member; later another member
-  // dies and the former one is the only host left that can replace it.
+test("a host that no longer holds a job can hold it again", async (t) => {
+  // The job moves away from a member during a partition; that host later is the
+  // only possible replacement.
   const fleet = new JobFleet({ size: 4 });
   const job = await fleet.accept(FIRST);
   const [, second, third] = fleet.membersOf(job);
-  const stranger = fleet.nonMemberOf(job);
-  await fleet.partition([[FIRST, second!, stranger], [third!]]);
+  const nonMember = fleet.nonMemberOf(job);
+  await fleet.partition([[FIRST, second!, nonMember], [third!]]);
   await fleet.advance(3_000);
   fleet.heal();
   await fleet.advance(8_000);
   t.is(fleet.hosts.get(third!)!.controller.held.jobs, 0);
-  await fleet.kill(stranger);
+  await fleet.kill(nonMember);
   await fleet.advance(4_000);
   t.is(fleet.hosts.get(third!)!.controller.held.jobs, 1);
   fleet.isDispatching = true;
@@ -102,9 +100,9 @@
   t.is(fleet.timesDispatched(job), 1);
 });
 
-test("a holder that wakes an hour late dispatches nothing that moved on", async (t) => {
-  // The holder pauses before its dispatch and believes itself in charge when it
-  // wakes. A copy has taken over and run the job; a second run would bill twice.
+test("a holder resumed after an hour does not dispatch a job that was taken over", async (t) => {
+  // The former holder still considers itself in charge; a second dispatch would
+  // run the job twice.
   const fleet = new JobFleet();
   const job = await fleet.accept(FIRST);
   await fleet.pause(FIRST);
@@ -119,7 +117,7 @@
   t.is(await fleet.statusAt(FIRST, job), "whole");
 });
 
-test("after the dispatch was recorded a successor resumes and never dispatches", async (t) => {
+test("a successor resumes a recorded dispatch instead of dispatching again", async (t) => {
   const fleet = new JobFleet();
   const job = await fleet.accept(FIRST);
   const dispatching = fleet.dispatch(FIRST, job);
@@ -132,9 +130,8 @@
   t.is(fleet.timesDispatched(job), 1);
 });
 
-test("a dispatch that the upstream refused is made elsewhere, once", async (t) => {
-  // The copies hold "dispatch to U as N", and U refused the connection. The job
-  // would be stuck at an upstream that is gone; its holder alone may reopen it.
+test("a dispatch refused by the upstream is made elsewhere, once", async (t) => {
+  // Otherwise the job would stay bound to an upstream that refused it.
   const fleet = new JobFleet();
   const job = await fleet.accept(FIRST);
   fleet.refusedShare = 1;
@@ -151,9 +148,9 @@
   t.is(fleet.timesDispatched(job), 1);
 });
 
-test("a holder that dies between record and dispatch leaves an unknown, not a second run", async (t) => {
-  // The copies hold "dispatch to U as N", yet no byte left. Nobody can know, so
-  // the resume at U finds nothing and the caller hears the truth: unknown.
+test("a job whose holder dies between record and dispatch ends as unknown", async (t) => {
+  // The replicas cannot know whether the recorded dispatch was made, so it must
+  // not be made again.
   const fleet = new JobFleet();
   const job = await fleet.accept(FIRST);
   const { controller } = fleet.hosts.get(FIRST)!;
@@ -170,7 +167,7 @@
   t.is(fleet.timesDispatched(job), 0);
 });
 
-test("a holder cut off from both copies cannot dispatch, and they can", async (t) => {
+test("a partitioned holder cannot dispatch, but the other replicas can", async (t) => {
   const fleet = new JobFleet();
   const job = await fleet.accept(FIRST);
   const others = [...fleet.hosts.keys()].filter((host) => host !== FIRST);
@@ -187,9 +184,9 @@
   t.is(fleet.timesDispatched(job), 1);
 });
 
-test("a job in a pair ends as not run when the other member is gone before any dispatch", async (t) => {
-  // Only two hosts live. Both are needed for every choice, so that a survivor
-  // that accepted nothing knows that the job never ran and says so.
+test("a job with two members ends as not run when one is lost before any dispatch", async (t) => {
+  // Every choice needs both members, so the survivor knows that the job never
+  // ran.
   for (const survivor of [0, 1]) {
     const fleet = new JobFleet({ size: 2, domains: 2 });
     const job = await fleet.accept(FIRST);
@@ -204,7 +201,7 @@
   }
 });
 
-test("a survivor of three that cannot know says unknown", async (t) => {
+test("the only survivor of three members ends the job as unknown", async (t) => {
   const fleet = new JobFleet({ size: 3 });
   const job = await fleet.accept(FIRST);
   const [, second, third] = fleet.membersOf(job);
@@ -218,7 +215,7 @@
   t.is(fleet.timesDispatched(job), 0);
 });
 
-test("with two failure domains a third member keeps the job through any one loss", async (t) => {
+test("a job in two failure domains survives the loss of any one member", async (t) => {
   for (const lost of [0, 1, 2]) {
     const fleet = new JobFleet({ size: 6, domains: 2 });
     const job = await fleet.accept(FIRST);
@@ -229,11 +226,11 @@
   }
 });
 
-test("a full host refuses truthfully and keeps what it has", async (t) => {
+test("a full host refuses new jobs and keeps its own", async (t) => {
   const fleet = new JobFleet({ options: { maximumJobs: 2 } });
   const jobs = [await fleet.accept(FIRST), await fleet.accept(FIRST)];
   const refused = await fleet.hosts.get(FIRST)!.controller.accept(
-    fleet.offer(),
+    fleet.createSubmission(),
   );
   t.is(refused._unsafeUnwrapErr().kind, "full");
   fleet.isDispatching = true;
@@ -241,10 +238,12 @@
   for (const job of jobs) t.is(fleet.timesDispatched(job), 1);
 });
 
-test("a job without a reachable copy is refused and never runs", async (t) => {
+test("a job without a reachable replica is refused and never runs", async (t) => {
   const fleet = new JobFleet();
   fleet.network.setFaults({ dropShare: 1 });
-  const accepting = fleet.hosts.get(FIRST)!.controller.accept(fleet.offer());
+  const accepting = fleet.hosts.get(FIRST)!.controller.accept(
+    fleet.createSubmission(),
+  );
   await fleet.advance(3_000);
   t.is((await accepting)._unsafeUnwrapErr().kind, "no-copies");
   fleet.network.setFaults({ dropShare: 0 });
@@ -266,7 +265,7 @@
   t.is(fleet.timesDispatched(job), 0);
 });
 
-test("a planned stop hands jobs and answers over before the host ends", async (t) => {
+test("a planned stop hands over jobs and responses before the process ends", async (t) => {
   const fleet = new JobFleet();
   const waiting = await fleet.accept(FIRST);
   const done = await fleet.accept(FIRST);
@@ -290,7 +289,7 @@
   t.is(fleet.timesDispatched(done), 1);
 });
 
-test("the host that takes a job over dies during the handover", async (t) => {
+test("a job survives the loss of its new holder during a handover", async (t) => {
   const fleet = new JobFleet();
   const job = await fleet.accept(FIRST);
   const stopping = fleet.hosts.get(FIRST)!;
@@ -306,7 +305,7 @@
   t.is(fleet.timesDispatched(job), 1);
 });
 
-test("a host that stops moves the copies it holds for others", async (t) => {
+test("a stopping host also moves copies whose holder is another host", async (t) => {
   const fleet = new JobFleet();
   const job = await fleet.accept(FIRST);
   const copy = fleet.membersOf(job)[1]!;
@@ -320,7 +319,7 @@
   t.is(fleet.heldCopies(), 3);
 });
 
-test("doubled, late and lost messages change nothing", async (t) => {
+test("duplicate, late and lost messages do not change the outcome", async (t) => {
   for (let seed = 1; seed <= 6; seed++) {
     const fleet = new JobFleet({ seed });
     fleet.network.setFaults({
@@ -329,7 +328,9 @@
       jitterMs: 400,
     });
     fleet.isDispatching = true;
-    const accepting = fleet.hosts.get(FIRST)!.controller.accept(fleet.offer());
+    const accepting = fleet.hosts.get(FIRST)!.controller.accept(
+      fleet.createSubmission(),
+    );
     await fleet.advance(10_000);
     const accepted = await accepting;
     const made = [...fleet.dispatches.values()].map(({ length }) => length);
@@ -340,7 +341,7 @@
   }
 });
 
-test("an expired job leaves nothing behind", async (t) => {
+test("an expired job is deleted everywhere and never runs", async (t) => {
   const fleet = new JobFleet();
   await fleet.accept(FIRST, { expiresAt: fleet.timer.wallNow() + 5_000 });
   await fleet.advance(6_000);
@@ -350,7 +351,7 @@
   t.is(fleet.dispatches.size, 0);
 });
 
-test("a whole answer that comes late replaces an unknown", async (t) => {
+test("a late complete response replaces an unknown ending", async (t) => {
   const fleet = new JobFleet();
   const job = await fleet.accept(FIRST);
   const dispatching = fleet.dispatch(FIRST, job);
--- a/packages/coordination/tests/keyService.test.ts
+++ b/packages/coordination/tests/keyService.test.ts
@@ -27,17 +27,17 @@
   ReturnType<typeof hostName>,
 ];
 const ACCOUNT = asId<ClientAccountId>("oyako");
-/** Joining, the first leases and the tenure's margin. */
-const SETTLE_MS = 5_000 + TENURE_MARGIN_MS;
+/** Time to join, get leases and pass the tenure margin. */
+const STARTUP_MS = 5_000 + TENURE_MARGIN_MS;
 
-function settledFleet(size = 4): MemberFleet {
+function startedFleet(size = 4): MemberFleet {
   const fleet = new MemberFleet({ size });
-  fleet.advance(SETTLE_MS);
+  fleet.advance(STARTUP_MS);
   return fleet;
 }
 
-test("a resend through another host finds the first attempt", async (t) => {
-  const fleet = settledFleet();
+test("a resend through another host finds the owner of its key", async (t) => {
+  const fleet = startedFleet();
   const request = keyWithHome(fleet, A);
   const owned = await ownAt(fleet, B, request);
   const joined = await claimAt(fleet, C, request);
@@ -49,8 +49,8 @@
   t.like(later, { kind: "owned-by", state: "dispatched", dispatch: DISPATCH });
 });
 
-test("a released key goes to the next claim and its former owner cannot write", async (t) => {
-  const fleet = settledFleet();
+test("a released key can be granted again and its former owner cannot dispatch", async (t) => {
+  const fleet = startedFleet();
   const request = keyWithHome(fleet, A);
   const owned = await ownAt(fleet, B, request);
   const released = fleet.at(B).keys.release(owned);
@@ -60,11 +60,10 @@
   await ownAt(fleet, C, request);
 });
 
-// The caller is told "not run" while a resend of it is on its way through
-// another host. If that one were granted the key now, "not run" would be false;
-// it is told the same, and the caller may come back a little later.
-test("right after its release a key is granted to nobody", async (t) => {
-  const fleet = settledFleet();
+// Granting the key to a resend in transit would make the reported "not run"
+// false.
+test("a key is not granted during the grace period after its release", async (t) => {
+  const fleet = startedFleet();
   const request = keyWithHome(fleet, A);
   const owned = await ownAt(fleet, B, request);
   void fleet.at(B).keys.release(owned);
@@ -73,11 +72,9 @@
   t.like(late, { kind: "not-run", reason: "released" });
 });
 
-// An entry host was paused with a resend in its socket while the caller was told
-// "not run" through another host. When it wakes it claims the key long after the
-// release, but the resend is older than the release and must not run.
-test("a resend older than the release is not granted however late it is read", async (t) => {
-  const fleet = settledFleet();
+// A paused host can read an old resend long after the release was reported.
+test("a resend older than the release is not granted, however late it is read", async (t) => {
+  const fleet = startedFleet();
   const request = keyWithHome(fleet, A);
   const owned = await ownAt(fleet, B, request);
   void fleet.at(B).keys.release(owned);
@@ -86,11 +83,9 @@
   t.like(late, { kind: "not-run", reason: "released" });
 });
 
-// The owner is cut off from the home until its request's deadline. The home
-// cannot confirm that the key was granted to nobody else, so "not run" may be
-// false and is not said.
-test("a release that the home does not confirm in time is none", async (t) => {
-  const fleet = settledFleet();
+// Without confirmation the key may have been granted to another owner.
+test("a release that the home does not confirm in time is reported as failed", async (t) => {
+  const fleet = startedFleet();
   const request = keyWithHome(fleet, A);
   const owned = await ownAt(fleet, B, request);
   fleet.network.blockDirection(B, A);
@@ -99,8 +94,8 @@
   t.false(await released);
 });
 
-test("the same key with another body is told, and accounts do not meet", async (t) => {
-  const fleet = settledFleet();
+test("a key with another body is a mismatch; keys of other accounts are independent", async (t) => {
+  const fleet = startedFleet();
   const request = keyWithHome(fleet, A);
   await ownAt(fleet, B, request);
   const other = claimOf(request.key, { body: "other" });
@@ -108,8 +103,8 @@
   await ownAt(fleet, C, claimOf(request.key, { account: "delta-press" }));
 });
 
-test("the dispatch of a dead owner is resumed, not repeated", async (t) => {
-  const fleet = settledFleet();
+test("the dispatch of a dead owner is resumed instead of repeated", async (t) => {
+  const fleet = startedFleet();
   const request = keyWithHome(fleet, A);
   const owned = await ownAt(fleet, B, request);
   fleet.at(B).keys.markDispatched(owned, DISPATCH);
@@ -120,11 +115,10 @@
   t.deepEqual(outcome, { kind: "resume-at", dispatch: DISPATCH });
 });
 
-test("a key whose owner died silently is never run again unless it is idempotent", async (t) => {
-  // B owns both keys and dies before it reports a dispatch. It may have written
-  // a byte right before. The caller asks C: nobody knows, so "unknown". Only a
-  // further resend of the idempotent request runs, as a second attempt.
-  const fleet = settledFleet();
+test("a key whose owner died without an update runs again only if idempotent", async (t) => {
+  // The owner may have dispatched before its death; only a second resend of an
+  // idempotent request may run.
+  const fleet = startedFleet();
   const once = keyWithHome(fleet, A);
   const idempotent = { ...keyWithHome(fleet, A), isIdempotent: true };
   await ownAt(fleet, B, once);
@@ -138,15 +132,14 @@
   t.is((await ownAt(fleet, D, idempotent)).attempt, 2);
 });
 
-test("a new home takes no key that the former home may have granted", async (t) => {
-  // A grants the key to B and dies; the list drops A. B has not written yet. If
-  // the new home granted the key again, both B and the new owner would run it.
-  const fleet = settledFleet();
+test("a new home does not grant a key that the former home may have granted", async (t) => {
+  // Granting the key again would let two owners dispatch it.
+  const fleet = startedFleet();
   const request = keyWithHome(fleet, A);
   const owned = await ownAt(fleet, B, request);
   fleet.kill(A);
   fleet.publish(createList([B, C, D], { version: 2 }));
-  fleet.advance(SETTLE_MS);
+  fleet.advance(STARTUP_MS);
   const outcome = await claimAt(fleet, C, request);
   t.deepEqual(outcome, { kind: "unknown", reason: "older-than-tenure" });
   t.true(fleet.at(B).keys.markDispatched(owned, DISPATCH));
@@ -154,8 +147,8 @@
   await ownAt(fleet, C, claimOf(key));
 });
 
-test("keys whose home stays are not lost when the list changes", async (t) => {
-  const fleet = settledFleet();
+test("a change of the host list does not affect keys whose home stays the same", async (t) => {
+  const fleet = startedFleet();
   const requests = Array.from({ length: 5 }, () => keyWithHome(fleet, A));
   await ownAt(fleet, B, requests[0]!);
   fleet.publish(createList([A, B, C], { version: 2 }));
@@ -164,8 +157,8 @@
   for (const request of requests.slice(1)) await ownAt(fleet, C, request);
 });
 
-test("a change of upstreams alone interrupts no home", async (t) => {
-  const fleet = settledFleet();
+test("a change of upstreams does not interrupt a home", async (t) => {
+  const fleet = startedFleet();
   const request = keyWithHome(fleet, A);
   fleet.publish({ ...fleet.list, version: 2 }, [A, B]);
   fleet.advance(100);
@@ -173,8 +166,8 @@
   await ownAt(fleet, C, request);
 });
 
-test("a home cut off from the majority decides nothing", async (t) => {
-  const fleet = settledFleet();
+test("a home without a majority does not decide claims", async (t) => {
+  const fleet = startedFleet();
   const request = keyWithHome(fleet, A);
   fleet.network.partition([[A], [B, C, D]]);
   fleet.advance(2_500);
@@ -187,8 +180,8 @@
   await ownAt(fleet, C, request);
 });
 
-test("a ticket is decided by the process that minted it, and by none after it", async (t) => {
-  const fleet = settledFleet();
+test("a ticket is decided only by the process that issued it", async (t) => {
+  const fleet = startedFleet();
   const mint = (): IdempotencyKey => fleet.at(A).keys.mintTicket(ACCOUNT);
   const request = claimOf(mint());
   const unused = claimOf(mint());
@@ -200,21 +193,21 @@
   fleet.network.heal();
   fleet.kill(A);
   fleet.start(A);
-  fleet.advance(SETTLE_MS);
+  fleet.advance(STARTUP_MS);
   const restarted = { kind: "unknown", reason: "home-restarted" } as const;
   t.deepEqual(await claimAt(fleet, B, request), restarted);
   t.deepEqual(await claimAt(fleet, A, request), restarted);
 });
 
-test("a ticket serves only the account that it was minted for", async (t) => {
-  const fleet = settledFleet();
+test("a ticket is valid only for the account that it was issued to", async (t) => {
+  const fleet = startedFleet();
   const key = fleet.at(A).keys.mintTicket(ACCOUNT);
   const stolen = claimOf(key, { account: "delta-press" });
   t.like(await claimAt(fleet, B, stolen), { reason: "unauthenticated" });
 });
 
-test("every host refuses what is no key, and keys from the future", async (t) => {
-  const fleet = settledFleet();
+test("every host refuses malformed keys and keys issued in the future", async (t) => {
+  const fleet = startedFleet();
   const text = claimOf(asId<IdempotencyKey>("order-7"));
   for (const host of [A, B, C, D]) {
     const refused = { kind: "not-run", reason: "malformed" } as const;
@@ -226,10 +219,9 @@
   }
 });
 
-test("an owner that wakes after the key's lifetime does not write", async (t) => {
-  // B owns the key, then sleeps past its lifetime, after which the home forgot
-  // the key. Whatever callers were told since, B must not write now.
-  const fleet = settledFleet();
+test("an owner resumed after the key's lifetime cannot dispatch", async (t) => {
+  // The home has deleted the key by then, and callers may have been told so.
+  const fleet = startedFleet();
   const request = keyWithHome(fleet, A);
   const owned = await ownAt(fleet, B, request);
   fleet.pause(B);
--- a/packages/coordination/tests/membership.test.ts
+++ b/packages/coordination/tests/membership.test.ts
@@ -8,83 +8,82 @@
 
 const A = hostName(1);
 const B = hostName(2);
-/** The last heartbeat is up to one period old when its sender dies. */
+/** A dying host's last heartbeat is up to one period old. */
 const SUSPECTED_MS = 1_900;
-const SETTLE_MS = 2_000;
-/** Silence, one tick and the way of the news. */
-const NOTICED_MS = DEAD_TIMEOUT_MS + 300;
+const STARTUP_MS = 2_000;
+/** Silence, one check and the propagation of updates. */
+const DETECTION_MS = DEAD_TIMEOUT_MS + 300;
 
 test("a dead host is suspect first and dead after three seconds", (t) => {
   const fleet = new MemberFleet();
-  fleet.advance(SETTLE_MS);
+  fleet.advance(STARTUP_MS);
   t.is(fleet.memberAt(A, B)?.state, "alive");
   fleet.kill(B);
   fleet.advance(SUSPECTED_MS);
   t.is(fleet.memberAt(A, B)?.state, "suspect");
-  fleet.advance(NOTICED_MS - SUSPECTED_MS);
+  fleet.advance(DETECTION_MS - SUSPECTED_MS);
   t.is(fleet.memberAt(A, B)?.state, "dead");
   t.is(fleet.shareAt(A), 7 / 8);
 });
 
-test("a restart is told from a pause by the incarnation", (t) => {
+test("a restart is distinguished from a pause by the incarnation", (t) => {
   const fleet = new MemberFleet();
-  fleet.advance(SETTLE_MS);
+  fleet.advance(STARTUP_MS);
   const before = fleet.memberAt(A, B)!.incarnation;
   fleet.pause(B);
   fleet.advance(10_000);
   t.is(fleet.memberAt(A, B)?.state, "dead");
   fleet.resume(B);
-  fleet.advance(SETTLE_MS);
+  fleet.advance(STARTUP_MS);
   t.is(fleet.memberAt(A, B)?.state, "alive");
   t.is(fleet.memberAt(A, B)?.incarnation, before);
   fleet.kill(B);
   fleet.start(B);
-  fleet.advance(SETTLE_MS);
+  fleet.advance(STARTUP_MS);
   t.is(fleet.memberAt(A, B)?.state, "alive");
   t.not(fleet.memberAt(A, B)?.incarnation, before);
 });
 
-test("a process that wakes late does not take the fleet for dead", (t) => {
-  // A sleeps for an hour. When it wakes, it heard nobody for an hour, because
-  // it slept. If it counted that as their silence, it would act alone.
+test("a process resumed after a long pause does not consider its peers dead", (t) => {
+  // Its own pause must not count as silence of its peers.
   const fleet = new MemberFleet();
-  fleet.advance(SETTLE_MS);
+  fleet.advance(STARTUP_MS);
   fleet.pause(A);
   fleet.advance(3_600_000);
   fleet.resume(A);
   t.is(fleet.shareAt(A), 1);
-  fleet.advance(SETTLE_MS);
+  fleet.advance(STARTUP_MS);
   t.is(fleet.shareAt(A), 1);
   t.is(fleet.memberAt(B, A)?.state, "alive");
 });
 
-test("the sides of a partition know their share of the fleet", (t) => {
+test("each side of a partition knows its reachable share", (t) => {
   const fleet = new MemberFleet();
-  fleet.advance(SETTLE_MS);
+  fleet.advance(STARTUP_MS);
   const names = [...fleet.hosts.keys()];
   fleet.network.partition([names.slice(0, 3), names.slice(3)]);
-  fleet.advance(NOTICED_MS);
+  fleet.advance(DETECTION_MS);
   t.is(fleet.shareAt(A), 3 / 8);
   t.is(fleet.shareAt(hostName(8)), 5 / 8);
   fleet.network.heal();
-  fleet.advance(SETTLE_MS);
+  fleet.advance(STARTUP_MS);
   t.is(fleet.shareAt(A), 1);
 });
 
-test("a host that only peers know is a member before the list names it", (t) => {
+test("a host learned from peers is a member before it is listed", (t) => {
   const fleet = new MemberFleet({ size: 3 });
-  fleet.advance(SETTLE_MS);
+  fleet.advance(STARTUP_MS);
   const added = hostName(4);
   const formerList = fleet.list;
   fleet.list = createList([...fleet.hosts.keys(), added], { version: 2 });
   fleet.start(added);
-  fleet.advance(SETTLE_MS);
+  fleet.advance(STARTUP_MS);
   t.is(fleet.at(A).blackboard.read(HOST_LIST), formerList);
   t.is(fleet.memberAt(A, added)?.state, "alive");
   t.is(fleet.shareAt(A), 1);
 });
 
-test("in a larger fleet all hear of a death, and bytes per host stay bounded", (t) => {
+test("in a larger fleet every host learns of a death with limited traffic per host", (t) => {
   const bytesPerHost = [32, 64].map((size) => {
     const fleet = new MemberFleet({ size });
     fleet.advance(5_000);
@@ -93,7 +92,7 @@
     fleet.advance(10_000);
     const bytes = (fleet.network.sentBytes - before) / 10 / size;
     fleet.kill(B);
-    fleet.advance(NOTICED_MS + HEARTBEAT_PERIOD_MS);
+    fleet.advance(DETECTION_MS + HEARTBEAT_PERIOD_MS);
     for (const host of fleet.hosts.keys()) {
       t.is(fleet.memberAt(host, B)?.state, "dead");
       t.is(fleet.shareAt(host), (size - 1) / size);
@@ -104,7 +103,7 @@
   t.true(bytesPerHost[1]! < bytesPerHost[0]! * 1.1);
 });
 
-test("every member whose watchers died with it is still noticed", (t) => {
+test("a death is detected even if all monitors of the host died too", (t) => {
   const fleet = new MemberFleet({ size: 32 });
   fleet.advance(5_000);
   const killed = [...fleet.hosts.keys()].slice(1, 17);
--- a/packages/coordination/tests/peerMessages.test.ts
+++ b/packages/coordination/tests/peerMessages.test.ts
@@ -35,22 +35,22 @@
 const A = asId<HostId>("a");
 const B = asId<HostId>("b");
 
-test("fields of a newer release are ignored, not refused", (t) => {
+test("unknown fields of a newer release are ignored", (t) => {
   const codec = new PeerCodec();
   const frame = pack([GREETING.kind, { text: "x", addedLater: [1, 2] }]);
   t.true(codec.decode(frame).isOk());
 });
 
-test("a kind of a newer release is told from rubbish", (t) => {
+test("an unknown message kind is distinguished from a malformed frame", (t) => {
   const codec = new PeerCodec();
   const newer = codec.decode(pack(["added-later", {}]));
-  const rubbish = codec.decode(pack([GREETING.kind, { text: 5 }]));
+  const malformed = codec.decode(pack([GREETING.kind, { text: 5 }]));
   t.is(newer._unsafeUnwrapErr().kind, "unknown-kind");
-  t.is(rubbish._unsafeUnwrapErr().kind, "malformed");
+  t.is(malformed._unsafeUnwrapErr().kind, "malformed");
   t.is(codec.decode(new Uint8Array([0xc1, 1])).isErr(), true);
 });
 
-test("names that all hosts share are not sent, others are spelled out", (t) => {
+test("field names in the shared table are not sent, others are", (t) => {
   const codec = new PeerCodec();
   const body = { service: "drafter", request: "request-1" };
   const frame = codec.encode({ kind: POOL_WITHDRAW.kind, body })
@@ -58,19 +58,19 @@
   t.false(frame.includes("service"));
   t.deepEqual(new PeerCodec().decode(frame)._unsafeUnwrap().body, body);
   const longer = { ...body, addedLater: 1 };
-  const spelled = codec.encode({ kind: POOL_WITHDRAW.kind, body: longer })
+  const withNames = codec.encode({ kind: POOL_WITHDRAW.kind, body: longer })
     ._unsafeUnwrap();
-  t.true(spelled.includes("addedLater"));
-  t.deepEqual(new PeerCodec().decode(spelled)._unsafeUnwrap().body, longer);
+  t.true(withNames.includes("addedLater"));
+  t.deepEqual(new PeerCodec().decode(withNames)._unsafeUnwrap().body, longer);
 });
 
-test("a frame that replaces a shared name is refused and spoils no later one", (t) => {
-  // A frame may define names of its own under a number. Under a number of the
-  // shared table they would stay, and each later message of every peer would be
-  // read under them: the receiver would drop them all, or take a wrong value.
+test("a frame that overwrites a shared structure is rejected and does not affect later frames", (t) => {
+  // Otherwise later messages of every peer would be decoded under wrong field
+  // names.
   const codec = new PeerCodec();
   const body = { service: "drafter", request: "request-1" };
-  const good = codec.encode({ kind: POOL_WITHDRAW.kind, body })._unsafeUnwrap();
+  const valid = codec.encode({ kind: POOL_WITHDRAW.kind, body })
+    ._unsafeUnwrap();
   for (let number = 0; number < MESSAGE_STRUCTURES.length; number++) {
     const definition = Buffer.from([0xd4, 0x72, 0x40 + number]);
     const names = pack(["service", "request", "extra"]);
@@ -78,40 +78,41 @@
     const head = Buffer.concat([Buffer.from([0x92]), pack("pool-withdraw")]);
     const frame = Buffer.concat([head, definition, names, ...values]);
     t.is(codec.decode(frame)._unsafeUnwrapErr().kind, "malformed");
-    t.deepEqual(codec.decode(good)._unsafeUnwrap().body, body);
+    t.deepEqual(codec.decode(valid)._unsafeUnwrap().body, body);
   }
 });
 
-test("no bytes at all make the codec throw or forget the shared names", (t) => {
+test("arbitrary bytes neither make the codec throw nor change the shared table", (t) => {
   const codec = new PeerCodec();
   const body = { service: "drafter", request: "request-1" };
-  const good = codec.encode({ kind: POOL_WITHDRAW.kind, body })._unsafeUnwrap();
+  const valid = codec.encode({ kind: POOL_WITHDRAW.kind, body })
+    ._unsafeUnwrap();
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 64 }), (bytes) => {
       codec.decode(bytes);
-      t.deepEqual(codec.decode(good)._unsafeUnwrap().body, body);
+      t.deepEqual(codec.decode(valid)._unsafeUnwrap().body, body);
     }),
     { seed: 1, numRuns: 500 },
   );
 });
 
-test("the shared names belong to the protocol version", (t) => {
+test("a change of the shared table requires a new protocol version", (t) => {
   const digest = createHash("sha256")
     .update(JSON.stringify(MESSAGE_STRUCTURES)).digest("hex").slice(0, 16);
   const digests: Record<number, string> = { 2: "ee515770d40b79b7" };
   t.is(digest, digests[PROTOCOL_VERSION]!);
 });
 
-test("a frame above the bound is neither sent nor taken", (t) => {
+test("a frame above the size limit is neither sent nor accepted", (t) => {
   const codec = new PeerCodec();
   const body = { text: "x".repeat(MAX_FRAME_BYTES) };
   const sent = codec.encode({ kind: GREETING.kind, body });
   t.is(sent._unsafeUnwrapErr().kind, "too-large");
-  const taken = codec.decode(pack([GREETING.kind, body]));
-  t.is(taken._unsafeUnwrapErr().kind, "too-large");
+  const received = codec.decode(pack([GREETING.kind, body]));
+  t.is(received._unsafeUnwrapErr().kind, "too-large");
 });
 
-test("the memory network delays, doubles, cuts and heals", (t) => {
+test("the memory network delays, duplicates and blocks messages", (t) => {
   const timer = new VirtualTimer();
   const random = new SeededRandom(1);
   const network = new MemoryNetwork({ timer, random, delayMs: 5 });
@@ -138,7 +139,7 @@
   t.deepEqual(seen, ["a first", "a twice", "a twice"]);
 });
 
-test("a paused host gets its messages when it wakes", (t) => {
+test("a paused host receives its messages on resuming", (t) => {
   const timer = new VirtualTimer();
   const network = new MemoryNetwork({ timer, random: new SeededRandom(1) });
   const a = network.join(A);
--- a/packages/coordination/tests/poisonRecords.test.ts
+++ b/packages/coordination/tests/poisonRecords.test.ts
@@ -28,7 +28,7 @@
 
 interface Host {
   readonly learned: PoisonRecord[];
-  readonly absorbed: ServicePoisonRecords[];
+  readonly imported: ServicePoisonRecords[];
   readonly metrics: MemoryMetrics;
 }
 
@@ -46,7 +46,7 @@
     const blackboard = new Blackboard();
     const started: Host = {
       learned: [],
-      absorbed: [],
+      imported: [],
       metrics: new MemoryMetrics(),
     };
     hosts.set(host, started);
@@ -61,7 +61,7 @@
         service: DRAFTER,
         records: started.learned.splice(0),
       }],
-      importPoisonRecords: (suspicions) => started.absorbed.push(suspicions),
+      importPoisonRecords: (records) => started.imported.push(records),
     }).start();
     blackboard.write(
       MEMBERS,
@@ -72,16 +72,16 @@
 }
 
 function knows(host: Host, kind: PoisonRecord["kind"]): boolean {
-  return host.absorbed.some(({ records: suspicions }) =>
-    suspicions.some((suspicion) =>
-      suspicion.fingerprint === POISON && suspicion.kind === kind
+  return host.imported.some(({ records }) =>
+    records.some((record) =>
+      record.fingerprint === POISON && record.kind === kind
     )
   );
 }
 
-test("a conviction reaches every host within a second", (t) => {
-  // The poison request is sent again through another host at once; a keeper
-  // there that knows nothing would lose one more upstream to it.
+test("the record of a quarantined request reaches every host within a second", (t) => {
+  // A coordinator without the record would lose another upstream to the resent
+  // request.
   for (const size of [2, 8, 32]) {
     const { timer, hosts } = startFleet(size);
     const [first, ...others] = hosts.values();
@@ -95,7 +95,7 @@
   }
 });
 
-test("lost news is repaired by comparing books, and a settled fleet is quiet", (t) => {
+test("lost updates are recovered by comparing tables, with little idle traffic", (t) => {
   const { timer, network, hosts } = startFleet(8, 1);
   const [first, ...others] = hosts.values();
   first!.learned.push({
@@ -115,7 +115,7 @@
   t.true(perHostAndSecond < 200);
 });
 
-test("suspicions end on every host, also when they are passed in circles", (t) => {
+test("poison records expire on every host even if forwarded in a cycle", (t) => {
   const { timer, hosts } = startFleet(8);
   const [first] = hosts.values();
   first!.learned.push({
@@ -140,27 +140,27 @@
   remainingMs: fc.constant(10_000),
 });
 
-test("books agree whatever order and how often they hear", (t) => {
-  fc.assert(fc.property(fc.array(shared), (suspicions) => {
+test("tables agree regardless of the order and repetition of updates", (t) => {
+  fc.assert(fc.property(fc.array(shared), (records) => {
     const forward = new PoisonRecordTable();
     const backward = new PoisonRecordTable();
-    forward.merge(suspicions, 0);
-    backward.merge(suspicions.toReversed(), 0);
-    backward.merge(suspicions, 0);
+    forward.merge(records, 0);
+    backward.merge(records.toReversed(), 0);
+    backward.merge(records, 0);
     t.is(forward.checksum(1), backward.checksum(1));
   }));
 });
 
-test("a book stays within its bound and drops what ends soonest", (t) => {
-  const book = new PoisonRecordTable({ maximum: 10 });
+test("a table stays within its limit and drops the entries that expire first", (t) => {
+  const table = new PoisonRecordTable({ maximum: 10 });
   for (let index = 0; index < 100; index++) {
     const subject = asId<Digest>(`content-${index}`);
     const remainingMs = 1_000 + index;
-    book.merge(
+    table.merge(
       [{ service: DRAFTER, subject, kind: "suspect", remainingMs }],
       0,
     );
   }
-  t.is(book.size, 10);
-  t.true(book.entries(0).every(({ remainingMs }) => remainingMs >= 1_090));
+  t.is(table.size, 10);
+  t.true(table.entries(0).every(({ remainingMs }) => remainingMs >= 1_090));
 });
--- a/packages/coordination/tests/pool.test.ts
+++ b/packages/coordination/tests/pool.test.ts
@@ -29,7 +29,7 @@
 const SERVICE = asId<ServiceId>("drafter");
 const MEMBERS = createTopic<readonly PoolMember[]>("test-members", []);
 const SHARE = createTopic("test-share", 1);
-const PLACES = 2;
+const SLOTS = 2;
 
 const POLICY: PoolPolicy = {
   upstreams: [{
@@ -40,8 +40,8 @@
   }],
   accounts: [],
   tiers: [asTier(1)],
-  initialConcurrency: PLACES,
-  maximumConcurrency: PLACES,
+  initialConcurrency: SLOTS,
+  maximumConcurrency: SLOTS,
   maximumWaitingTokens: 1_000_000,
   maximumWaitingBytes: 1_000_000,
   maximumEjectedShare: 0.4,
@@ -52,7 +52,7 @@
   readonly blackboard: Blackboard;
   readonly link: MemoryLink;
   readonly client: PoolClient;
-  readonly keeper: PoolCoordinator;
+  readonly coordinator: PoolCoordinator;
 }
 
 class Fleet {
@@ -80,9 +80,9 @@
     };
     const client: PoolClient = new PoolClient({
       ...common,
-      localCoordinator: () => keeper,
+      localCoordinator: () => coordinator,
     });
-    const keeper: PoolCoordinator = new PoolCoordinator({
+    const coordinator: PoolCoordinator = new PoolCoordinator({
       ...common,
       reachableShare: SHARE,
       policyOf: () => POLICY,
@@ -92,8 +92,8 @@
         client.applyLocalDecision(service, decision),
     });
     client.start();
-    keeper.start();
-    const started = { blackboard, link, client, keeper };
+    coordinator.start();
+    const started = { blackboard, link, client, coordinator };
     this.hosts.set(host, started);
     return started;
   }
@@ -110,7 +110,7 @@
     }
   }
 
-  keeper(): HostId {
+  coordinator(): HostId {
     const [first] = this.hosts.values();
     return coordinatorOf(SERVICE, first!.blackboard.read(MEMBERS))!.host;
   }
@@ -120,17 +120,20 @@
   }
 
   kill(host: HostId): void {
-    const { client, keeper, link } = this.hosts.get(host)!;
+    const { client, coordinator, link } = this.hosts.get(host)!;
     client.stop();
-    keeper.stop();
+    coordinator.stop();
     link.close();
     this.hosts.delete(host);
   }
 
   submit(host: HostId, request: string): Decision[] {
     const decisions: Decision[] = [];
-    const ask = askOf(host, { request, now: this.timer.now() });
-    this.hosts.get(host)!.client.submit(SERVICE, ask, {
+    const placementRequest = createPlacementRequest(host, {
+      request,
+      now: this.timer.now(),
+    });
+    this.hosts.get(host)!.client.submit(SERVICE, placementRequest, {
       decide: (decision) => void decisions.push(decision),
     });
     return decisions;
@@ -146,7 +149,7 @@
   }
 }
 
-function askOf(
+function createPlacementRequest(
   origin: HostId,
   { request, now }: { request: string; now: number },
 ): PlacementRequest {
@@ -165,34 +168,32 @@
   };
 }
 
-test("a request of another host is granted over the link and counts against the same places", (t) => {
+test("requests of all hosts share the pool's slots", (t) => {
   const fleet = new Fleet("a", "b");
-  const keeper = fleet.keeper();
-  const other = fleet.other(keeper);
+  const coordinator = fleet.coordinator();
+  const other = fleet.other(coordinator);
   const remote = fleet.submit(other, "r1");
   fleet.timer.advance(1_500);
   t.is(remote[0]?.kind, "grant");
-  fleet.submit(keeper, "r2");
-  const third = fleet.submit(keeper, "r3");
+  fleet.submit(coordinator, "r2");
+  const third = fleet.submit(coordinator, "r3");
   fleet.timer.advance(100);
-  t.deepEqual(third, [], "both places are taken");
+  t.deepEqual(third, [], "both slots are taken");
   fleet.finish(other, "r1");
   fleet.timer.advance(100);
   t.is(third[0]?.kind, "grant");
 });
 
-// The keeper dies while two requests run and one waits. The callers of all
-// three see nothing of it: the waiting one is asked for again at the next
-// keeper, which first hears what runs and so does not fill the places twice.
-test("a new keeper counts what runs before it grants what waits", (t) => {
+// The new coordinator must not grant the slots of running requests again.
+test("a new coordinator counts running requests before it grants waiting ones", (t) => {
   const fleet = new Fleet("a", "b", "c");
-  const keeper = fleet.keeper();
-  const other = fleet.other(keeper);
+  const coordinator = fleet.coordinator();
+  const other = fleet.other(coordinator);
   fleet.submit(other, "r1");
   fleet.submit(other, "r2");
   const waiting = fleet.submit(other, "r3");
   fleet.timer.advance(2_000);
-  fleet.kill(keeper);
+  fleet.kill(coordinator);
   fleet.agreeOnMembers();
   fleet.timer.advance(3_000);
   t.deepEqual(waiting, []);
@@ -201,12 +202,10 @@
   t.is(waiting[0]?.kind, "grant");
 });
 
-// The ask is lost on its way: nobody decides about it, and the caller would
-// wait until its deadline. The keeper notices at the next checksum that its
-// picture of the entry differs, asks for a report and grants.
-test("a lost ask is found within two checksums", (t) => {
+// Otherwise the request would wait until its deadline.
+test("a lost placement request is recovered within two syncs", (t) => {
   const fleet = new Fleet("a", "b");
-  const other = fleet.other(fleet.keeper());
+  const other = fleet.other(fleet.coordinator());
   fleet.network.setFaults({ dropShare: 1 });
   const decisions = fleet.submit(other, "r1");
   fleet.timer.advance(10);
@@ -215,11 +214,10 @@
   t.is(decisions[0]?.kind, "grant");
 });
 
-// The end of a request is lost: its place would stay taken for ever. The
-// checksum differs, and what the entry no longer reports is freed.
-test("a lost end frees its place within two checksums", (t) => {
+// Otherwise the slot would stay occupied.
+test("the slot of a request whose end was lost is freed within two syncs", (t) => {
   const fleet = new Fleet("a", "b");
-  const other = fleet.other(fleet.keeper());
+  const other = fleet.other(fleet.coordinator());
   fleet.submit(other, "r1");
   fleet.submit(other, "r2");
   fleet.timer.advance(1_500);
--- a/packages/coordination/tests/stop.test.ts
+++ b/packages/coordination/tests/stop.test.ts
@@ -8,13 +8,12 @@
 import { STOP_PHASE, StopSlots } from "@wasabivane/coordination";
 import { PLAN, StopFleet } from "./helpers/stopFleet.ts";
 
-/** Two hosts stopped at once here when a grant outlived the process that gave it. */
-const FOUND_SEED = 1228;
+/** Seed in which two hosts stopped at once after a granter had restarted. */
+const REGRESSION_SEED = 1228;
 
-test("a grant is void once its host runs a process that asks itself", (t) => {
-  // Host a grants host b, restarts, and asks with its clock begun anew, which
-  // makes its ticket the earlier one. Host b must wait, also when the former
-  // process's grant arrives once more.
+test("a grant is void once its host restarts and requests a slot itself", (t) => {
+  // A restarted host begins its logical clock anew, so its request precedes the
+  // one that its former process granted.
   const domain = asId<FailureDomain>("domain");
   const [a, b] = [asId<HostId>("a"), asId<HostId>("b")];
   const slots = new StopSlots({ self: b, domain });
@@ -30,7 +29,7 @@
   t.true(slots.tryAcquire(1, 0));
 });
 
-test("a stop goes through its phases and waits for running answers", async (t) => {
+test("a stop goes through its phases and waits for running streams", async (t) => {
   const fleet = new StopFleet();
   fleet.at(1).openStreams = 2;
   fleet.stop(1);
@@ -54,7 +53,7 @@
   });
 });
 
-test("answers that outlast the plan are reported, not hidden", async (t) => {
+test("streams that outlast the plan are reported", async (t) => {
   const fleet = new StopFleet();
   fleet.at(1).openStreams = 1;
   fleet.stop(1);
@@ -63,7 +62,7 @@
   t.is(phase.kind === "ended" && phase.openStreams, 1);
 });
 
-test("two hosts of one failure domain ordered at once stop one after the other", async (t) => {
+test("two hosts of one failure domain stopped at once stop one after the other", async (t) => {
   for (let seed = 1; seed <= 10; seed++) {
     const fleet = new StopFleet({ seed });
     fleet.stop(1, 3);
@@ -91,7 +90,7 @@
   for (const index of [2, 4, 6]) t.is(fleet.phaseOf(index), "serving");
 });
 
-test("a host that dies while it stops holds its slot for a minute, then the next goes", async (t) => {
+test("a host that dies during its stop holds its slot for a minute", async (t) => {
   const fleet = new StopFleet();
   fleet.at(1).openStreams = 1;
   fleet.stop(1);
@@ -104,7 +103,7 @@
   t.is(fleet.phaseOf(3), "ended");
 });
 
-test("a host that dies while it stops and comes back frees its slot", async (t) => {
+test("a host that dies during its stop frees its slot when it restarts", async (t) => {
   const fleet = new StopFleet();
   fleet.at(1).openStreams = 1;
   fleet.stop(1);
@@ -118,11 +117,10 @@
   t.is(fleet.phaseOf(1), "serving");
 });
 
-test("lost, doubled and late messages let no second host of a domain stop", async (t) => {
-  // Orders, restarts with empty memory and lost messages fall into each other.
-  // A restarted host starts its clock anew and may ask with an earlier ticket
-  // than a neighbour that it had granted before.
-  for (const seed of [...Array(30).keys(), FOUND_SEED]) {
+test("lost, duplicate and late messages never let two hosts of a domain stop at once", async (t) => {
+  // A restarted host begins its logical clock anew and may precede a neighbour
+  // that its former process granted.
+  for (const seed of [...Array(30).keys(), REGRESSION_SEED]) {
     const fleet = new StopFleet({ size: 4, domains: 1, seed, jitterMs: 400 });
     fleet.network.setFaults({ dropShare: 0.3, duplicateShare: 0.3 });
     const random = new SeededRandom(seed);
--- a/packages/coordination/tests/viewLease.test.ts
+++ b/packages/coordination/tests/viewLease.test.ts
@@ -16,13 +16,13 @@
 const [A, B, C, D, E] = ["a", "b", "c", "d", "e"].map((name) =>
   asId<HostId>(name)
 ) as [HostId, HostId, HostId, HostId, HostId];
-/** Longer than a lease and its drift. */
+/** Longer than a lease plus the clock drift. */
 const PAST_LEASES_MS = LEASE_DURATION_MS + 500;
 const FIRST: View = { version: 1, hosts: [A, B, C] };
 const SECOND: View = { version: 2, hosts: [A, B, C, D] };
 const THIRD: View = { version: 3, hosts: FIRST.hosts };
 
-/** Hosts that have all joined and know the first view. */
+/** Creates hosts that have joined and know the first view. */
 function createHosts(): Map<HostId, ViewLease> {
   return new Map([A, B, C, D, E].map((host) => {
     const incarnation = asId<Incarnation>(`${host}-1`);
@@ -33,7 +33,7 @@
   }));
 }
 
-/** One round of leases for a host, answered by the given granters. */
+/** Requests leases for a holder; only the given granters reply. */
 function exchange(
   hosts: Map<HostId, ViewLease>,
   holder: HostId,
@@ -42,8 +42,8 @@
   const lease = hosts.get(holder)!;
   const request = lease.nextRequest(now);
   for (const granter of granters) {
-    const answer = hosts.get(granter)!.handleRequest(holder, request, now);
-    lease.applyReply(granter, answer, now);
+    const reply = hosts.get(granter)!.handleRequest(holder, request, now);
+    lease.applyReply(granter, reply, now);
   }
 }
 
@@ -54,11 +54,9 @@
   }
 }
 
-test("a tenure does not reach back over a view in which another host was the home", (t) => {
-  // A is the key's home in the first and the third view, D in the second. A
-  // gets two leases in the second view, one too few to be active, so that the
-  // granters never see its leases end. D is active meanwhile and may grant the
-  // key. If A then counted its first tenure on, it would grant the key again.
+test("a tenure does not extend over a view in which another host was the home", (t) => {
+  // A gets too few leases in the second view, while D is active there and may
+  // grant the key. Continuing A's first tenure would grant it a second time.
   const hosts = createHosts();
   const key = keyWithHomes([[FIRST, A], [SECOND, D], [THIRD, A]]);
   exchange(hosts, A, { granters: [A, B, C], now: 0 });
@@ -76,20 +74,23 @@
   t.is(tenureStartOf(key, { host: A, tenures }), third);
 });
 
-test("a holder is active with a majority of the old and the new hosts only", (t) => {
+test("a holder is active only with majorities of the old and the new view", (t) => {
   const hosts = createHosts();
-  const jumped: View = { version: 4, hosts: [C, D, E] };
-  for (const lease of hosts.values()) lease.addView(jumped);
+  const replacement: View = { version: 4, hosts: [C, D, E] };
+  for (const lease of hosts.values()) lease.addView(replacement);
   exchange(hosts, D, { granters: [C, D, E], now: 0 });
   t.is(hosts.get(D)!.activeView(0), undefined);
   exchange(hosts, D, { granters: [A, C, D, E], now: 0 });
   t.is(hosts.get(D)!.activeView(0)?.view.version, 4);
 });
 
-test("a granter keeps a lease from a second process of the same host", (t) => {
+test("a granter refuses a second process of a host until the first one's lease expires", (t) => {
   const hosts = createHosts();
   const granter = hosts.get(B)!;
-  const ask = (incarnation: string, now: number): number | undefined => {
+  const requestLease = (
+    incarnation: string,
+    now: number,
+  ): number | undefined => {
     const request = {
       serial: 1,
       incarnation: asId<Incarnation>(incarnation),
@@ -97,7 +98,7 @@
     };
     return granter.handleRequest(A, request, now).granted;
   };
-  t.is(ask("a-1", 0), 1);
-  t.is(ask("a-2", 100), undefined);
-  t.is(ask("a-2", PAST_LEASES_MS), 1);
+  t.is(requestLease("a-1", 0), 1);
+  t.is(requestLease("a-2", 100), undefined);
+  t.is(requestLease("a-2", PAST_LEASES_MS), 1);
 });
--- a/packages/coordination/tests/webSocketLink.test.ts
+++ b/packages/coordination/tests/webSocketLink.test.ts
@@ -48,11 +48,11 @@
   return `${LOOPBACK}:${result._unsafeUnwrap()}`;
 }
 
-async function eventually(isTrue: () => boolean): Promise<void> {
-  while (!isTrue()) await delay(5);
+async function eventually(condition: () => boolean): Promise<void> {
+  while (!condition()) await delay(5);
 }
 
-test("messages reach a peer, also after it restarted at another address", async (t) => {
+test("messages reach a peer after it restarted at another address", async (t) => {
   const { link: a } = createLink(A);
   const { link: b } = createLink(B);
   const seen: string[] = [];
@@ -71,7 +71,7 @@
   restarted.close();
 });
 
-test("a dial that was refused is tried again while messages wait", async (t) => {
+test("a refused connection is retried while messages are queued", async (t) => {
   const { link: placeholder } = createLink(B);
   const address = await listen(placeholder);
   placeholder.close();
@@ -88,7 +88,7 @@
   b.close();
 });
 
-test("a peer with another secret is closed and counted", async (t) => {
+test("a peer with a wrong secret is disconnected and counted", async (t) => {
   const { link: a } = createLink(A, { sharedSecrets: ["wrong"] });
   const { link: b, metrics } = createLink(B);
   subscribeMessage(b, NOTE, () => t.fail());
@@ -102,7 +102,7 @@
   b.close();
 });
 
-test("a host under another name than the dialed one gets no message", async (t) => {
+test("a host with another name than the dialed one receives no messages", async (t) => {
   const { link: a, metrics } = createLink(A);
   const { link: other } = createLink(asId<HostId>("other"));
   subscribeMessage(other, NOTE, () => t.fail());
@@ -114,7 +114,7 @@
   other.close();
 });
 
-test("rubbish before the proof closes the connection and is counted", async (t) => {
+test("a malformed frame before authentication closes the connection and is counted", async (t) => {
   const { link: b, metrics } = createLink(B);
   const socket = new WebSocket(`ws://${await listen(b)}/`);
   socket.on("open", () => socket.send("rubbish"));
@@ -123,7 +123,7 @@
   b.close();
 });
 
-test("peers with TLS speak, and go on after the certificate was renewed", async (t) => {
+test("peers communicate over TLS before and after a certificate renewal", async (t) => {
   const authority = await createAuthority();
   const first = await createCertificate(authority);
   const { link: a } = createLink(A, { secureContext: first });
@@ -152,16 +152,18 @@
 
 async function createAuthority(): Promise<Certificate> {
   const name = [{ name: "commonName", value: "peers authority" }];
-  const made = await generate(name, {
+  const generated = await generate(name, {
     extensions: [
       { name: "basicConstraints", cA: true, critical: true },
       { name: "keyUsage", keyCertSign: true, critical: true },
     ],
   });
-  return { key: made.private, cert: made.cert };
+  return { key: generated.private, cert: generated.cert };
 }
 
 async function createCertificate(ca: Certificate): Promise<Certificate> {
-  const made = await generate([{ name: "commonName", value: "peer" }], { ca });
-  return { key: made.private, cert: made.cert, ca: ca.cert };
+  const generated = await generate([{ name: "commonName", value: "peer" }], {
+    ca,
+  });
+  return { key: generated.private, cert: generated.cert, ca: ca.cert };
 }
