--- a/packages/bundle/src/bundleChecks.ts
+++ b/packages/bundle/src/bundleChecks.ts
@@ -12,7 +12,7 @@
 
 type BundleCheck = (bundle: Bundle) => Finding[];
 
-/** First path segments that entry hosts answer themselves. */
+/** Path prefixes that entry hosts serve themselves. */
 const RESERVED_PREFIXES = ["/v1", "/health", "/ready", "/status", "/drain"];
 
 const CHECKS: readonly BundleCheck[] = [
@@ -28,12 +28,12 @@
   checkStopPlans,
 ];
 
-/** Everything that is wrong with a bundle although it fits its schema. */
+/** Returns the problems of a bundle that its schema cannot detect. */
 export function checkBundle(bundle: Bundle): Finding[] {
   return CHECKS.flatMap((check) => check(bundle));
 }
 
-/** Checks a value against the schema, then against {@link checkBundle}. */
+/** Validates a value against the schema, then with {@link checkBundle}. */
 export function parseBundle(value: unknown): Result<Bundle, Finding[]> {
   const parsed = bundleSchema.safeParse(value);
   if (!parsed.success) {
@@ -63,7 +63,7 @@
   })));
 }
 
-/** One key of two accounts would let one firm read the other's answers. */
+/** With a shared key, one account could read the other's responses. */
 function checkKeyDigests({ clientAccounts }: Bundle): Finding[] {
   return duplicates(
     clientAccounts.flatMap(({ keyDigests }, index) =>
@@ -99,7 +99,7 @@
   path: Finding["path"],
 ): Finding[] {
   if (tiers.includes(defaultTier)) return [];
-  const message = `Tier ${defaultTier} is not among the account's own tiers`;
+  const message = `Tier ${defaultTier} is not one of the tiers of the account`;
   return [{ path, message, allowed: listAllowed(tiers) }];
 }
 
@@ -118,7 +118,7 @@
   ]);
 }
 
-/** Two upstreams at one address would get twice the in-flight bound of one. */
+/** Two upstreams at one address would double its concurrency limit. */
 function checkUpstreamUrls({ upstreams }: Bundle): Finding[] {
   const urls = upstreams.map(({ url }, index) => ({
     value: new URL(url).href,
@@ -132,7 +132,7 @@
   if (`${username}${password}${search}${hash}` === "") return [];
   return [{
     path: ["upstreams", index, "url"],
-    message: "The URL has a user, a password, a query or a fragment",
+    message: "The URL contains credentials, a query or a fragment",
     allowed: "scheme, host, port and path",
   }];
 }
@@ -153,14 +153,14 @@
   if (models.length === 0) {
     findings.push({
       path: ["services", index, "models"],
-      message: "A model service needs a model name that callers use",
+      message: "A model service requires a model name",
       allowed: "at least one model name",
     });
   }
   if (pathPrefix !== undefined) {
     findings.push({
       path: ["services", index, "pathPrefix"],
-      message: "A model service is reached by model name, not by path",
+      message: "A model service is routed by model name, not by path",
       allowed: "no path prefix",
     });
   }
@@ -175,7 +175,7 @@
   if (models.length > 0) {
     findings.push({
       path: ["services", index, "models"],
-      message: "A plain service is reached by path, not by model name",
+      message: "A plain service is routed by path, not by model name",
       allowed: "an empty list",
     });
   }
@@ -183,8 +183,8 @@
     findings.push({
       path: ["services", index, "pathPrefix"],
       message: pathPrefix === undefined
-        ? "A plain service needs a path prefix"
-        : `Entry hosts answer ${pathPrefix} themselves`,
+        ? "A plain service requires a path prefix"
+        : `${pathPrefix} is reserved for entry hosts`,
       allowed: `a path such as /casefile, but not ${
         RESERVED_PREFIXES.join(", ")
       }`,
@@ -214,7 +214,7 @@
     if (initialConcurrency <= maximumConcurrency) return [];
     return [{
       path: ["services", index, "initialConcurrency"],
-      message: `${initialConcurrency} is above maximumConcurrency`,
+      message: `${initialConcurrency} is greater than maximumConcurrency`,
       allowed: `at most ${maximumConcurrency}`,
     }];
   });
@@ -231,7 +231,7 @@
       if (plan[key] >= plan.readinessMs) continue;
       findings.push({
         path: ["stopPlans", index, key],
-        message: `${key} ends before readinessMs has passed`,
+        message: `${key} is shorter than readinessMs`,
         allowed: `at least ${plan.readinessMs}`,
       });
     }
@@ -239,12 +239,12 @@
   return findings;
 }
 
-interface PlacedValue {
+interface LocatedValue {
   readonly value: string | number;
   readonly path: Finding["path"];
 }
 
-function duplicates(values: readonly PlacedValue[]): Finding[] {
+function duplicates(values: readonly LocatedValue[]): Finding[] {
   const firstPaths = new Map<string | number, Finding["path"]>();
   const findings: Finding[] = [];
   for (const { value, path } of values) {
@@ -255,10 +255,10 @@
     }
     findings.push({
       path,
-      message: `${JSON.stringify(value)} stands at ${
+      message: `${JSON.stringify(value)} is already used at ${
         formatPath(first)
-      } already`,
-      allowed: "a value that stands nowhere else",
+      }`,
+      allowed: "a unique value",
     });
   }
   return findings;
@@ -271,14 +271,14 @@
     known: readonly (string | number)[];
   },
 ): Finding[] {
-  const placed = values.map((value, index) => ({
+  const located = values.map((value, index) => ({
     value,
     path: [...path, index],
   }));
-  const unknown = placed.flatMap(({ value, path }) =>
+  const unknown = located.flatMap(({ value, path }) =>
     unknownReference(value, { path, known })
   );
-  return [...unknown, ...duplicates(placed)];
+  return [...unknown, ...duplicates(located)];
 }
 
 function unknownReference(
--- a/packages/bundle/src/bundleDifference.ts
+++ b/packages/bundle/src/bundleDifference.ts
@@ -24,8 +24,8 @@
 const version = bundleSchema.shape.version;
 
 /**
- * What turns one signed bundle into a later one. It carries the later bundle's
- * own signatures, so that whoever passes it on needs no trust.
+ * The schema of the difference between a signed bundle and a later one. It
+ * carries the later bundle's signatures, so that any host may relay it.
  */
 export const bundleDifferenceSchema = z.strictObject({
   deployment: bundleSchema.shape.deployment,
@@ -33,23 +33,23 @@
   fromRoot: digestSchema,
   toVersion: version,
   toRoot: digestSchema,
-  /** Parts that are new or different. */
+  /** Parts that were added or changed. */
   changed: z.array(bundlePartSchema),
-  /** Keys of parts that are gone. */
+  /** Keys of parts that were removed. */
   removed: z.array(z.string().max(128) as unknown as z.ZodType<PartKey>),
   signatures: z.array(bundleSignatureSchema).min(1).max(4),
 });
 
-/** See {@link bundleDifferenceSchema}. */
+/** A difference between bundles; see {@link bundleDifferenceSchema}. */
 export type BundleDifference = z.infer<typeof bundleDifferenceSchema>;
 
-/** Parts that differ between two bundles. */
+/** The parts that differ between two bundles. */
 export interface PartComparison {
   readonly changed: readonly BundlePart[];
   readonly removed: readonly PartKey[];
 }
 
-/** Why a difference cannot be made or applied. */
+/** The reason that a difference cannot be created or applied. */
 export type BundleDifferenceError =
   | DuplicatePart
   | { readonly kind: "other-deployment"; readonly deployment: string }
@@ -70,17 +70,19 @@
     readonly computed: Digest;
   };
 
-/** Compares any two bundles part by part. */
+/** Compares two bundles part by part. */
 export function compareBundleParts(
   from: Bundle,
   to: Bundle,
 ): Result<PartComparison, DuplicatePart> {
-  return digestBundle(from).andThen((former) =>
-    digestBundle(to).map((later) => compareDigested(former, later))
+  return digestBundle(from).andThen((fromDigested) =>
+    digestBundle(to).map((toDigested) =>
+      compareDigested(fromDigested, toDigested)
+    )
   );
 }
 
-/** The difference that {@link applyBundleDifference} turns `from` into `to` with. */
+/** Creates the difference that turns `from` into the newer `to`. */
 export function createBundleDifference(
   from: SignedBundle,
   to: SignedBundle,
@@ -106,9 +108,8 @@
 }
 
 /**
- * The later bundle. The root is computed from the outcome, so a difference
- * that was forged or made from another base is refused; the signatures are the
- * caller's to check, with `verifySignatures`.
+ * Applies a difference and verifies the root digest of the result. The caller
+ * must verify the signatures with `verifySignatures`.
  */
 export function applyBundleDifference(
   from: SignedBundle,
@@ -117,9 +118,9 @@
   return checkBase(from, difference)
     .andThen(() => digestBundle(from.bundle))
     .andThen((base) => applyToDigested(base, difference))
-    .map((later): SignedBundle => {
-      const bundle = assembleBundle(later.parts.values());
-      cacheDigests(bundle, later);
+    .map((digested): SignedBundle => {
+      const bundle = assembleBundle(digested.parts.values());
+      cacheDigests(bundle, digested);
       return {
         bundle,
         root: difference.toRoot,
@@ -157,14 +158,14 @@
   for (const part of difference.changed) parts.set(partKey(part), part);
   const tree = base.tree.withChanges(difference);
   const claimed = difference.toRoot;
-  if (tree.root !== claimed || !hasHeader(parts, difference)) {
+  if (tree.root !== claimed || !hasSignedHeader(parts, difference)) {
     return err({ kind: "root-mismatch", claimed, computed: tree.root });
   }
   return ok({ parts, tree });
 }
 
-/** The header that the signature covers must be the one inside the bundle. */
-function hasHeader(
+/** Returns whether the bundle contains the header that the signature covers. */
+function hasSignedHeader(
   parts: ReadonlyMap<PartKey, BundlePart>,
   { deployment, toVersion }: BundleDifference,
 ): boolean {
@@ -175,13 +176,13 @@
 }
 
 function compareDigested(
-  former: DigestedBundle,
-  later: DigestedBundle,
+  from: DigestedBundle,
+  to: DigestedBundle,
 ): PartComparison {
   const changed: BundlePart[] = [];
   const removed: PartKey[] = [];
-  for (const key of former.tree.differingKeys(later.tree)) {
-    const part = later.parts.get(key);
+  for (const key of from.tree.differingKeys(to.tree)) {
+    const part = to.parts.get(key);
     if (part === undefined) removed.push(key);
     else changed.push(part);
   }
--- a/packages/bundle/src/bundleFile.ts
+++ b/packages/bundle/src/bundleFile.ts
@@ -5,7 +5,7 @@
 import { type Bundle, bundleSchema } from "./schema.ts";
 import { type SignedBundle, signedBundleSchema } from "./signedBundle.ts";
 
-/** A bundle file, signed or not yet. */
+/** The content of a bundle file, which may be signed. */
 export interface BundleFile {
   readonly bundle: Bundle;
   readonly signed?: SignedBundle;
@@ -13,7 +13,7 @@
 
 const anyObjectSchema = z.looseObject({});
 
-/** Reads and checks a bundle as operators write it, or as `sign` writes it. */
+/** Reads and validates a bundle file, unsigned or signed. */
 export function readBundleFile(
   file: string,
 ): Result<BundleFile, DocumentError[]> {
@@ -27,7 +27,7 @@
   );
 }
 
-/** Reads and checks a signed bundle; the signatures are not looked at. */
+/** Reads and validates a signed bundle without verifying its signatures. */
 export function readSignedBundle(
   file: string,
 ): Result<SignedBundle, DocumentError[]> {
--- a/packages/bundle/src/bundleParts.ts
+++ b/packages/bundle/src/bundleParts.ts
@@ -12,10 +12,10 @@
   upstreamSchema,
 } from "./schema.ts";
 
-/** Names one part within its bundle, such as `upstream/drafter-01`. */
+/** Identifies a part within its bundle, for example `upstream/drafter-01`. */
 export type PartKey = Branded<string, "PartKey">;
 
-/** Everything in a bundle that is in no list. */
+/** The schema of the bundle properties that are not lists of parts. */
 export const bundleScalarsSchema = bundleSchema.omit({
   failureDomains: true,
   tiers: true,
@@ -25,7 +25,7 @@
   stopPlans: true,
 });
 
-/** One part of a bundle: the unit that is digested and sent in a difference. */
+/** The schema of a part, the unit of digests and differences. */
 export const bundlePartSchema = z.discriminatedUnion("kind", [
   z.strictObject({ kind: z.literal("scalars"), value: bundleScalarsSchema }),
   z.strictObject({
@@ -42,22 +42,22 @@
   z.strictObject({ kind: z.literal("stop-plan"), value: stopPlanSchema }),
 ]);
 
-/** See {@link bundlePartSchema}. */
+/** A part of a bundle; see {@link bundlePartSchema}. */
 export type BundlePart = z.infer<typeof bundlePartSchema>;
-/** See {@link bundleScalarsSchema}. */
+/** Properties that are not lists; see {@link bundleScalarsSchema}. */
 export type BundleScalars = z.infer<typeof bundleScalarsSchema>;
 
-/** The kinds of part that a bundle holds as lists. */
+/** The kinds of parts that a bundle holds in lists. */
 export type ListedPartKind = Exclude<BundlePart["kind"], "scalars">;
 
 interface PartList {
-  /** The bundle's property that holds the list. */
+  /** The bundle property that holds the list. */
   readonly property: keyof Bundle;
-  /** The property of a part that is unique within the list. */
+  /** The property that identifies a part within the list. */
   readonly id: string;
 }
 
-/** Where the parts of each kind stand in a bundle. */
+/** The list property and id property of each kind of part. */
 export const PART_LISTS: Readonly<Record<ListedPartKind, PartList>> = {
   "failure-domain": { property: "failureDomains", id: "failureDomain" },
   tier: { property: "tiers", id: "tier" },
@@ -69,22 +69,21 @@
 
 const SCALARS_KEY = "scalars" as PartKey;
 
-/** Two parts of a bundle have one key. */
+/** The error for two parts with the same key. */
 export interface DuplicatePart {
   readonly kind: "duplicate-part";
   readonly key: PartKey;
 }
 
-/** The key under which a part stands. */
+/** Returns the key of a part. */
 export function partKey(part: BundlePart): PartKey {
   if (part.kind === "scalars") return SCALARS_KEY;
   return listedPartKey(part.kind, part.value);
 }
 
 /**
- * Every part of a bundle by its key. Two parts with one key are an error: were
- * the second to replace the first unseen, a bundle with an added account could
- * carry the digest of the bundle without it.
+ * Returns the parts of a bundle by key. Duplicate keys are an error, since
+ * otherwise a bundle could have parts that its digest does not cover.
  */
 export function bundleParts(
   bundle: Bundle,
@@ -101,7 +100,7 @@
   return ok(parts);
 }
 
-/** Builds a bundle from parts; lists come out sorted, whatever order went in. */
+/** Builds a bundle from parts in any order; its lists are sorted by id. */
 export function assembleBundle(parts: Iterable<BundlePart>): Bundle {
   const bundle: Record<string, unknown> = {};
   const lists = new Map<ListedPartKind, object[]>();
--- a/packages/bundle/src/bundleSignature.ts
+++ b/packages/bundle/src/bundleSignature.ts
@@ -20,40 +20,40 @@
 import type { Bundle } from "./schema.ts";
 import type { BundleSignature, SignedBundle } from "./signedBundle.ts";
 
-/** Separates these signatures from any other use of the same key. */
+/** Separates bundle signatures from other uses of the same key. */
 const SIGNATURE_LABEL = "wasabivane bundle 1\n";
 
-/** Settings pin at most this many keys: the one in use and the next one. */
+/** Allows for the current key and its successor. */
 export const MAX_TRUSTED_KEYS = 2;
 
-/** A public key that settings pin. */
+/** The schema of a public key that the settings trust. */
 export const trustedKeySchema = z.strictObject({
   keyId: z.string().min(1).max(64).regex(
     /^[A-Za-z0-9._-]+$/,
     "Use letters, digits, dots, dashes and underscores",
   ),
-  /** Ed25519 public key: base64 of its SPKI DER form, as `keygen` prints it. */
+  /** Ed25519 public key in SPKI DER form as base64, as printed by `keygen`. */
   publicKey: z.base64().max(128).refine(
     (text) => importPublicKey(text) !== undefined,
     "Use the base64 text of an Ed25519 public key, as keygen prints it",
   ),
 });
 
-/** The pinned keys; two are valid during a change of keys. */
+/** The schema of the trusted keys; two are valid during a key rotation. */
 export const trustedKeysSchema = z.array(trustedKeySchema).min(1).max(
   MAX_TRUSTED_KEYS,
 );
 
-/** See {@link trustedKeySchema}. */
+/** A trusted public key; see {@link trustedKeySchema}. */
 export type TrustedKey = z.infer<typeof trustedKeySchema>;
 
-/** A private key under the id by which settings pin its public half. */
+/** A private key with the id of its public key in the settings. */
 export interface SigningKey {
   readonly keyId: string;
   readonly privateKey: KeyObject;
 }
 
-/** Why a signed bundle is not taken. */
+/** The reason that a signed bundle is rejected. */
 export type SignatureError =
   | DuplicatePart
   | {
@@ -64,14 +64,14 @@
   | { readonly kind: "unknown-key"; readonly keyIds: readonly string[] }
   | { readonly kind: "bad-signature"; readonly keyId: string };
 
-/** What a signature covers. */
+/** The data that a signature covers. */
 export interface SignedHeader {
   readonly deployment: string;
   readonly version: BundleVersion;
   readonly root: Digest;
 }
 
-/** A fresh Ed25519 key pair under an id. */
+/** Generates an Ed25519 key pair. */
 export function generateSigningKey(
   keyId: string,
 ): SigningKey & { readonly trustedKey: TrustedKey } {
@@ -80,7 +80,7 @@
   return { ...signingKey, trustedKey: trustedKeyOf(signingKey) };
 }
 
-/** The public half of a signing key, as settings pin it. */
+/** Returns the public key of a signing key in the form of the settings. */
 export function trustedKeyOf({ keyId, privateKey }: SigningKey): TrustedKey {
   const der = createPublicKey(privateKey).export({
     type: "spki",
@@ -89,7 +89,7 @@
   return { keyId, publicKey: der.toString("base64") };
 }
 
-/** Signs a bundle; its lists come out in sorted order. */
+/** Signs a bundle and sorts its lists. */
 export function signBundle(
   bundle: Bundle,
   signingKey: SigningKey,
@@ -105,7 +105,7 @@
   });
 }
 
-/** Adds a signature by a second key, for a change of keys. */
+/** Adds or replaces the signature by one key, for a key rotation. */
 export function addSignature(
   signed: SignedBundle,
   signingKey: SigningKey,
@@ -118,10 +118,9 @@
 }
 
 /**
- * Digests the whole bundle, unless its digests were computed here when a
- * difference was applied, and checks that one signature by a trusted key
- * covers it. The bundle must have passed its schema; signatures by keys that
- * are not trusted do no harm.
+ * Verifies the root digest and that at least one trusted key signed the
+ * bundle, which must have passed its schema. Signatures by other keys are
+ * ignored; cached digests are reused.
  */
 export function verifySignedBundle(
   signed: SignedBundle,
@@ -136,20 +135,20 @@
     .andThen(() => verifySignatures(signed, trustedKeys));
 }
 
-/** Checks the signatures only, where the root has been checked against the parts already. */
+/** Verifies the signatures of a bundle whose root digest was verified. */
 export function verifySignatures(
   signed: SignedBundle,
   trustedKeys: readonly TrustedKey[],
 ): Result<SignedBundle, SignatureError> {
-  let failed: string | undefined;
+  let failedKeyId: string | undefined;
   for (const signature of signed.signatures) {
     const key = trustedKeys.find(({ keyId }) => keyId === signature.keyId);
     if (key === undefined) continue;
     if (isSignedBy(headerOf(signed), { signature, key })) return ok(signed);
-    failed = signature.keyId;
+    failedKeyId = signature.keyId;
   }
-  if (failed !== undefined) {
-    return err({ kind: "bad-signature", keyId: failed });
+  if (failedKeyId !== undefined) {
+    return err({ kind: "bad-signature", keyId: failedKeyId });
   }
   const keyIds = signed.signatures.map(({ keyId }) => keyId);
   return err({ kind: "unknown-key", keyIds });
--- a/packages/bundle/src/canonicalJson.ts
+++ b/packages/bundle/src/canonicalJson.ts
@@ -1,7 +1,6 @@
 /**
- * JSON text that depends only on the value: object keys sorted by code unit,
- * no white space, absent for `undefined`. Numbers and strings are written as
- * ECMAScript writes them, as in RFC 8785.
+ * Serializes a value to canonical JSON as in RFC 8785: keys sorted by code
+ * unit, no white space, properties that are `undefined` left out.
  */
 export function canonicalJson(value: unknown): string {
   return JSON.stringify(value, sortKeys);
--- a/packages/bundle/src/closestWord.ts
+++ b/packages/bundle/src/closestWord.ts
@@ -1,13 +1,13 @@
-/** Edits beyond a third of the word make another word of it. */
-const EDITS_PER_LETTER = 1 / 3;
+/** Words with more edits than this are too different to suggest. */
+const MAX_EDITS_PER_LETTER = 1 / 3;
 
-/** The candidate that a mistyped word most likely stands for, if any is near. */
+/** Returns the most similar candidate, if one is a plausible correction. */
 export function closestWord(
   word: string,
   candidates: Iterable<string>,
 ): string | undefined {
   let closest: string | undefined;
-  let fewest = Math.max(1, Math.floor(word.length * EDITS_PER_LETTER)) + 1;
+  let fewest = Math.max(1, Math.floor(word.length * MAX_EDITS_PER_LETTER)) + 1;
   for (const candidate of candidates) {
     const edits = editDistance(word.toLowerCase(), candidate.toLowerCase());
     if (edits >= fewest) continue;
@@ -17,7 +17,7 @@
   return closest;
 }
 
-/** Insertions, deletions, replacements and swaps of neighbours between two words. */
+/** Computes the optimal string alignment distance (a swap is one edit). */
 function editDistance(left: string, right: string): number {
   let beforePrevious: number[] = [];
   let previous = Array.from({ length: right.length + 1 }, (_, index) => index);
--- a/packages/bundle/src/digestTree.ts
+++ b/packages/bundle/src/digestTree.ts
@@ -3,29 +3,25 @@
 import { type BundlePart, type PartKey, partKey } from "./bundleParts.ts";
 import { canonicalJson } from "./canonicalJson.ts";
 
-/**
- * Buckets between parts and root. A bundle near a megabyte has about 13,000
- * parts, hence some 50 a bucket: one changed part re-hashes itself, 50 digests
- * and 256 bucket digests instead of a megabyte.
- */
-const BUCKETS = 256;
+/** Limits rehashing after a change to one bucket and the root. */
+const BUCKET_COUNT = 256;
 
 type Bucket = ReadonlyMap<PartKey, Digest>;
 
-/** Parts put in and taken out by {@link DigestTree.withChanges}. */
+/** The parts that {@link DigestTree.withChanges} adds, replaces and removes. */
 export interface DigestTreeChanges {
   readonly changed: Iterable<BundlePart>;
   readonly removed: Iterable<PartKey>;
 }
 
 /**
- * Digests of a bundle's parts in hashed buckets under one root. Immutable; a
- * changed tree shares the buckets that did not change.
+ * An immutable hash tree over the parts of a bundle, grouped into buckets by
+ * the hash of their key. Changed trees share the unchanged buckets.
  */
 export class DigestTree {
   readonly #buckets: readonly Bucket[];
   readonly #bucketDigests: readonly Digest[];
-  /** Equal roots mean equal sets of parts. */
+  /** The root digest; equal roots mean equal sets of parts. */
   readonly root: Digest;
 
   private constructor(
@@ -37,73 +33,80 @@
     this.root = digest("root", bucketDigests.join(""));
   }
 
-  /** Digests every part. */
+  /** Builds the tree over all parts. */
   static fromParts(parts: Iterable<BundlePart>): DigestTree {
     return EMPTY.withChanges({ changed: parts, removed: [] });
   }
 
-  /** An empty tree, before any part. */
+  /** Creates a tree without parts. */
   static empty(): DigestTree {
-    const buckets: Bucket[] = Array.from({ length: BUCKETS }, () => new Map());
+    const buckets: Bucket[] = Array.from(
+      { length: BUCKET_COUNT },
+      () => new Map(),
+    );
     return new DigestTree(buckets, buckets.map(bucketDigest));
   }
 
-  /** The tree after a change; only touched buckets are hashed again. */
+  /** Returns the changed tree; only changed buckets are hashed again. */
   withChanges({ changed, removed }: DigestTreeChanges): DigestTree {
     const buckets = [...this.#buckets];
-    const touched = new Map<number, Map<PartKey, Digest>>();
+    const changedBuckets = new Map<number, Map<PartKey, Digest>>();
     for (const key of removed) {
-      this.#bucketToChange(key, touched).delete(key);
+      this.#copyBucket(key, changedBuckets).delete(key);
     }
     for (const part of changed) {
       const key = partKey(part);
-      this.#bucketToChange(key, touched).set(key, partDigest(part));
+      this.#copyBucket(key, changedBuckets).set(key, partDigest(part));
     }
     const bucketDigests = [...this.#bucketDigests];
-    for (const [index, bucket] of touched) {
+    for (const [index, bucket] of changedBuckets) {
       buckets[index] = bucket;
       bucketDigests[index] = bucketDigest(bucket);
     }
     return new DigestTree(buckets, bucketDigests);
   }
 
-  /** Whether a part with this key is in the tree. */
+  /** Returns whether the tree has a part with this key. */
   has(key: PartKey): boolean {
     return this.#buckets[bucketIndex(key)]!.has(key);
   }
 
-  /** Keys whose parts differ or stand in one tree only; equal buckets are skipped. */
+  /** Returns the sorted keys of parts that differ or exist in one tree only. */
   differingKeys(other: DigestTree): PartKey[] {
     const keys = new Set<PartKey>();
-    for (let index = 0; index < BUCKETS; index++) {
+    for (let index = 0; index < BUCKET_COUNT; index++) {
       if (this.#bucketDigests[index] === other.#bucketDigests[index]) continue;
-      addUnlike(keys, this.#buckets[index]!, other.#buckets[index]!);
-      addUnlike(keys, other.#buckets[index]!, this.#buckets[index]!);
+      addDifferingKeys(keys, this.#buckets[index]!, other.#buckets[index]!);
+      addDifferingKeys(keys, other.#buckets[index]!, this.#buckets[index]!);
     }
     return [...keys].sort();
   }
 
-  #bucketToChange(
+  #copyBucket(
     key: PartKey,
-    touched: Map<number, Map<PartKey, Digest>>,
+    changedBuckets: Map<number, Map<PartKey, Digest>>,
   ): Map<PartKey, Digest> {
     const index = bucketIndex(key);
-    const bucket = touched.get(index) ?? new Map(this.#buckets[index]!);
-    touched.set(index, bucket);
+    const bucket = changedBuckets.get(index) ?? new Map(this.#buckets[index]!);
+    changedBuckets.set(index, bucket);
     return bucket;
   }
 }
 
 const EMPTY = DigestTree.empty();
 
-function addUnlike(keys: Set<PartKey>, left: Bucket, right: Bucket): void {
+function addDifferingKeys(
+  keys: Set<PartKey>,
+  left: Bucket,
+  right: Bucket,
+): void {
   for (const [key, digest] of left) {
     if (right.get(key) !== digest) keys.add(key);
   }
 }
 
 function bucketIndex(key: PartKey): number {
-  return createHash("sha256").update(key).digest()[0]! % BUCKETS;
+  return createHash("sha256").update(key).digest()[0]! % BUCKET_COUNT;
 }
 
 function partDigest(part: BundlePart): Digest {
@@ -115,7 +118,7 @@
   return digest("bucket", lines.sort().join(""));
 }
 
-/** Each level hashes under its own label, so that no part can pass for a bucket. */
+/** Labels each level, so that a part cannot collide with a bucket. */
 function digest(level: "part" | "bucket" | "root", text: string): Digest {
   const hash = createHash("sha256").update(level).update("\0").update(text);
   return hash.digest("hex") as Digest;
--- a/packages/bundle/src/digestedBundle.ts
+++ b/packages/bundle/src/digestedBundle.ts
@@ -8,25 +8,24 @@
 import { DigestTree } from "./digestTree.ts";
 import type { Bundle } from "./schema.ts";
 
-/** A bundle's parts with the digests that were computed from them here. */
+/** The parts of a bundle and the digest tree over them. */
 export interface DigestedBundle {
   readonly parts: ReadonlyMap<PartKey, BundlePart>;
   readonly tree: DigestTree;
 }
 
 /**
- * Digests of bundles that differences were made from or applied to, so that
- * one changed part costs one bucket instead of the whole bundle. Bundles are
- * values: nobody changes one in place.
+ * Caches digests by bundle object, so that applying a difference rehashes only
+ * the changed buckets. Bundles are never mutated.
  */
 const digestedBundles = new WeakMap<Bundle, DigestedBundle>();
 
-/** The digests of a bundle, computed once. */
+/** Returns the parts and digests of a bundle, computed once per object. */
 export function digestBundle(
   bundle: Bundle,
 ): Result<DigestedBundle, DuplicatePart> {
-  const known = digestedBundles.get(bundle);
-  if (known !== undefined) return ok(known);
+  const cached = digestedBundles.get(bundle);
+  if (cached !== undefined) return ok(cached);
   return bundleParts(bundle).map((parts) => {
     const digested = { parts, tree: DigestTree.fromParts(parts.values()) };
     digestedBundles.set(bundle, digested);
@@ -34,7 +33,7 @@
   });
 }
 
-/** Keeps digests that were computed while the bundle was put together. */
+/** Caches the digests of a bundle that were computed elsewhere. */
 export function cacheDigests(
   bundle: Bundle,
   digested: DigestedBundle,
--- a/packages/bundle/src/entryStatus.ts
+++ b/packages/bundle/src/entryStatus.ts
@@ -4,27 +4,27 @@
 const count = z.number().min(0);
 
 /**
- * What an entry host answers at `GET /status`. Hosts of a later release may
- * add keys; they are kept.
+ * The response of an entry host to `GET /status`. Unknown keys are kept, since
+ * later releases may add some.
  */
 export const entryStatusSchema = z.looseObject({
   host: text,
   incarnation: text,
   failureDomain: text,
-  /** The bundle in force; none before the first one was confirmed. */
+  /** The bundle in force, `null` until the first one is confirmed. */
   bundle: z.looseObject({ version: count, root: text }).nullable(),
   hostListVersion: count.nullish(),
-  /** Entry hosts as this one sees them. */
+  /** The entry hosts that this host knows. */
   members: z.array(z.looseObject({ host: text, state: text })).max(1_000),
   phase: text,
-  /** Waiting requests in the pools that this host keeps. */
+  /** Queued requests in the pools that this host coordinates. */
   waiting: z.array(z.looseObject({
     service: text,
     tier: count,
     account: text,
     requests: count,
   })).max(50_000),
-  /** Upstreams of the pools that this host keeps. */
+  /** Upstreams of the pools that this host coordinates. */
   upstreams: z.array(z.looseObject({
     service: text,
     upstream: text,
@@ -33,22 +33,22 @@
     isEjected: z.boolean(),
     isLeaving: z.boolean(),
   })).max(50_000),
-  /** Counters by name and tags, such as `request.ended{ending=whole,tier=1}`. */
+  /** Counters by name and tags, as in `request.ended{ending=whole,tier=1}`. */
   counters: z.record(text, z.number()),
 });
 
-/** See {@link entryStatusSchema}. */
+/** The status of an entry host; see {@link entryStatusSchema}. */
 export type EntryStatus = z.infer<typeof entryStatusSchema>;
 
-/** Settings of `wasabivane-ctl`. */
+/** The schema of the settings of `wasabivane-ctl`. */
 export const operatorSettingsSchema = z.strictObject({
-  /** Operator ports of the entry hosts. */
+  /** URLs of the operator ports of the entry hosts. */
   entries: z.array(z.url({ protocol: /^https?$/ })).min(1).max(1_000),
-  /** How long one entry host may take to answer. */
+  /** Timeout for the response of one entry host. */
   timeoutMs: z.number().int().min(10).max(60_000).default(2_000),
-  /** PEM file of the authority that signed the operator ports' certificates. */
+  /** PEM file of the CA that signed the certificates of the operator ports. */
   authorityFile: z.string().min(1).optional(),
 });
 
-/** See {@link operatorSettingsSchema}. */
+/** The settings of `wasabivane-ctl`; see {@link operatorSettingsSchema}. */
 export type OperatorSettings = z.infer<typeof operatorSettingsSchema>;
--- a/packages/bundle/src/exampleBundle.ts
+++ b/packages/bundle/src/exampleBundle.ts
@@ -7,17 +7,17 @@
   type Service,
 } from "./schema.ts";
 
-/** The deployments that examples exist for. */
+/** The deployments with an example bundle. */
 export const EXAMPLE_DEPLOYMENTS = ["fukuoka", "cairo"] as const;
-/** See {@link EXAMPLE_DEPLOYMENTS}. */
+/** The name of an example deployment. */
 export type ExampleDeployment = typeof EXAMPLE_DEPLOYMENTS[number];
 
 /** Options of {@link exampleBundle}. */
 export interface ExampleBundleOptions {
   version?: number;
-  /** Urls in place of the example's own, by upstream. */
+  /** URLs that replace those of the example, by upstream. */
   upstreamUrls?: Readonly<Record<UpstreamId | string, string>>;
-  /** API keys in place of {@link demoApiKey}, by client account. */
+  /** API keys that replace {@link demoApiKey}, by client account. */
   accountKeys?: Readonly<Record<ClientAccountId | string, string>>;
 }
 
@@ -50,8 +50,7 @@
 const HOUR = 60 * MINUTE;
 
 const GENERATIONS = ["g1", "g2", "g3"];
-/** One urgent answer counts as much as two of the tier below. */
-const WEIGHTS = [8, 4, 2, 1];
+const TIER_WEIGHTS = [8, 4, 2, 1];
 
 const LARGE_LIMITS: AccountLimits = {
   requestsPerSecond: 40,
@@ -188,7 +187,7 @@
   },
 };
 
-/** The bundle of one of the users' deployments, for demos, tests and load. */
+/** Creates the bundle of an example deployment, for demos and tests. */
 export function exampleBundle(
   deployment: ExampleDeployment,
   { version = 1, upstreamUrls = {}, accountKeys = {} }: ExampleBundleOptions =
@@ -230,7 +229,7 @@
   return tiers.map((tier, index) => ({
     ...tier,
     tier: index + 1,
-    weight: WEIGHTS[index],
+    weight: TIER_WEIGHTS[index],
   }));
 }
 
@@ -257,7 +256,7 @@
   }));
 }
 
-/** Every failure domain gets every generation. */
+/** Spreads the generations over all failure domains. */
 function generationOf(index: number, domains: number): string {
   return GENERATIONS[Math.floor(index / domains) % GENERATIONS.length]!;
 }
--- a/packages/bundle/src/exampleKeys.ts
+++ b/packages/bundle/src/exampleKeys.ts
@@ -3,13 +3,13 @@
 import type { ClientAccountId } from "@wasabivane/common";
 import type { SigningKey } from "./bundleSignature.ts";
 
-/** DER bytes of a PKCS #8 Ed25519 key up to its 32-byte seed (RFC 8410). */
+/** The DER bytes before the seed of an Ed25519 key in PKCS #8 (RFC 8410). */
 const PKCS8_ED25519_PREFIX = Buffer.from(
   "302e020100300506032b657004220420",
   "hex",
 );
 
-/** Known to everyone who can read this: for demos and tests only. */
+/** Derives a signing key from its id; not secret, for demos and tests only. */
 export function exampleSigningKey(keyId = "example-1"): SigningKey {
   const seed = createHash("sha256").update(`example key ${keyId}`).digest();
   const privateKey = createPrivateKey({
@@ -20,12 +20,12 @@
   return { keyId, privateKey };
 }
 
-/** The API key that example bundles hold a digest of; for demos and tests only. */
+/** Returns the API key of an account in example bundles; not secret. */
 export function demoApiKey(account: ClientAccountId | string): string {
   return `demo-key-of-${account}`;
 }
 
-/** SHA-256 of an API key in hex, as a bundle holds it. */
+/** Returns the SHA-256 digest of an API key in hex, as stored in bundles. */
 export function apiKeyDigest(apiKey: string): string {
   return createHash("sha256").update(apiKey).digest("hex");
 }
--- a/packages/bundle/src/finding.ts
+++ b/packages/bundle/src/finding.ts
@@ -1,35 +1,36 @@
 import { closestWord } from "./closestWord.ts";
 
-/** Names listed in one text before the rest is only counted. */
-const MAX_LISTED = 24;
+const MAX_LISTED_WORDS = 24;
 
-/** Where a value stands in a document: keys and indexes from the top. */
+/** The location of a value in a document: keys and indexes from the root. */
 export type DocumentPath = readonly (string | number)[];
 
-/** One thing wrong with a value. */
+/** A problem with a value in a document. */
 export interface Finding {
   readonly path: DocumentPath;
   readonly message: string;
-  /** What may stand there instead. */
+  /** Describes the values that are allowed instead. */
   readonly allowed: string;
-  /** Whether the path names a key that should not be there. */
+  /** Whether the path ends in a key that the schema does not define. */
   readonly isUnknownKey?: boolean;
 }
 
-/** A path as people write it, such as `upstreams[3].service`. */
+/** Formats a path such as `upstreams[3].service`. */
 export function formatPath(path: DocumentPath): string {
   if (path.length === 0) return "top level";
   return path.map(formatStep).join("").replace(/^\./, "");
 }
 
-/** The allowed words in quotes, the likely one first. */
+/** Lists the allowed words in quotes and suggests the closest to `found`. */
 export function listAllowed(
   words: readonly (string | number)[],
   { found }: { found?: string } = {},
 ): string {
-  const listed = words.slice(0, MAX_LISTED).map((word) => JSON.stringify(word));
-  if (words.length > MAX_LISTED) {
-    listed.push(`and ${words.length - MAX_LISTED} more`);
+  const listed = words.slice(0, MAX_LISTED_WORDS).map((word) =>
+    JSON.stringify(word)
+  );
+  if (words.length > MAX_LISTED_WORDS) {
+    listed.push(`and ${words.length - MAX_LISTED_WORDS} more`);
   }
   const list = listed.length === 0 ? "nothing" : listed.join(", ");
   if (found === undefined) return list;
--- a/packages/bundle/src/hostListSchema.ts
+++ b/packages/bundle/src/hostListSchema.ts
@@ -9,8 +9,8 @@
 const state = z.enum(["live", "leaving"]);
 
 /**
- * The host list as the platform answers it. Unlike bundles and settings it is
- * not ours, so that keys which the platform adds are dropped, not refused.
+ * The schema of the host list that the platform returns. Unknown keys are
+ * dropped, since the platform may add some.
  */
 export const hostListSchema: z.ZodType<HostList> = z.object({
   version: z.number().int().min(0),
--- a/packages/bundle/src/httpBundleSource.ts
+++ b/packages/bundle/src/httpBundleSource.ts
@@ -12,8 +12,8 @@
 import { type SignedBundle, signedBundleSchema } from "./signedBundle.ts";
 
 /**
- * Reads the bundle at the platform's configuration service over HTTP. What it
- * gives fits the schema; the signature is the caller's to check.
+ * Reads the bundle from the configuration service of the platform over HTTP.
+ * It validates the schema; the caller must verify the signature.
  */
 export class HttpBundleSource extends BundleSource {
   readonly #reader: PlatformReader<SignedBundle>;
--- a/packages/bundle/src/httpHostListSource.ts
+++ b/packages/bundle/src/httpHostListSource.ts
@@ -12,7 +12,7 @@
   type PlatformReaderOptions,
 } from "./platformReader.ts";
 
-/** Reads the platform's host list over HTTP. */
+/** Reads the host list of the platform over HTTP. */
 export class HttpHostListSource extends HostListSource {
   readonly #reader: PlatformReader<HostList>;
 
--- a/packages/bundle/src/index.ts
+++ b/packages/bundle/src/index.ts
@@ -22,5 +22,5 @@
 export * from "./settingDescriptions.ts";
 export * from "./signedBundle.ts";
 export * from "./trustedKeysFile.ts";
-/** For schemas that `readDocument` reads: it must be the copy of zod that it inspects. */
+/** The copy of zod whose schemas {@link readDocument} can inspect. */
 export { z } from "zod";
--- a/packages/bundle/src/jsonDocument.ts
+++ b/packages/bundle/src/jsonDocument.ts
@@ -15,17 +15,13 @@
 import { type DocumentPath, type Finding, formatPath } from "./finding.ts";
 import { schemaFindings } from "./schemaFindings.ts";
 
-/** Settings are a few kilobytes and bundles near a megabyte; more is a mistake. */
 const MAX_DOCUMENT_BYTES = 8 * 1024 * 1024;
-/**
- * The parser calls itself for each level, so that a file of a hundred thousand
- * brackets would end the process; no schema of ours nests deeper than six.
- */
+/** Guards the recursive parser against stack overflow. */
 const MAX_DEPTH = 32;
 
 const JSON_WITH_COMMENTS = "JSON with comments";
 
-/** What is wrong with a document. */
+/** The kinds of {@link DocumentError}. */
 export type DocumentErrorKind =
   | "unreadable"
   | "too-large"
@@ -35,15 +31,15 @@
   | "unknown-key"
   | "invalid";
 
-/** One thing wrong with a document, and where. */
+/** A problem with a document and its location. */
 export interface DocumentError {
   readonly kind: DocumentErrorKind;
   readonly file: string;
-  /** First line is 1. */
+  /** Counts from 1; 0 if the error concerns the whole file. */
   readonly line: number;
-  /** First column is 1. */
+  /** Counts from 1; 0 if the error concerns the whole file. */
   readonly column: number;
-  /** Such as `upstreams[3].service`. */
+  /** For example `upstreams[3].service`. */
   readonly path: string;
   readonly message: string;
   readonly allowed: string;
@@ -51,11 +47,11 @@
 
 /** Options of {@link readDocument}. */
 export interface DocumentOptions<Value> {
-  /** What the schema cannot say; runs only on values that fit the schema. */
+  /** Checks values that passed the schema for further problems. */
   check?: (value: Value) => readonly Finding[];
 }
 
-/** Reads JSON with comments from a file and checks it against a schema. */
+/** Reads JSON with comments from a file and validates it against a schema. */
 export function readDocument<Value>(
   file: string,
   schema: z.ZodType<Value>,
@@ -63,7 +59,7 @@
 ): Result<Value, DocumentError[]> {
   return readBytes(file).andThen((bytes) => {
     if (!isUtf8(bytes)) {
-      const message = "The file has bytes that are no UTF-8";
+      const message = "The file is not valid UTF-8";
       return err([
         fileError(file, { kind: "not-utf8", message, allowed: "UTF-8" }),
       ]);
@@ -72,7 +68,7 @@
   });
 }
 
-/** As {@link readDocument}, for a text that was read already. */
+/** Parses JSON with comments from a string; see {@link readDocument}. */
 export function parseDocument<Value>(
   text: string,
   schema: z.ZodType<Value>,
@@ -88,18 +84,18 @@
       ? check(parsed.data)
       : schemaFindings(schema, { issues: parsed.error.issues, value });
     if (parsed.success && findings.length === 0) return ok(parsed.data);
-    return err(findings.map((finding) => source.errorOf(finding, root)));
+    return err(findings.map((finding) => source.errorFor(finding, root)));
   });
 }
 
-/** One line for people: `file:line:column: path: what is wrong; allowed: what`. */
+/** Formats an error as `file:line:column: path: message; allowed: values`. */
 export function formatDocumentError(error: DocumentError): string {
   const { file, line, column, path, message, allowed } = error;
-  const place = line === 0 ? file : `${file}:${line}:${column}: ${path}`;
-  return `${place}: ${message}; allowed: ${allowed}`;
+  const location = line === 0 ? file : `${file}:${line}:${column}: ${path}`;
+  return `${location}: ${message}; allowed: ${allowed}`;
 }
 
-/** A text with its line starts. */
+/** Maps offsets of a document to lines and columns. */
 class DocumentSource {
   readonly file: string;
   readonly text: string;
@@ -113,7 +109,7 @@
     }
   }
 
-  /** An error at an offset of the text. */
+  /** Creates an error at an offset. */
   errorAt(
     offset: number,
     error: Pick<DocumentError, "kind" | "path" | "message" | "allowed">,
@@ -124,8 +120,8 @@
     return { file: this.file, line, column, ...error };
   }
 
-  /** A finding at the place that its path names, or at the nearest one above. */
-  errorOf(finding: Finding, root: Node): DocumentError {
+  /** Creates an error at the path of a finding or its nearest parent. */
+  errorFor(finding: Finding, root: Node): DocumentError {
     const { path, message, allowed, isUnknownKey = false } = finding;
     return this.errorAt(offsetOf(root, { path, isUnknownKey }), {
       kind: isUnknownKey ? "unknown-key" : "invalid",
@@ -161,12 +157,12 @@
 }
 
 function parseRoot(source: DocumentSource): Result<Node, DocumentError[]> {
-  const tooDeep = firstOffsetBelowDepth(source.text);
-  if (tooDeep !== undefined) {
-    return err([source.errorAt(tooDeep, {
+  const tooDeepOffset = findOffsetBeyondMaxDepth(source.text);
+  if (tooDeepOffset !== undefined) {
+    return err([source.errorAt(tooDeepOffset, {
       kind: "syntax",
       path: formatPath([]),
-      message: "The document nests too deep",
+      message: "The document is nested too deeply",
       allowed: `at most ${MAX_DEPTH} levels`,
     })]);
   }
@@ -194,19 +190,19 @@
     source.errorAt(offset, {
       kind: "syntax",
       path,
-      message: sentence(printParseErrorCode(error)),
+      message: toSentence(printParseErrorCode(error)),
       allowed: JSON_WITH_COMMENTS,
     })
   );
 }
 
-/** `CloseBraceExpected` as `Close brace expected`. */
-function sentence(code: string): string {
+/** Turns a code such as `CloseBraceExpected` into `Close brace expected`. */
+function toSentence(code: string): string {
   const words = code.replace(/([a-z])([A-Z])/g, "$1 $2").toLowerCase();
   return words.charAt(0).toUpperCase() + words.slice(1);
 }
 
-function firstOffsetBelowDepth(text: string): number | undefined {
+function findOffsetBeyondMaxDepth(text: string): number | undefined {
   const scanner = createScanner(text, true);
   let depth = 0;
   scanner.scan();
@@ -221,8 +217,8 @@
 }
 
 /**
- * Keys that stand twice in one object. The parser would keep the last and drop
- * the first unseen, which is not what the operator reads.
+ * Reports reserved and repeated keys. Of repeated keys, the parser would
+ * silently keep the last.
  */
 function duplicateKeys(
   node: Node,
@@ -243,7 +239,7 @@
       return [source.errorAt(keyNode!.offset, {
         kind: "duplicate-key",
         path: formatPath(keyPath),
-        message: `Key ${JSON.stringify(key)} stands twice or is reserved`,
+        message: `Key ${JSON.stringify(key)} is repeated or reserved`,
         allowed: "each key once",
       })];
     }
--- a/packages/bundle/src/platform.ts
+++ b/packages/bundle/src/platform.ts
@@ -7,55 +7,56 @@
 } from "@wasabivane/common";
 import type { SignedBundle } from "./signedBundle.ts";
 
-/** One entry host as the platform lists it. */
+/** An entry host in the host list. */
 export interface ListedHost {
   readonly host: HostId;
   readonly incarnation?: string;
-  /** Address of the peer port, `ip:port`. */
+  /** The address of the peer port as `ip:port`. */
   readonly peerAddress: string;
   readonly failureDomain: FailureDomain;
   readonly state: "live" | "leaving";
 }
 
-/** One upstream as the platform lists it; absent upstreams are gone. */
+/** An upstream in the host list; upstreams that are not listed are gone. */
 export interface ListedUpstream {
   readonly upstream: UpstreamId;
   readonly state: "live" | "leaving";
 }
 
-/** The platform's host list; it lags, and its version only grows. */
+/** The host list of the platform; it may be stale. */
 export interface HostList {
+  /** Only increases. */
   readonly version: number;
   readonly entryHosts: readonly ListedHost[];
   readonly upstreams: readonly ListedUpstream[];
 }
 
-/** Why the platform gave no answer. */
+/** The reason that a read from the platform failed. */
 export type PlatformError =
   | { readonly kind: "unreachable"; readonly detail: string }
   | { readonly kind: "over-budget"; readonly retryAfterMs: Milliseconds }
   | { readonly kind: "malformed"; readonly detail: string };
 
-/** A value with the revision under which a watch may wait for the next one. */
+/** A value with the revision after which the next read waits for changes. */
 export interface Revisioned<Value> {
   readonly revision: number;
   readonly value: Value;
 }
 
-/** Reads and watches the bundle at the platform's configuration service. */
+/** Reads the signed bundle from the configuration service of the platform. */
 export abstract class BundleSource {
   /**
-   * The newest signed bundle past `afterRevision`. Waits up to `waitMs` for one;
-   * `undefined` when none came. Each call counts against the read budget.
+   * Returns the newest signed bundle after `afterRevision`, or `undefined` if
+   * there is none within `waitMs`. Each call counts against the read budget.
    */
   abstract read(
     options: { afterRevision: number; waitMs: Milliseconds },
   ): Promise<Result<Revisioned<SignedBundle> | undefined, PlatformError>>;
 }
 
-/** Reads and watches the platform's host list. */
+/** Reads the host list of the platform. */
 export abstract class HostListSource {
-  /** As {@link BundleSource.read}, for the host list. */
+  /** Returns the newest host list; see {@link BundleSource.read}. */
   abstract read(
     options: { afterRevision: number; waitMs: Milliseconds },
   ): Promise<Result<Revisioned<HostList> | undefined, PlatformError>>;
--- a/packages/bundle/src/platformReader.ts
+++ b/packages/bundle/src/platformReader.ts
@@ -8,55 +8,53 @@
 import type { PlatformError, Revisioned } from "./platform.ts";
 import { schemaFindings } from "./schemaFindings.ts";
 
-/**
- * The service answers in milliseconds; a second covers a slow network, and a
- * reader that hangs longer would miss the next change.
- */
-const ANSWER_MARGIN_MS: Milliseconds = 1_000;
-/** Values hold up to a megabyte; the frame around them is small. */
-const MAX_ANSWER_BYTES = 1_100_000;
+const RESPONSE_MARGIN_MS: Milliseconds = 1_000;
+/** One megabyte for the value plus the envelope. */
+const MAX_RESPONSE_BYTES = 1_100_000;
 const DEFAULT_RETRY_AFTER_MS: Milliseconds = 1_000;
-/** A garbled Retry-After must not stop reading for good. */
+/** Prevents an invalid Retry-After header from stopping reads. */
 const MAX_RETRY_AFTER_MS: Milliseconds = 600_000;
-const DETAIL_FINDINGS = 3;
+const MAX_REPORTED_FINDINGS = 3;
 
-/** The part of an HTTP answer that platform adapters read. */
+/** The part of an HTTP response that {@link PlatformReader} uses. */
 export interface PlatformResponse {
   readonly statusCode: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: AsyncIterable<Uint8Array>;
 }
 
-/** Sends one GET; as undici's `request`, which is the default. */
+/** Sends a GET request; compatible with undici's `request`. */
 export type PlatformFetch = (
   url: URL,
   options: { readonly signal: AbortSignal },
 ) => Promise<PlatformResponse>;
 
-/** Options of the platform adapters. */
+/** Options of a {@link PlatformReader}. */
 export interface PlatformReaderOptions {
-  /** Base url of the platform's service. */
+  /** Base URL of the platform service. */
   readonly url: string;
   readonly request?: PlatformFetch;
   readonly timer?: Timer;
-  /** How long an answer may take beyond the wait that was asked for. */
+  /** Time for a response in addition to `waitMs`. */
   readonly responseMarginMs?: Milliseconds;
   readonly maximumBytes?: number;
 }
 
-/** One conditional read that may wait for the next revision. */
+/** Options of {@link PlatformReader.read}. */
 export interface PlatformReadOptions {
+  /** The newest revision that the caller has. */
   readonly afterRevision: number;
+  /** The maximum time to wait for a newer revision. */
   readonly waitMs: Milliseconds;
 }
 
-/** Reads one revised value of the platform: bounded in bytes and time, checked by a schema. */
+/** Reads a value from the platform, with size limit, timeout and schema. */
 export class PlatformReader<Value> {
   readonly #url: URL;
   readonly #schema: z.ZodType<Revisioned<Value>>;
   readonly #request: PlatformFetch;
   readonly #timer: Timer;
-  readonly #answerMarginMs: Milliseconds;
+  readonly #responseMarginMs: Milliseconds;
   readonly #maximumBytes: number;
 
   constructor(
@@ -64,22 +62,22 @@
       PlatformReaderOptions,
     { path, schema }: { path: string; schema: z.ZodType<Value> },
   ) {
-    this.#url = new URL(path, withSlash(url));
-    this.#schema = revisedSchema(schema);
+    this.#url = new URL(path, withTrailingSlash(url));
+    this.#schema = revisionedSchema(schema);
     this.#request = request;
     this.#timer = timer;
-    this.#answerMarginMs = limits.responseMarginMs ?? ANSWER_MARGIN_MS;
-    this.#maximumBytes = limits.maximumBytes ?? MAX_ANSWER_BYTES;
+    this.#responseMarginMs = limits.responseMarginMs ?? RESPONSE_MARGIN_MS;
+    this.#maximumBytes = limits.maximumBytes ?? MAX_RESPONSE_BYTES;
   }
 
-  /** The value past a revision; `undefined` when none came within the wait. */
+  /** Returns a newer value, or `undefined` if there is none in time. */
   async read(
     options: PlatformReadOptions,
   ): Promise<Result<Revisioned<Value> | undefined, PlatformError>> {
     const abort = new AbortController();
     const timeout = this.#timer.after(
-      options.waitMs + this.#answerMarginMs,
-      () => abort.abort(new Error("No whole answer in time")),
+      options.waitMs + this.#responseMarginMs,
+      () => abort.abort(new Error("Timeout before the complete response")),
     );
     try {
       return await this.#exchange(options, abort.signal);
@@ -97,27 +95,30 @@
     const url = new URL(this.#url);
     url.searchParams.set("after", String(afterRevision));
     url.searchParams.set("waitMs", String(waitMs));
-    const answer = await this.#request(url, { signal });
-    const bytes = await readBoundedBody(answer.body, this.#maximumBytes);
-    if (bytes === undefined) return this.#tooLarge();
-    if (answer.statusCode === 304) return ok(undefined);
-    if (answer.statusCode === 429) return err(this.#overBudget(answer));
-    if (answer.statusCode !== 200) {
-      const detail = `The service answers ${answer.statusCode}`;
+    const response = await this.#request(url, { signal });
+    const bytes = await readBoundedBody(response.body, this.#maximumBytes);
+    if (bytes === undefined) return this.#tooLargeError();
+    if (response.statusCode === 304) return ok(undefined);
+    if (response.statusCode === 429) {
+      return err(this.#overBudgetError(response));
+    }
+    if (response.statusCode !== 200) {
+      const detail =
+        `The platform responded with status ${response.statusCode}`;
       return err({ kind: "unreachable", detail });
     }
-    return this.#parse(bytes).map((revised) =>
-      // A service that fell back to an old state must not be taken for news.
-      revised.revision > afterRevision ? revised : undefined
+    return this.#parse(bytes).map((revisioned) =>
+      // The platform may return an older revision, for example after a restore.
+      revisioned.revision > afterRevision ? revisioned : undefined
     );
   }
 
-  #tooLarge(): Result<never, PlatformError> {
-    const detail = `The answer is larger than ${this.#maximumBytes} bytes`;
+  #tooLargeError(): Result<never, PlatformError> {
+    const detail = `The response is larger than ${this.#maximumBytes} bytes`;
     return err({ kind: "malformed", detail });
   }
 
-  #overBudget({ headers }: PlatformResponse): PlatformError {
+  #overBudgetError({ headers }: PlatformResponse): PlatformError {
     const header = [headers["retry-after"]].flat()[0];
     const retryAfterMs = retryAfterOf(header, this.#timer.wallNow());
     return { kind: "over-budget", retryAfterMs };
@@ -130,7 +131,7 @@
         if (parsed.success) return ok(parsed.data);
         const { issues } = parsed.error;
         const findings = schemaFindings(this.#schema, { issues, value });
-        const detail = findings.slice(0, DETAIL_FINDINGS).map(
+        const detail = findings.slice(0, MAX_REPORTED_FINDINGS).map(
           ({ path, message }) => `${formatPath(path)}: ${message}`,
         ).join("; ");
         return err({ kind: "malformed", detail });
@@ -139,7 +140,7 @@
   }
 }
 
-function revisedSchema<Value>(
+function revisionedSchema<Value>(
   value: z.ZodType<Value>,
 ): z.ZodType<Revisioned<Value>> {
   const revision = z.number().int().min(0);
@@ -153,12 +154,12 @@
     const text = new TextDecoder("utf-8", { fatal: true }).decode(bytes);
     return ok(JSON.parse(text));
   } catch {
-    const detail = "The answer is no JSON in UTF-8";
+    const detail = "The response is not JSON in UTF-8";
     return err({ kind: "malformed", detail });
   }
 }
 
-/** Milliseconds of a Retry-After header, which holds seconds or a date (RFC 9110). */
+/** Parses a Retry-After header: seconds or a date (RFC 9110). */
 function retryAfterOf(
   header: string | undefined,
   wallNow: number,
@@ -177,6 +178,6 @@
   return code === undefined ? error.message : `${error.message} (${code})`;
 }
 
-function withSlash(url: string): string {
+function withTrailingSlash(url: string): string {
   return url.endsWith("/") ? url : `${url}/`;
 }
--- a/packages/bundle/src/readBoundedBody.ts
+++ b/packages/bundle/src/readBoundedBody.ts
@@ -1,6 +1,6 @@
 import { Buffer } from "node:buffer";
 
-/** The whole body; `undefined` when it is larger than allowed, and reading stops there. */
+/** Reads a body; stops and returns `undefined` if it exceeds the limit. */
 export async function readBoundedBody(
   body: AsyncIterable<Uint8Array>,
   maximumBytes: number,
--- a/packages/bundle/src/schema.ts
+++ b/packages/bundle/src/schema.ts
@@ -24,31 +24,31 @@
 
 const tier = z.number().int().min(1).max(9) as unknown as z.ZodType<Tier>;
 
-/** How urgent work of one tier is, and how long it may wait. */
+/** The schema of a priority tier. */
 export const tierSchema = z.strictObject({
   tier,
   name,
-  /** Time from acceptance to the whole answer when the caller names none. */
+  /** Default time limit from acceptance to the complete response. */
   deadlineMs: milliseconds,
-  /** Weight of one answer in reports that sum over tiers. */
+  /** Weight of a response in reports over all tiers. */
   weight: positive.default(1),
 });
 
-/** What one client account may use of every service. */
+/** The schema of the limits of a client account for each service. */
 export const accountLimitsSchema = z.strictObject({
   requestsPerSecond: z.number().positive(),
-  /** Prompt and generated tokens together. */
+  /** Prompt and generated tokens. */
   tokensPerSecond: z.number().positive(),
-  /** Requests in flight at upstreams, over all entry hosts. */
+  /** Requests in flight at upstreams, across all entry hosts. */
   concurrentRequests: positive,
-  /** Requests that may wait, over all entry hosts. */
+  /** Queued requests, across all entry hosts. */
   waitingRequests: positive.default(1000),
 });
 
-/** A client account: its keys by digest only, its tiers and limits. */
+/** The schema of a client account; API keys are stored as digests. */
 export const clientAccountSchema = z.strictObject({
   account: id<ClientAccountId>(),
-  /** SHA-256 of each valid API key, in hex. */
+  /** SHA-256 digests of the valid API keys in hex. */
   keyDigests: z.array(z.string().regex(/^[0-9a-f]{64}$/)).min(1).max(4),
   tiers: z.array(tier).min(1),
   defaultTier: tier,
@@ -56,67 +56,67 @@
   limits: accountLimitsSchema,
 });
 
-/** A group of interchangeable upstreams and how requests reach it. */
+/** The schema of a service: interchangeable upstreams and their routing. */
 export const serviceSchema = z.strictObject({
   service: id<ServiceId>(),
   kind: z.enum(["model", "plain"]),
-  /** Model names that callers use; empty for plain services. */
+  /** Model names for routing; empty for plain services. */
   models: z.array(z.string().min(1).max(128)).default([]),
-  /** Path below which a plain service is reached, such as `/casefile`. */
+  /** Path prefix of a plain service, for example `/casefile`. */
   pathPrefix: z.string().regex(/^\/[a-z0-9-]+$/).optional(),
-  /** Methods of a plain service that may run more than once. */
+  /** Methods of a plain service that are safe to retry. */
   idempotentMethods: z.array(
     z.enum(["GET", "HEAD", "PUT", "DELETE", "OPTIONS", "POST", "PATCH"]),
   )
     .default(["GET", "HEAD", "OPTIONS"]),
-  /** Requests that one upstream runs at once before its own bound is learned. */
+  /** Concurrency limit of an upstream until its own limit is estimated. */
   initialConcurrency: positive.default(8),
   maximumConcurrency: positive.default(64),
-  /** Waiting work of the service over all entry hosts. */
+  /** Limits of the queued work, across all entry hosts. */
   maximumWaitingTokens: positive.default(4_000_000),
   maximumWaitingBytes: positive.default(64_000_000),
-  /** Share of the upstreams that may be ejected at once. */
+  /** Maximum share of the upstreams that are ejected at once. */
   maximumEjectedShare: z.number().min(0).max(1).default(0.4),
 });
 
-/** One replica. */
+/** The schema of an upstream, one replica of a service. */
 export const upstreamSchema = z.strictObject({
   upstream: id<UpstreamId>(),
   service: id<ServiceId>(),
   url: z.url({ protocol: /^https?$/ }),
   failureDomain: id<FailureDomain>(),
-  /** Hardware generation; speeds are learned, this only seeds the estimate. */
+  /** Hardware generation; provides the initial speed estimate. */
   generation: name.default("unknown"),
-  /** Whether the engine refuses an order with an old fencing number. */
+  /** Whether the engine rejects requests with an outdated fencing number. */
   fencing: z.enum(["checked", "ignored"]).default("ignored"),
 });
 
-/** How one entry host stops; all bounds count from the order to stop. */
+/** The schema of a stop plan; times count from the stop command. */
 export const stopPlanSchema = z.strictObject({
   stopPlan: name,
-  /** Readiness is off and the balancer has time to notice. */
+  /** Time for the load balancer to notice that the host is not ready. */
   readinessMs: milliseconds.default(2_000),
-  /** Running answers may finish until then. */
+  /** Time limit for running responses. */
   streamsMs: milliseconds.default(60_000),
-  /** Waiting work is handed to peers until then. */
+  /** Time limit for handing queued work to peers. */
   handoverMs: milliseconds.default(10_000),
-  /** Entry hosts of one failure domain that may stop at once. */
+  /** Maximum number of hosts of a failure domain that stop at once. */
   hostsAtOnce: positive.default(1),
 });
 
-/** A failure domain and the region it lies in. */
+/** The schema of a failure domain and its region. */
 export const failureDomainSchema = z.strictObject({
   failureDomain: id<FailureDomain>(),
   region: name,
 });
 
-/** Everything operators decide, as one versioned document. */
+/** The schema of a bundle, the versioned configuration of a deployment. */
 export const bundleSchema = z.strictObject({
   format: z.literal(1),
   deployment: name,
   version: z.number().int().min(1) as unknown as z.ZodType<BundleVersion>,
   failureDomains: z.array(failureDomainSchema).min(1),
-  /** One-way time between failure domains, as a routing distance. */
+  /** One-way latency between failure domains. */
   domainDistanceMs: z.number().min(0).default(1),
   tiers: z.array(tierSchema).min(1),
   services: z.array(serviceSchema).min(1),
@@ -126,17 +126,17 @@
   defaultStopPlan: name,
 });
 
-/** A checked bundle. */
+/** A bundle; see {@link bundleSchema}. */
 export type Bundle = z.infer<typeof bundleSchema>;
-/** See {@link tierSchema}. */
+/** A priority tier; see {@link tierSchema}. */
 export type TierPolicy = z.infer<typeof tierSchema>;
-/** See {@link clientAccountSchema}. */
+/** A client account; see {@link clientAccountSchema}. */
 export type ClientAccount = z.infer<typeof clientAccountSchema>;
-/** See {@link accountLimitsSchema}. */
+/** Limits of an account; see {@link accountLimitsSchema}. */
 export type AccountLimits = z.infer<typeof accountLimitsSchema>;
-/** See {@link serviceSchema}. */
+/** A service; see {@link serviceSchema}. */
 export type Service = z.infer<typeof serviceSchema>;
-/** See {@link upstreamSchema}. */
+/** An upstream; see {@link upstreamSchema}. */
 export type Upstream = z.infer<typeof upstreamSchema>;
-/** See {@link stopPlanSchema}. */
+/** A stop plan; see {@link stopPlanSchema}. */
 export type StopPlan = z.infer<typeof stopPlanSchema>;
--- a/packages/bundle/src/schemaFindings.ts
+++ b/packages/bundle/src/schemaFindings.ts
@@ -4,7 +4,7 @@
 type Schema = z.core.$ZodType;
 type Issue = z.core.$ZodIssue;
 
-/** The parts of zod's schema definitions that lead from a schema to its members. */
+/** The properties of zod's schema definitions that lead to nested schemas. */
 interface SchemaDefinition {
   readonly type: string;
   readonly shape?: Readonly<Record<string, Schema>>;
@@ -15,7 +15,7 @@
   readonly options?: readonly Schema[];
 }
 
-/** What a schema says against a value, each with what is allowed there. */
+/** Converts the issues of a zod schema to findings with the allowed values. */
 export function schemaFindings(
   schema: Schema,
   { issues, value }: { issues: readonly Issue[]; value: unknown },
@@ -34,7 +34,7 @@
   });
 }
 
-/** The keys that an object schema knows; none for schemas of other kinds. */
+/** Returns the keys of an object schema, none for other schemas. */
 export function schemaKeys(schema: Schema): string[] {
   return Object.keys(objectDefinition(schema, undefined)?.shape ?? {});
 }
@@ -62,14 +62,14 @@
   return `${shortText(found)} is not allowed`;
 }
 
-const EXPECTATIONS: Readonly<Record<string, string>> = {
+const EXPECTED_VALUES: Readonly<Record<string, string>> = {
   int: "a whole number",
   number: "a number",
-  string: "a text",
+  string: "a string",
   boolean: "true or false",
   object: "an object",
   record: "an object",
-  array: "a list",
+  array: "an array",
   url: "a URL, such as http://127.0.0.1:7101",
   base64: "base64 text",
 };
@@ -77,7 +77,7 @@
 function allowedBy(issue: Issue, found: unknown): string {
   switch (issue.code) {
     case "invalid_type":
-      return EXPECTATIONS[issue.expected] ?? issue.expected;
+      return EXPECTED_VALUES[issue.expected] ?? issue.expected;
     case "invalid_value":
       return listAllowed(issue.values.map(String), {
         found: typeof found === "string" ? found : undefined,
@@ -100,12 +100,12 @@
 }
 
 function allowedFormat(issue: Issue & { code: "invalid_format" }): string {
-  const isOwnMessage = !issue.message.startsWith("Invalid");
-  if (isOwnMessage) return issue.message;
+  const isCustomMessage = !issue.message.startsWith("Invalid");
+  if (isCustomMessage) return issue.message;
   if (issue.pattern !== undefined && issue.format === "regex") {
-    return `a text that matches ${issue.pattern}`;
+    return `a string that matches ${issue.pattern}`;
   }
-  return EXPECTATIONS[issue.format] ?? issue.format;
+  return EXPECTED_VALUES[issue.format] ?? issue.format;
 }
 
 function allowedByUnion(
@@ -164,7 +164,7 @@
   schema: Schema | undefined,
   { step, value }: { step: string | number; value: unknown },
 ): Schema | undefined {
-  const definition = plainDefinition(schema, value);
+  const definition = unwrapDefinition(schema, value);
   return definition?.shape?.[step] ?? definition?.element ??
     definition?.valueType;
 }
@@ -173,28 +173,28 @@
   schema: Schema | undefined,
   value: unknown,
 ): SchemaDefinition | undefined {
-  const definition = plainDefinition(schema, value);
+  const definition = unwrapDefinition(schema, value);
   return definition?.shape === undefined ? undefined : definition;
 }
 
-/** The definition behind defaults, optionals, pipes and the union's fitting branch. */
-function plainDefinition(
+/** Unwraps defaults, optionals, pipes and the matching branch of unions. */
+function unwrapDefinition(
   schema: Schema | undefined,
   value: unknown,
 ): SchemaDefinition | undefined {
   if (schema === undefined) return undefined;
   const definition = schema._zod.def as unknown as SchemaDefinition;
   const inner = definition.innerType ?? definition.in;
-  if (inner !== undefined) return plainDefinition(inner, value);
+  if (inner !== undefined) return unwrapDefinition(inner, value);
   if (definition.options === undefined) return definition;
   const branch = definition.options.find((option) =>
-    hasFittingLiterals(option, value)
+    hasMatchingLiterals(option, value)
   );
-  return plainDefinition(branch, value);
+  return unwrapDefinition(branch, value);
 }
 
-/** Whether every literal of an object schema, such as a discriminator, is in the value. */
-function hasFittingLiterals(schema: Schema, value: unknown): boolean {
+/** Returns whether the value has the literals of an object schema. */
+function hasMatchingLiterals(schema: Schema, value: unknown): boolean {
   const shape = objectDefinition(schema, value)?.shape;
   if (shape === undefined) return false;
   return Object.entries(shape).every(([key, member]) => {
--- a/packages/bundle/src/settingDescriptions.ts
+++ b/packages/bundle/src/settingDescriptions.ts
@@ -1,16 +1,16 @@
 import { z } from "zod";
 
-/** One setting of a schema, as a reference lists it. */
+/** Describes a setting of a schema for the settings reference. */
 export interface SettingDescription {
-  /** Such as `trustedKeys[].keyId`. */
+  /** For example `trustedKeys[].keyId`. */
   readonly path: string;
   readonly allowed: string;
-  /** JSON of the default; absent for settings without one. */
+  /** The default as JSON, if there is one. */
   readonly defaultText?: string;
   readonly isRequired: boolean;
 }
 
-/** The parts of JSON Schema that zod writes for our schemas. */
+/** The subset of JSON Schema that zod generates for the schemas in use. */
 interface JsonSchema {
   readonly type?: string;
   readonly properties?: Readonly<Record<string, JsonSchema>>;
@@ -30,33 +30,33 @@
   readonly default?: unknown;
 }
 
-/** Every setting of an object schema, leaves only, in the schema's order. */
+/** Describes the leaf settings of an object schema in schema order. */
 export function describeSettings(schema: z.ZodType): SettingDescription[] {
   const root = z.toJSONSchema(schema, { io: "input", unrepresentable: "any" });
-  return memberRows(root as JsonSchema, { prefix: "", isRequired: true });
+  return describeMembers(root as JsonSchema, { prefix: "", isRequired: true });
 }
 
-function memberRows(
+function describeMembers(
   { properties = {}, required = [] }: JsonSchema,
   { prefix, isRequired }: { prefix: string; isRequired: boolean },
 ): SettingDescription[] {
   return Object.entries(properties).flatMap(([key, member]) =>
-    rowsOf(member, {
+    describeMember(member, {
       path: `${prefix}${key}`,
       isRequired: isRequired && required.includes(key),
     })
   );
 }
 
-function rowsOf(
+function describeMember(
   schema: JsonSchema,
   { path, isRequired }: { path: string; isRequired: boolean },
 ): SettingDescription[] {
   if (schema.properties !== undefined) {
-    return memberRows(schema, { prefix: `${path}.`, isRequired });
+    return describeMembers(schema, { prefix: `${path}.`, isRequired });
   }
   if (schema.items?.properties !== undefined) {
-    return memberRows(schema.items, { prefix: `${path}[].`, isRequired });
+    return describeMembers(schema.items, { prefix: `${path}[].`, isRequired });
   }
   const defaultText = schema.default === undefined
     ? {}
@@ -103,7 +103,7 @@
   return bounds === "" ? noun : `${noun}, ${bounds}`;
 }
 
-/** `1 to 9`, `at least 1`, `at most 9` or nothing; bounds of the number type itself are left out. */
+/** Formats a range such as `1 to 9`, ignoring the limits of safe integers. */
 function rangeText(
   { minimum, maximum }: { minimum?: number; maximum?: number },
 ): string {
--- a/packages/bundle/src/signedBundle.ts
+++ b/packages/bundle/src/signedBundle.ts
@@ -4,13 +4,13 @@
 
 const ED25519_SIGNATURE = /^[A-Za-z0-9+/]{86}==$/;
 
-/** A SHA-256 digest in lower-case hex. */
+/** The schema of a SHA-256 digest in lower-case hex. */
 export const digestSchema = z.string().regex(
   /^[0-9a-f]{64}$/,
   "Use 64 lower-case hex digits",
 ) as unknown as z.ZodType<Digest>;
 
-/** One signature; see {@link BundleSignature}. */
+/** The schema of a {@link BundleSignature}. */
 export const bundleSignatureSchema = z.strictObject({
   keyId: z.string().min(1).max(64),
   signature: z.string().regex(
@@ -19,24 +19,24 @@
   ),
 });
 
-/** A signed bundle as files and the platform hold it. */
+/** The schema of a {@link SignedBundle} in files and on the platform. */
 export const signedBundleSchema = z.strictObject({
   bundle: bundleSchema,
   root: digestSchema,
   signatures: z.array(bundleSignatureSchema).min(1).max(4),
 });
 
-/** One signature over the bundle's version and root digest. */
+/** A signature over the deployment, version and root digest of a bundle. */
 export interface BundleSignature {
   readonly keyId: string;
-  /** Ed25519 signature in base64. */
+  /** The Ed25519 signature in base64. */
   readonly signature: string;
 }
 
 /** A bundle with its root digest and at least one signature. */
 export interface SignedBundle {
   readonly bundle: Bundle;
-  /** Root of the digest tree over the bundle's parts. */
+  /** The root of the digest tree over the bundle's parts. */
   readonly root: Digest;
   readonly signatures: readonly BundleSignature[];
 }
--- a/packages/bundle/src/trustedKeysFile.ts
+++ b/packages/bundle/src/trustedKeysFile.ts
@@ -3,18 +3,23 @@
 import { type TrustedKey, trustedKeysSchema } from "./bundleSignature.ts";
 import { type DocumentError, readDocument } from "./jsonDocument.ts";
 
-/** A list of keys, or settings of an entry host. */
-const trustFileSchema = z.union([z.array(z.unknown()), z.looseObject({})]);
-const trustInSettingsSchema = z.looseObject({ trustedKeys: trustedKeysSchema });
+/** Accepts a list of keys or the settings of an entry host. */
+const trustedKeysFileSchema = z.union([
+  z.array(z.unknown()),
+  z.looseObject({}),
+]);
+const settingsWithKeysSchema = z.looseObject({
+  trustedKeys: trustedKeysSchema,
+});
 
-/** Reads pinned keys: a list of them, or settings that hold `trustedKeys`. */
+/** Reads trusted keys from a list or from settings with `trustedKeys`. */
 export function readTrustedKeys(
   file: string,
 ): Result<TrustedKey[], DocumentError[]> {
-  return readDocument(file, trustFileSchema).andThen((value) =>
+  return readDocument(file, trustedKeysFileSchema).andThen((value) =>
     Array.isArray(value)
       ? readDocument(file, trustedKeysSchema)
-      : readDocument(file, trustInSettingsSchema).map((settings) =>
+      : readDocument(file, settingsWithKeysSchema).map((settings) =>
         settings.trustedKeys
       )
   );
--- a/packages/bundle/tests/bundleChecks.test.ts
+++ b/packages/bundle/tests/bundleChecks.test.ts
@@ -8,7 +8,7 @@
   parseBundle,
 } from "@wasabivane/bundle";
 
-/** What the checks say about the example after one change to its plain data. */
+/** Returns the findings for the example bundle after a change. */
 function findingsAfter(
   change: (bundle: { [Key in keyof Bundle]: Bundle[Key] }) => void,
 ): Finding[] {
@@ -21,12 +21,12 @@
   return `${formatPath(path)}: ${message}; ${allowed}`;
 }
 
-test("the examples pass", (t) => {
+test("the example bundles pass all checks", (t) => {
   t.deepEqual(checkBundle(exampleBundle("fukuoka")), []);
   t.deepEqual(checkBundle(exampleBundle("cairo")), []);
 });
 
-test("a reference to nothing names what exists", (t) => {
+test("an undefined reference lists the defined names", (t) => {
   const findings = findingsAfter((bundle) => {
     bundle.upstreams[1]!.service = "darfter" as never;
     bundle.upstreams[2]!.failureDomain = "osaka" as never;
@@ -41,7 +41,7 @@
   ]);
 });
 
-test("tiers of an account exist and hold its default", (t) => {
+test("the tiers of an account are defined and include its default", (t) => {
   const findings = findingsAfter((bundle) => {
     bundle.clientAccounts[0]!.tiers = [1, 5, 1] as never;
     bundle.clientAccounts[1]!.defaultTier = 9 as never;
@@ -54,7 +54,7 @@
   ]);
 });
 
-test("ids, key digests, models and addresses stand once", (t) => {
+test("ids, key digests, models and URLs are unique", (t) => {
   const findings = findingsAfter((bundle) => {
     const [first, second] = bundle.upstreams;
     second!.upstream = first!.upstream;
@@ -71,7 +71,7 @@
   ]);
 });
 
-test("services, concurrency and stop plans make sense in themselves", (t) => {
+test("inconsistent services, concurrency and stop plans are reported", (t) => {
   const findings = findingsAfter((bundle) => {
     bundle.services[0]!.models = [];
     bundle.services[0]!.initialConcurrency = 100;
@@ -88,7 +88,7 @@
   ]);
 });
 
-test("a value that fits no schema is refused with its path", (t) => {
+test("a value that does not match the schema is rejected with its path", (t) => {
   const value = { ...exampleBundle("cairo"), upstreams: [{ upstream: "A b" }] };
   const findings = parseBundle(value)._unsafeUnwrapErr();
   t.true(findings.length >= 4);
--- a/packages/bundle/tests/bundleDifference.test.ts
+++ b/packages/bundle/tests/bundleDifference.test.ts
@@ -26,15 +26,18 @@
   return signBundle(bundle, KEY)._unsafeUnwrap();
 }
 
-function later(version: number, change: Partial<Bundle> = {}): SignedBundle {
+function signedExample(
+  version: number,
+  change: Partial<Bundle> = {},
+): SignedBundle {
   return signed({ ...exampleBundle("fukuoka", { version }), ...change });
 }
 
-test("a difference holds only what changed and leads to the signed bundle", (t) => {
-  const from = later(1);
+test("a difference contains only changed parts and produces the signed bundle", (t) => {
+  const from = signedExample(1);
   const [first, ...others] = from.bundle.upstreams;
   const moved = { ...first!, url: "http://127.0.0.1:9999" };
-  const to = later(2, { upstreams: [moved, ...others.slice(1)] });
+  const to = signedExample(2, { upstreams: [moved, ...others.slice(1)] });
   const difference = createBundleDifference(from, to)._unsafeUnwrap();
   t.deepEqual(
     difference.changed.map(({ kind }) => kind),
@@ -50,11 +53,12 @@
   t.true(verifySignedBundle(applied, TRUSTED).isOk());
 });
 
-test("digests that were computed for a bundle vouch for no copy of it", (t) => {
-  // A bundle that a difference built is verified by the digests of that work. If
-  // they were found under anything but the very object, whoever alters a copy
-  // would have a limit or an account in force that nobody signed.
-  const [from, to] = [later(1), later(2, { domainDistanceMs: 7 })];
+test("cached digests are not used for a modified copy of the bundle", (t) => {
+  // Otherwise a modified copy of a bundle would pass verification unsigned.
+  const [from, to] = [
+    signedExample(1),
+    signedExample(2, { domainDistanceMs: 7 }),
+  ];
   const difference = createBundleDifference(from, to)._unsafeUnwrap();
   const applied = applyBundleDifference(from, difference)._unsafeUnwrap();
   t.true(verifySignedBundle(applied, TRUSTED).isOk());
@@ -62,12 +66,16 @@
   const forged = verifySignedBundle({ ...applied, bundle: altered }, TRUSTED);
   t.is(forged._unsafeUnwrapErr().kind, "root-mismatch");
   const others = { ...applied, signatures: from.signatures };
-  const crossed = verifySignedBundle(others, TRUSTED);
-  t.is(crossed._unsafeUnwrapErr().kind, "bad-signature");
+  const mismatched = verifySignedBundle(others, TRUSTED);
+  t.is(mismatched._unsafeUnwrapErr().kind, "bad-signature");
 });
 
-test("a difference from another base, to an older version or of another deployment is refused", (t) => {
-  const [first, second, third] = [later(1), later(2), later(3)];
+test("a difference with another base, an older version or another deployment is rejected", (t) => {
+  const [first, second, third] = [
+    signedExample(1),
+    signedExample(2),
+    signedExample(3),
+  ];
   const difference = createBundleDifference(second, third)._unsafeUnwrap();
   t.is(
     applyBundleDifference(first, difference)._unsafeUnwrapErr().kind,
@@ -88,9 +96,10 @@
   );
 });
 
-test("a forged difference is refused by its root", (t) => {
-  const from = later(1);
-  const difference = createBundleDifference(from, later(2))._unsafeUnwrap();
+test("a forged difference is rejected by its root", (t) => {
+  const from = signedExample(1);
+  const difference = createBundleDifference(from, signedExample(2))
+    ._unsafeUnwrap();
   const [account] = from.bundle.clientAccounts;
   const forged = {
     ...difference,
@@ -103,7 +112,7 @@
     applyBundleDifference(from, forged)._unsafeUnwrapErr().kind,
     "root-mismatch",
   );
-  const { version } = later(9).bundle;
+  const { version } = signedExample(9).bundle;
   const relabelled = { ...difference, toVersion: version };
   t.is(
     applyBundleDifference(from, relabelled)._unsafeUnwrapErr().kind,
@@ -111,20 +120,20 @@
   );
 });
 
-test("any sequence of differences ends in the same root as digesting the whole", (t) => {
+test("a sequence of differences gives the same root as digesting the bundle", (t) => {
   const urls = fc.array(
     fc.record({ index: fc.nat(15), port: fc.integer({ min: 1, max: 65535 }) }),
     { minLength: 1, maxLength: 8 },
   );
   const property = fc.property(urls, (changes) => {
-    let current = later(1);
+    let current = signedExample(1);
     for (const [step, { index, port }] of changes.entries()) {
       const upstreams = [...current.bundle.upstreams];
       upstreams[index] = {
         ...upstreams[index]!,
         url: `http://127.0.0.1:${port}`,
       };
-      const next = later(step + 2, { upstreams });
+      const next = signedExample(step + 2, { upstreams });
       const difference = createBundleDifference(current, next)._unsafeUnwrap();
       current = applyBundleDifference(current, difference)._unsafeUnwrap();
     }
@@ -134,19 +143,22 @@
   t.notThrows(() => fc.assert(property, { seed: 3, numRuns: 25 }));
 });
 
-test("any damage to a difference's text is refused or leads to the same bundle", (t) => {
-  const [from, to] = [later(1), later(2, { domainDistanceMs: 2 })];
+test("a corrupted difference is rejected or produces the same bundle", (t) => {
+  const [from, to] = [
+    signedExample(1),
+    signedExample(2, { domainDistanceMs: 2 }),
+  ];
   const difference = createBundleDifference(from, to)._unsafeUnwrap();
-  const untouched = canonicalJson(to.bundle);
+  const original = canonicalJson(to.bundle);
   const text = corruptedText(JSON.stringify(difference));
-  const property = fc.property(text, (damaged) => {
-    const applied = parseDocument(damaged, bundleDifferenceSchema, {
+  const property = fc.property(text, (corrupted) => {
+    const applied = parseDocument(corrupted, bundleDifferenceSchema, {
       file: "any",
     })
       .mapErr((): unknown => "unreadable")
       .andThen((read) => applyBundleDifference(from, read))
       .andThen((result) => verifySignatures(result, TRUSTED));
-    return applied.isErr() || canonicalJson(applied.value.bundle) === untouched;
+    return applied.isErr() || canonicalJson(applied.value.bundle) === original;
   });
   t.notThrows(() => fc.assert(property, { seed: 9, numRuns: 500 }));
 });
--- a/packages/bundle/tests/bundleSignature.test.ts
+++ b/packages/bundle/tests/bundleSignature.test.ts
@@ -23,12 +23,12 @@
   return signBundle(bundle, FORMER_KEY)._unsafeUnwrap();
 }
 
-test("a signed bundle passes with its key, after a way through JSON too", (t) => {
+test("a signed bundle is verified after a JSON round trip", (t) => {
   const read = JSON.parse(JSON.stringify(signedExample()));
   t.true(verifySignedBundle(read, [trustedKeyOf(FORMER_KEY)]).isOk());
 });
 
-test("the order of lists and keys does not change the root", (t) => {
+test("the root does not depend on the order of lists and keys", (t) => {
   const bundle = exampleBundle("cairo");
   const reversed = {
     ...Object.fromEntries(Object.entries(bundle).reverse()),
@@ -39,7 +39,7 @@
   t.deepEqual(right, left);
 });
 
-test("two keys are valid during a change of keys", (t) => {
+test("either of two keys verifies a bundle during a key rotation", (t) => {
   const bothSigned = addSignature(signedExample(), NEXT_KEY);
   for (const key of [FORMER_KEY, NEXT_KEY]) {
     t.true(verifySignedBundle(bothSigned, [trustedKeyOf(key)]).isOk());
@@ -48,16 +48,16 @@
   t.true(verifySignedBundle(signedExample(), bothTrusted).isOk());
 });
 
-test("a changed limit, an added account or another version is refused", (t) => {
+test("a bundle that changed after signing is rejected", (t) => {
   const signed = signedExample();
   const trusted = [trustedKeyOf(FORMER_KEY)];
   const { bundle } = signed;
   const [account] = bundle.clientAccounts;
-  const doubled = { ...account!, keyDigests: ["0".repeat(64)] };
+  const duplicate = { ...account!, keyDigests: ["0".repeat(64)] };
   const forgeries = [
     { ...bundle, version: 2 as typeof bundle.version },
     { ...bundle, deployment: "cairo" },
-    { ...bundle, clientAccounts: [doubled, ...bundle.clientAccounts] },
+    { ...bundle, clientAccounts: [duplicate, ...bundle.clientAccounts] },
     { ...bundle, clientAccounts: bundle.clientAccounts.slice(1) },
     { ...bundle, domainDistanceMs: 3 },
   ];
@@ -67,21 +67,21 @@
   }
 });
 
-test("a signature does not carry over to another version's root", (t) => {
+test("a signature is not valid for another version", (t) => {
   const first = signedExample(1);
   const second = signedExample(2);
-  const crossed = { ...second, signatures: first.signatures };
-  const result = verifySignedBundle(crossed, [trustedKeyOf(FORMER_KEY)]);
+  const mismatched = { ...second, signatures: first.signatures };
+  const result = verifySignedBundle(mismatched, [trustedKeyOf(FORMER_KEY)]);
   t.deepEqual(result._unsafeUnwrapErr(), {
     kind: "bad-signature",
     keyId: "former",
   });
 });
 
-test("a stranger's key under a trusted id is refused", (t) => {
-  const stranger = generateSigningKey("former");
+test("an untrusted key with a trusted id is rejected", (t) => {
+  const untrustedKey = generateSigningKey("former");
   const bundle = exampleBundle("fukuoka");
-  const signed = signBundle(bundle, stranger)._unsafeUnwrap();
+  const signed = signBundle(bundle, untrustedKey)._unsafeUnwrap();
   const trusted = [trustedKeyOf(FORMER_KEY)];
   t.is(
     verifySignedBundle(signed, trusted)._unsafeUnwrapErr().kind,
@@ -94,17 +94,18 @@
   );
 });
 
-test("any damage to a signed bundle's text is refused or leaves the same bundle", (t) => {
+test("a corrupted signed bundle is rejected or has the same content", (t) => {
   const signed = signedExample();
   const trusted = [trustedKeyOf(FORMER_KEY)];
-  const untouched = canonicalJson(signed.bundle);
+  const original = canonicalJson(signed.bundle);
   const property = fc.property(
     corruptedText(JSON.stringify(signed)),
     (text) => {
-      const taken = parseDocument(text, signedBundleSchema, { file: "any" })
+      const verified = parseDocument(text, signedBundleSchema, { file: "any" })
         .mapErr((): unknown => "unreadable")
         .andThen((read) => verifySignedBundle(read, trusted));
-      return taken.isErr() || canonicalJson(taken.value.bundle) === untouched;
+      return verified.isErr() ||
+        canonicalJson(verified.value.bundle) === original;
     },
   );
   t.notThrows(() => fc.assert(property, { seed: 7, numRuns: 500 }));
--- a/packages/bundle/tests/helpers/corruptedText.ts
+++ b/packages/bundle/tests/helpers/corruptedText.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 
-/** The text with a few characters replaced by others. */
+/** Generates copies of a text with a few characters replaced. */
 export function corruptedText(text: string): fc.Arbitrary<string> {
   return fc.tuple(
     fc.nat(text.length - 1),
--- a/packages/bundle/tests/helpers/fakePlatform.ts
+++ b/packages/bundle/tests/helpers/fakePlatform.ts
@@ -1,21 +1,21 @@
 import { Buffer } from "node:buffer";
 import type { PlatformFetch, PlatformResponse } from "@wasabivane/bundle";
 
-/** Answers as the platform would, and what was asked for. */
+/** A fake platform and the URLs that it received. */
 export interface FakePlatform {
   readonly request: PlatformFetch;
   readonly urls: URL[];
 }
 
-/** A platform that gives one answer to every read. */
+/** Creates a platform that gives the same response to every request. */
 export function createFakePlatform(
-  answer: {
+  response: {
     status?: number;
     headers?: PlatformResponse["headers"];
     body?: string | Uint8Array;
   },
 ): FakePlatform {
-  const { status = 200, headers = {}, body = "" } = answer;
+  const { status = 200, headers = {}, body = "" } = response;
   const urls: URL[] = [];
   const request: PlatformFetch = (url) => {
     urls.push(url);
@@ -28,7 +28,7 @@
   return { request, urls };
 }
 
-/** A platform that takes the request and never answers. */
+/** Creates a request function that never responds. */
 export function createUnresponsiveFetch(): PlatformFetch {
   return (_url, { signal }) =>
     new Promise((_resolve, reject) => {
--- a/packages/bundle/tests/httpSources.test.ts
+++ b/packages/bundle/tests/httpSources.test.ts
@@ -18,7 +18,7 @@
   createUnresponsiveFetch,
 } from "./helpers/fakePlatform.ts";
 
-const URL_OF_PLATFORM = "http://127.0.0.1:9/platform";
+const PLATFORM_URL = "http://127.0.0.1:9/platform";
 const READ = { afterRevision: 4, waitMs: 2_000 };
 
 const HOST_LIST = {
@@ -34,20 +34,20 @@
 };
 
 function hostList(
-  answer: Parameters<typeof createFakePlatform>[0],
+  response: Parameters<typeof createFakePlatform>[0],
   limits: { maximumBytes?: number } = {},
 ): HttpHostListSource {
-  const { request } = createFakePlatform(answer);
-  return new HttpHostListSource({ url: URL_OF_PLATFORM, request, ...limits });
+  const { request } = createFakePlatform(response);
+  return new HttpHostListSource({ url: PLATFORM_URL, request, ...limits });
 }
 
-function revised(revision: number, value: unknown): { body: string } {
+function revisionedBody(revision: number, value: unknown): { body: string } {
   return { body: JSON.stringify({ revision, value }) };
 }
 
-test("a read asks for the revision after its own and drops keys of the platform's", async (t) => {
-  const { request, urls } = createFakePlatform(revised(5, HOST_LIST));
-  const source = new HttpHostListSource({ url: URL_OF_PLATFORM, request });
+test("a read requests the next revision and drops unknown keys", async (t) => {
+  const { request, urls } = createFakePlatform(revisionedBody(5, HOST_LIST));
+  const source = new HttpHostListSource({ url: PLATFORM_URL, request });
   const read = (await source.read(READ))._unsafeUnwrap();
   t.is(
     urls[0]!.href,
@@ -75,18 +75,18 @@
   t.deepEqual(read._unsafeUnwrap(), { revision: 3, value: signed });
 });
 
-test("nothing newer, or an older state of a stale service, is no news", async (t) => {
-  const answers = [
+test("an unchanged or older revision gives no value", async (t) => {
+  const responses = [
     { status: 304 },
-    revised(4, HOST_LIST),
-    revised(1, HOST_LIST),
+    revisionedBody(4, HOST_LIST),
+    revisionedBody(1, HOST_LIST),
   ];
-  for (const answer of answers) {
-    t.is((await hostList(answer).read(READ))._unsafeUnwrap(), undefined);
+  for (const response of responses) {
+    t.is((await hostList(response).read(READ))._unsafeUnwrap(), undefined);
   }
 });
 
-test("over the budget, the wait is the service's own within bounds", async (t) => {
+test("the retry delay is taken from Retry-After within limits", async (t) => {
   const waits: [string | undefined, number][] = [
     ["3", 3_000],
     [undefined, 1_000],
@@ -101,18 +101,20 @@
   }
 });
 
-test("broken, oversize and wrong answers are malformed, errors unreachable", async (t) => {
+test("invalid responses are malformed and error statuses unreachable", async (t) => {
   const malformed = [
     { body: "{" },
     { body: new Uint8Array([0x22, 0xff, 0x22]) },
-    revised(5, { ...HOST_LIST, version: "7" }),
+    revisionedBody(5, { ...HOST_LIST, version: "7" }),
     { body: JSON.stringify({ value: HOST_LIST }) },
   ];
-  for (const answer of malformed) {
-    const read = await hostList(answer).read(READ);
+  for (const response of malformed) {
+    const read = await hostList(response).read(READ);
     t.is(read._unsafeUnwrapErr().kind, "malformed");
   }
-  const oversize = hostList(revised(5, HOST_LIST), { maximumBytes: 100 });
+  const oversize = hostList(revisionedBody(5, HOST_LIST), {
+    maximumBytes: 100,
+  });
   t.is((await oversize.read(READ))._unsafeUnwrapErr().kind, "malformed");
   for (const status of [301, 404, 503]) {
     const read = await hostList({ status }).read(READ);
@@ -120,13 +122,11 @@
   }
 });
 
-// The caller sees an old configuration stay in force. A read is sent, the
-// service's host is lost, and no close arrives; without a bound of its own the
-// read would hang for good and no later revision would be asked for.
-test("a service that never answers is unreachable after the wait and a margin", async (t) => {
+// Guards against reads that hang forever after the platform host is lost.
+test("a platform that never responds is unreachable after the wait and margin", async (t) => {
   const timer = new VirtualTimer();
   const source = new HttpHostListSource({
-    url: URL_OF_PLATFORM,
+    url: PLATFORM_URL,
     request: createUnresponsiveFetch(),
     timer,
     responseMarginMs: 500,
@@ -136,10 +136,10 @@
   t.is((await read)._unsafeUnwrapErr().kind, "unreachable");
 });
 
-test("any damaged answer gives a checked host list or an error", async (t) => {
-  const { body } = revised(5, HOST_LIST);
-  const property = fc.asyncProperty(corruptedText(body), async (damaged) => {
-    const read = await hostList({ body: damaged }).read(READ);
+test("a corrupted response gives a valid host list or an error", async (t) => {
+  const { body } = revisionedBody(5, HOST_LIST);
+  const property = fc.asyncProperty(corruptedText(body), async (corrupted) => {
+    const read = await hostList({ body: corrupted }).read(READ);
     return read.isErr() || read.value === undefined ||
       hostListSchema.safeParse(read.value.value).success;
   });
--- a/packages/bundle/tests/jsonDocument.test.ts
+++ b/packages/bundle/tests/jsonDocument.test.ts
@@ -35,7 +35,7 @@
   return errorsOf(text).map(formatDocumentError);
 }
 
-test("comments and trailing commas are read, defaults filled in", (t) => {
+test("comments and trailing commas are accepted and defaults filled in", (t) => {
   const text = '// port of callers\n{ "port": 80, /* none */ "log": {}, }';
   const read = parseDocument(text, settingsSchema, { file: "s.jsonc" });
   t.deepEqual(read._unsafeUnwrap(), {
@@ -45,7 +45,7 @@
   });
 });
 
-test("an error names file, line, path and what is allowed", (t) => {
+test("an error names the file, line, path and allowed values", (t) => {
   t.deepEqual(
     linesOf('{\n  "prot": 1,\n  "port": 70000,\n  "entries": ["x"]\n}'),
     [
@@ -62,7 +62,7 @@
   ]);
 });
 
-test("a typo in a union's branch names that branch's keys", (t) => {
+test("an unknown key in a union branch suggests the keys of that branch", (t) => {
   const [error] = parseDocument(
     '{"changed": [{"kind": "tier", "value": {"tier": 1, "name": "a", "deadlineMs": 1, "wieght": 2}}]}',
     bundleDifferenceSchema.pick({ changed: true }),
@@ -72,7 +72,7 @@
   t.regex(error!.allowed, /did you mean "weight"\?/);
 });
 
-test("a key that stands twice, broken syntax and deep nesting are errors", (t) => {
+test("duplicate keys, invalid syntax and deep nesting are errors", (t) => {
   t.is(errorsOf('{"port": 1, "port": 2}')[0]!.kind, "duplicate-key");
   t.is(errorsOf('{"port": 1, "__proto__": {}}')[0]!.kind, "duplicate-key");
   t.is(errorsOf('{"port" 1}')[0]!.kind, "syntax");
@@ -80,7 +80,7 @@
   t.is(errorsOf("[".repeat(200_000))[0]!.kind, "syntax");
 });
 
-test("a file that is absent, no UTF-8 or a folder is an error", (t) => {
+test("a missing file, invalid UTF-8 and a directory are errors", (t) => {
   const folder = mkdtempSync(join(tmpdir(), "wasabivane-"));
   t.teardown(() => rmSync(folder, { recursive: true }));
   const file = join(folder, "latin.json");
@@ -91,7 +91,7 @@
   t.deepEqual(kinds, ["unreadable", "not-utf8", "unreadable"]);
 });
 
-test("any text gives a value or errors with a place in the text", (t) => {
+test("any text gives a value or errors with a valid location", (t) => {
   const schemas: z.ZodType[] = [
     settingsSchema,
     bundleSchema,
--- a/packages/common/src/blackboard.ts
+++ b/packages/common/src/blackboard.ts
@@ -1,11 +1,11 @@
-/** A named slot of a {@link Blackboard} with the type of its value. */
+/** A named entry of a {@link Blackboard} with the type of its value. */
 export interface Topic<Value> {
   readonly name: string;
-  /** The value before anything was written. */
+  /** The value until the first write. */
   readonly initial: Value;
 }
 
-/** Declares a topic; names are unique within a process. */
+/** Creates a topic; its name must be unique within the process. */
 export function createTopic<Value>(
   name: string,
   initial: Value,
@@ -13,12 +13,12 @@
   return { name, initial };
 }
 
-/** Called after a write with the new and the former value. */
-export type TopicListener<Value> = (value: Value, former: Value) => void;
+/** Receives the new and the previous value after each write. */
+export type TopicListener<Value> = (value: Value, previous: Value) => void;
 
 /**
- * The shared memory of the controllers in one process. Controllers know
- * topics, not each other; values are replaced whole, never changed in place.
+ * Holds the values that the controllers of one process share, by topic.
+ * Values are replaced, never mutated in place.
  */
 export class Blackboard {
   readonly #values = new Map<string, unknown>();
@@ -30,14 +30,14 @@
   }
 
   write<Value>(topic: Topic<Value>, value: Value): void {
-    const former = this.read(topic);
+    const previous = this.read(topic);
     this.#values.set(topic.name, value);
     for (const listener of this.#listeners.get(topic.name) ?? []) {
-      (listener as TopicListener<Value>)(value, former);
+      (listener as TopicListener<Value>)(value, previous);
     }
   }
 
-  /** Subscribes to writes; the returned function ends the subscription. */
+  /** Subscribes to writes of a topic and returns the unsubscribe function. */
   watch<Value>(
     topic: Topic<Value>,
     listener: TopicListener<Value>,
--- a/packages/common/src/commandLine.ts
+++ b/packages/common/src/commandLine.ts
@@ -1,28 +1,28 @@
-/** The command did what was asked. */
+/** Exit code of a command that succeeded. */
 export const EXIT_OK = 0;
-/** The command worked, and there is something to look at. */
+/** Exit code of a command that ran and reports problems. */
 export const EXIT_FINDINGS = 1;
-/** The command line itself is wrong. */
+/** Exit code for an invalid command line. */
 export const EXIT_USAGE = 2;
-/** A broken invariant; as `EX_SOFTWARE` of sysexits. */
+/** Exit code for an internal error, `EX_SOFTWARE` of sysexits. */
 export const EXIT_INTERNAL = 70;
 
-/** What a command found: `data` for programs, `lines` for people. */
+/** Holds the result of a command: `data` as JSON, `lines` as readable text. */
 export interface CommandReport {
   readonly exitCode: number;
   readonly data: unknown;
   readonly lines: readonly string[];
-  /** Whether the command printed it itself, as one that watches does. */
+  /** Whether the command has already printed its output, as in watch mode. */
   readonly isPrinted?: boolean;
 }
 
-/** Where a binary writes. */
+/** Writes to the standard output and error streams. */
 export interface CommandOutput {
   write(text: string): void;
   writeError(text: string): void;
 }
 
-/** What running needs of a parser such as cac's `CAC`, whose commands return reports. */
+/** Describes the part of cac's `CAC` that {@link runCommandLine} uses. */
 export interface CommandParser {
   readonly name: string;
   readonly args: readonly string[];
@@ -34,24 +34,24 @@
   runMatchedCommand(): unknown;
 }
 
-/** A command line that cannot be run; the message is for the user. */
+/** Signals an invalid command line; its message is shown to the user. */
 export class UsageError extends Error {}
 
 /** Options of {@link runCommandLine}. */
 export interface CommandRunOptions {
-  /** As `process.argv`: the first two entries are skipped. */
+  /** Has the form of `process.argv`: the first two entries are skipped. */
   readonly argv: readonly string[];
   readonly output: CommandOutput;
 }
 
-/** Parses, runs the command, prints its report and gives the exit code; never throws. */
+/** Runs the command, prints its report and returns the exit code; never rejects. */
 export async function runCommandLine(
   cli: CommandParser,
   { argv, output }: CommandRunOptions,
 ): Promise<number> {
   try {
     cli.parse([...argv], { run: false });
-    if (isAnswered(cli)) return EXIT_OK;
+    if (hasPrintedHelpOrVersion(cli)) return EXIT_OK;
     if (cli.matchedCommand === undefined) throw unknownCommand(cli);
     const report = await cli.runMatchedCommand() as CommandReport;
     const isJson = cli.options.json === true;
@@ -62,7 +62,7 @@
   }
 }
 
-/** Prints a report as one JSON line, or as lines for people. */
+/** Prints a report as one JSON line or as readable lines. */
 export function printReport(
   { data, lines }: CommandReport,
   { isJson, output }: { isJson: boolean; output: CommandOutput },
@@ -71,8 +71,9 @@
   else for (const line of lines) output.write(`${line}\n`);
 }
 
-/** Whether parsing has printed the help or the version already. */
-function isAnswered({ options, matchedCommandName }: CommandParser): boolean {
+function hasPrintedHelpOrVersion(
+  { options, matchedCommandName }: CommandParser,
+): boolean {
   const isVersion = options.version === true &&
     matchedCommandName === undefined;
   return options.help === true || isVersion;
--- a/packages/common/src/commandOptions.ts
+++ b/packages/common/src/commandOptions.ts
@@ -1,9 +1,12 @@
 import { UsageError } from "./commandLine.ts";
 
-/** Options as a parser of command lines gives them, in camel case. */
+/** Holds parsed command-line options by name in camel case. */
 export type ParsedOptions = Readonly<Record<string, unknown>>;
 
-/** The value of an option that may be left out. */
+/**
+ * Returns the value of an option, `undefined` if it is not given. Throws a
+ * {@link UsageError} if it is repeated.
+ */
 export function getTextOption(
   options: ParsedOptions,
   name: string,
@@ -11,12 +14,15 @@
   const value = options[name];
   if (value === undefined) return undefined;
   if (Array.isArray(value)) {
-    throw new UsageError(`${flagOf(name)} stands twice`);
+    throw new UsageError(`${flagOf(name)} is given more than once`);
   }
   return String(value);
 }
 
-/** The value of an option that must be given. */
+/**
+ * Returns the value of a required option. Throws a {@link UsageError} if it is
+ * missing or repeated.
+ */
 export function getRequiredTextOption(
   options: ParsedOptions,
   name: string,
@@ -26,7 +32,10 @@
   throw new UsageError(`${flagOf(name)} is missing`);
 }
 
-/** The value of an option that holds a whole number. */
+/**
+ * Returns the value of a whole-number option, `undefined` if it is not given.
+ * Throws a {@link UsageError} for other values.
+ */
 export function getIntegerOption(
   options: ParsedOptions,
   name: string,
--- a/packages/common/src/controller.ts
+++ b/packages/common/src/controller.ts
@@ -1,7 +1,7 @@
-/** A part of a process that reads and writes the blackboard and owns its own timers. */
+/** Runs one concern of a host on its own timers, using the blackboard. */
 export abstract class Controller {
-  /** Subscribes to what the controller needs. */
+  /** Starts subscriptions and timers. */
   abstract start(): void;
-  /** Ends all subscriptions; the controller does nothing afterwards. */
+  /** Ends all subscriptions and timers. */
   abstract stop(): void;
 }
--- a/packages/common/src/elapsedClock.ts
+++ b/packages/common/src/elapsedClock.ts
@@ -1,35 +1,35 @@
 import type { EpochMilliseconds, Milliseconds } from "./ids.ts";
 import type { Timer } from "./timer.ts";
 
-/** Wall time may run ahead of the monotonic clock by so much before it counts. */
-const STEP_MS: Milliseconds = 500;
+/** Smaller differences between the clocks are ordinary clock adjustment. */
+const SUSPEND_THRESHOLD_MS: Milliseconds = 500;
 
 /**
- * A monotonic clock that also counts time in which the machine was suspended.
- * The kernel's clock stands still then, and leases would look valid to a host
- * that slept for an hour. A wall clock that is set forward ends leases early,
- * which is harmless.
+ * Measures monotonic time including the time that the machine was suspended,
+ * which the kernel's monotonic clock leaves out. Without it, expired leases
+ * would look valid after a resume. A wall clock that is set forward only ends
+ * leases early.
  */
 export class ElapsedClock {
   readonly #timer: Timer;
-  #lastNow: Milliseconds;
-  #lastWall: EpochMilliseconds;
+  #referenceNow: Milliseconds;
+  #referenceWall: EpochMilliseconds;
   #suspended: Milliseconds = 0;
 
   constructor(timer: Timer) {
     this.#timer = timer;
-    this.#lastNow = timer.now();
-    this.#lastWall = timer.wallNow();
+    this.#referenceNow = timer.now();
+    this.#referenceWall = timer.wallNow();
   }
 
   now(): Milliseconds {
     const now = this.#timer.now();
     const wall = this.#timer.wallNow();
-    const ahead = (wall - this.#lastWall) - (now - this.#lastNow);
-    if (ahead > STEP_MS) this.#suspended += ahead;
-    if (Math.abs(ahead) > STEP_MS) {
-      this.#lastNow = now;
-      this.#lastWall = wall;
+    const drift = (wall - this.#referenceWall) - (now - this.#referenceNow);
+    if (drift > SUSPEND_THRESHOLD_MS) this.#suspended += drift;
+    if (Math.abs(drift) > SUSPEND_THRESHOLD_MS) {
+      this.#referenceNow = now;
+      this.#referenceWall = wall;
     }
     return now + this.#suspended;
   }
--- a/packages/common/src/heap.ts
+++ b/packages/common/src/heap.ts
@@ -1,4 +1,4 @@
-/** A binary heap; the item for which `isBefore` holds against all others leaves first. */
+/** Implements a binary heap; `isBefore` decides which item is popped first. */
 export class Heap<Item> {
   readonly #items: Item[] = [];
   readonly #isBefore: (left: Item, right: Item) => boolean;
--- a/packages/common/src/ids.ts
+++ b/packages/common/src/ids.ts
@@ -1,55 +1,53 @@
-/** Branded identifiers, so that an id of one kind cannot stand in for another. */
-
 declare const brand: unique symbol;
 
-/** A primitive that carries a compile-time name. */
+/** A primitive with a compile-time name, so that id types do not mix. */
 export type Branded<Value, Name extends string> = Value & {
   readonly [brand]: Name;
 };
 
-/** One entry host, by the name that the platform publishes. */
+/** The name of an entry host in the host list of the platform. */
 export type HostId = Branded<string, "HostId">;
-/** One start of the process on an entry host; a restart gets a new one. */
+/** Identifies one run of the process on an entry host; changes on restart. */
 export type Incarnation = Branded<string, "Incarnation">;
-/** A group of hosts that can be lost together. */
+/** The name of a group of hosts that can fail together. */
 export type FailureDomain = Branded<string, "FailureDomain">;
-/** A customer that authenticates with its own keys. */
+/** Identifies a customer that authenticates with its own API keys. */
 export type ClientAccountId = Branded<string, "ClientAccountId">;
-/** One replica of a service behind the entry hosts. */
+/** Identifies one replica of a service. */
 export type UpstreamId = Branded<string, "UpstreamId">;
-/** A named group of interchangeable upstreams. */
+/** The name of a group of interchangeable upstreams. */
 export type ServiceId = Branded<string, "ServiceId">;
-/** One attempt of a caller, as seen by the entry host that took it. */
+/** Identifies one attempt of a caller on the entry host that accepted it. */
 export type RequestId = Branded<string, "RequestId">;
-/** The unguessable value that ties an answer to its dispatch. */
+/** A random value that ties a response to the request sent upstream. */
 export type Nonce = Branded<string, "Nonce">;
-/** A request of the job form, waiting or fetched later. */
+/** Identifies a request that runs as a job, whose result is fetched later. */
 export type JobId = Branded<string, "JobId">;
-/** A caller's idempotency key within one client account. */
+/** An idempotency key, unique within its client account. */
 export type IdempotencyKey = Branded<string, "IdempotencyKey">;
-/** A hex digest of content. */
+/** A digest in hex. */
 export type Digest = Branded<string, "Digest">;
-/** Importance of a request; 1 is the most urgent. */
+/** The priority of a request; 1 is the most urgent. */
 export type Tier = Branded<number, "Tier">;
-/** The number of an accepted bundle; it only grows. */
+/** The version of a bundle; it only increases. */
 export type BundleVersion = Branded<number, "BundleVersion">;
 
-/** Milliseconds, as a duration or as a point on a monotonic clock. */
+/** A duration or a point on a monotonic clock. */
 export type Milliseconds = number;
-/** Milliseconds since the Unix epoch, as a wall clock tells them. */
+/** Wall-clock time since the Unix epoch. */
 export type EpochMilliseconds = number;
 
-/** Gives a plain value its brand; callers have checked its shape before. */
+/** Brands a string as an id without validating it. */
 export function asId<Id extends Branded<string, string>>(value: string): Id {
   return value as Id;
 }
 
-/** Gives a number its {@link Tier} brand. */
+/** Brands a number as a {@link Tier} without validating it. */
 export function asTier(value: number): Tier {
   return value as Tier;
 }
 
-/** Gives a number its {@link BundleVersion} brand. */
+/** Brands a number as a {@link BundleVersion} without validating it. */
 export function asBundleVersion(value: number): BundleVersion {
   return value as BundleVersion;
 }
--- a/packages/common/src/metrics.ts
+++ b/packages/common/src/metrics.ts
@@ -1,15 +1,15 @@
-/** Tags of one metric; values come from bounded sets. */
+/** Tags of a metric; each must have a bounded set of values. */
 export type MetricTags = Readonly<Record<string, string | number>>;
 
-/** Where counters and histograms go. */
+/** Records counters and histograms. */
 export abstract class Metrics {
   /** Adds to a counter. */
   abstract count(name: string, by?: number, tags?: MetricTags): void;
-  /** Adds one value to a histogram. */
+  /** Records a value in a histogram. */
   abstract observe(name: string, value: number, tags?: MetricTags): void;
 }
 
-/** Keeps counters in memory, for tests and the status page. */
+/** Keeps counters in memory for tests and status pages; ignores histograms. */
 export class MemoryMetrics extends Metrics {
   readonly #counters = new Map<string, number>();
 
@@ -20,12 +20,12 @@
 
   override observe(_name: string, _value: number, _tags?: MetricTags): void {}
 
-  /** The value of one counter, 0 when it was never counted. */
+  /** Returns the value of a counter, 0 if it was never incremented. */
   counter(name: string, tags: MetricTags = {}): number {
     return this.#counters.get(metricKey(name, tags)) ?? 0;
   }
 
-  /** Every counter by its name and tags. */
+  /** Returns all counters by name and tags. */
   counters(): Record<string, number> {
     return Object.fromEntries([...this.#counters].sort());
   }
--- a/packages/common/src/prefixDigests.ts
+++ b/packages/common/src/prefixDigests.ts
@@ -2,18 +2,18 @@
 import { createHash } from "node:crypto";
 import type { Digest } from "./ids.ts";
 
-/** Bytes of prompt text in one cached block. */
+/** The size of one block of the prefix cache. */
 export const PREFIX_BLOCK_BYTES = 256;
-/** Bytes of prompt text that count as one token where no tokenizer is known. */
+/** Estimates a token where no tokenizer is available. */
 export const BYTES_PER_TOKEN = 4;
-/** Leading blocks that are digested; longer prompts share no more than these. */
+/** The number of leading blocks that are digested. */
 export const MAX_PREFIX_BLOCKS = 256;
 
 const DIGEST_CHARACTERS = 16;
 
 /**
- * Digests of a prompt's whole leading blocks, each chained to the one before,
- * so that equal digests mean equal prefixes under the same salt.
+ * Computes the digests of a prompt's full leading blocks. Each digest includes
+ * the previous one, so that equal digests mean equal prefixes for one salt.
  */
 export function prefixDigests(salt: string, prompt: string): Digest[] {
   const bytes = Buffer.from(prompt, "utf8");
@@ -33,7 +33,7 @@
   return digests;
 }
 
-/** Tokens in a text of so many bytes, at least one. */
+/** Estimates the number of tokens in a text from its size, at least 1. */
 export function estimateTokens(bytes: number): number {
   return Math.max(1, Math.ceil(bytes / BYTES_PER_TOKEN));
 }
--- a/packages/common/src/random.ts
+++ b/packages/common/src/random.ts
@@ -4,33 +4,33 @@
 
 const TWO_TO_32 = 2 ** 32;
 
-/** The only source of chance in decisions, so that a seed replays them. */
+/** Generates random values; a seeded implementation is repeatable. */
 export abstract class Random {
-  /** A number in [0, 1). */
+  /** Returns a uniform number in [0, 1). */
   abstract float(): number;
 
-  /** A whole number in [0, bound). */
+  /** Returns a uniform integer in [0, bound). */
   int(bound: number): number {
     return Math.floor(this.float() * bound);
   }
 
-  /** One of the items; the list must not be empty. */
+  /** Returns one of the items, which must not be empty. */
   pick<Item>(items: readonly Item[]): Item {
     return items[this.int(items.length)]!;
   }
 
-  /** An exponentially distributed number with the given mean. */
+  /** Returns an exponentially distributed number with the given mean. */
   exponential(mean: number): number {
     return -mean * Math.log(1 - this.float());
   }
 
-  /** A standard normal number. */
+  /** Returns a number of the standard normal distribution. */
   normal(): number {
     const radius = Math.sqrt(-2 * Math.log(1 - this.float()));
     return radius * Math.cos(2 * Math.PI * this.float());
   }
 
-  /** `bytes` random bytes as hex. */
+  /** Returns the given number of random bytes as hex. */
   hex(bytes: number): string {
     let text = "";
     for (let index = 0; index < bytes; index++) {
@@ -40,7 +40,7 @@
   }
 }
 
-/** A repeatable sequence. */
+/** Generates the same sequence for the same seed. */
 export class SeededRandom extends Random {
   readonly #generator: ReturnType<typeof xoroshiro128plus>;
 
@@ -54,10 +54,10 @@
   }
 }
 
-/** Random bytes fetched at once; a call to the system for each nonce costs more than the nonce. */
+/** Buffers random bytes to avoid a system call per value. */
 const POOL_BYTES = 4_096;
 
-/** Unpredictable numbers, for nonces, incarnations and jitter in the daemons. */
+/** Generates unpredictable values for nonces, incarnations and jitter. */
 export class SystemRandom extends Random {
   #pool = Buffer.alloc(0);
   #offset = 0;
@@ -70,7 +70,7 @@
     return this.#take(bytes).toString("hex");
   }
 
-  /** Each byte of the pool is given out once. */
+  /** Returns bytes of the pool, each at most once. */
   #take(bytes: number): Buffer {
     if (this.#offset + bytes > this.#pool.length) {
       this.#pool = randomBytes(Math.max(bytes, POOL_BYTES));
--- a/packages/common/src/rendezvous.ts
+++ b/packages/common/src/rendezvous.ts
@@ -1,8 +1,8 @@
 import { createHash } from "node:crypto";
 
 /**
- * Orders the candidates by their rendezvous weight for a key, the winner first.
- * Removing a candidate moves only the keys that it had won.
+ * Returns the candidates by rendezvous hash for a key, the highest weight
+ * first. Removing a candidate moves only the keys for which it was first.
  */
 export function rendezvousOrder<Candidate extends string>(
   key: string,
@@ -18,7 +18,7 @@
   return weighted.map(({ candidate }) => candidate);
 }
 
-/** Weight of a candidate for a key, equal on every host. */
+/** Returns the weight of a candidate for a key, equal on every host. */
 export function rendezvousWeight(key: string, candidate: string): string {
   return createHash("sha256").update(key).update("\0").update(candidate).digest(
     "hex",
--- a/packages/common/src/requestOutcome.ts
+++ b/packages/common/src/requestOutcome.ts
@@ -1,8 +1,8 @@
 /**
- * How an accepted request ended, as told to the caller.
+ * The outcome of an accepted request, as reported to the caller.
  *
- * - `whole`: every byte arrived, with its end mark and this dispatch's nonce.
- * - `not-run`: no byte of this request's key left for an upstream, and none can later.
- * - `unknown`: anything else; a non-idempotent request that ended so is never run again.
+ * - `whole`: the complete response arrived, with end marker and matching nonce.
+ * - `not-run`: nothing was sent to an upstream, and nothing will be.
+ * - `unknown`: anything else; non-idempotent requests are not retried.
  */
 export type RequestOutcome = "whole" | "not-run" | "unknown";
--- a/packages/common/src/systemTimer.ts
+++ b/packages/common/src/systemTimer.ts
@@ -2,7 +2,7 @@
 import type { EpochMilliseconds, Milliseconds } from "./ids.ts";
 import { Timer, type TimerSubscription } from "./timer.ts";
 
-/** Real time, for the daemons and the tools. */
+/** Implements {@link Timer} with the system clocks and timers. */
 export class SystemTimer extends Timer {
   override now(): Milliseconds {
     return performance.now();
--- a/packages/common/src/virtualTimer.ts
+++ b/packages/common/src/virtualTimer.ts
@@ -11,11 +11,14 @@
 
 /** Options of a {@link VirtualTimer}. */
 export interface VirtualTimerOptions {
-  /** Wall clock at virtual time zero. */
+  /** The wall clock at virtual time zero. */
   wallOrigin?: EpochMilliseconds;
 }
 
-/** Time that moves only when it is told to; calls due at once run in order of subscription. */
+/**
+ * Implements a {@link Timer} whose time advances only on request. Calls due at
+ * the same time run in order of subscription.
+ */
 export class VirtualTimer extends Timer {
   #now: Milliseconds = 0;
   #order = 0;
@@ -60,12 +63,12 @@
     return { cancel: () => (isCancelled = true) };
   }
 
-  /** Runs every call due within the next `span` milliseconds. */
+  /** Advances time by `span` and runs every call due by then. */
   advance(span: Milliseconds): void {
     this.runUntil(this.#now + span);
   }
 
-  /** Runs every call due up to `end`, then stands at `end`. */
+  /** Advances time to `end` and runs every call due by then. */
   runUntil(end: Milliseconds): void {
     let next = this.#pending.peek();
     while (next !== undefined && next.at <= end) {
@@ -75,7 +78,7 @@
     this.#now = Math.max(this.#now, end);
   }
 
-  /** Runs the next pending call; false when there is none. */
+  /** Runs the next pending call; returns false if there is none. */
   step(): boolean {
     const call = this.#pending.pop();
     if (call === undefined) return false;
--- a/packages/common/tests/virtualTimer.test.ts
+++ b/packages/common/tests/virtualTimer.test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { VirtualTimer } from "@wasabivane/common";
 
-test("calls run in order of time, then of subscription", (t) => {
+test("calls run by due time, then by order of subscription", (t) => {
   const timer = new VirtualTimer();
   const seen: string[] = [];
   timer.after(20, () => seen.push("late"));
@@ -11,7 +11,7 @@
   t.deepEqual(seen, ["first", "second", "late"]);
 });
 
-test("a cancelled period calls no more", (t) => {
+test("a cancelled periodic call does not run again", (t) => {
   const timer = new VirtualTimer();
   let calls = 0;
   const subscription = timer.every(10, () => {
