--- a/apps/bundle/src/checkCommand.ts
+++ b/apps/bundle/src/checkCommand.ts
@@ -2,15 +2,15 @@
 import { type CommandReport, EXIT_OK } from "@wasabivane/common";
 import { documentErrorsReport } from "./documentErrorsReport.ts";
 
-/** Says whether a bundle file is well formed and consistent. */
+/** Checks that a bundle file is well formed and consistent. */
 export function checkCommand(file: string): CommandReport {
   return readBundleFile(file).match(
-    (bundleFile) => soundReport(file, bundleFile),
+    (bundleFile) => validReport(file, bundleFile),
     documentErrorsReport,
   );
 }
 
-function soundReport(file: string, { bundle }: BundleFile): CommandReport {
+function validReport(file: string, { bundle }: BundleFile): CommandReport {
   const { deployment, version, services, upstreams, clientAccounts } = bundle;
   const counts = [
     `${services.length} services`,
--- a/apps/bundle/src/createBundleTemplate.ts
+++ b/apps/bundle/src/createBundleTemplate.ts
@@ -4,8 +4,8 @@
   type ExampleDeployment,
 } from "@wasabivane/bundle";
 
-/** What an operator should know of each part of a new bundle. */
-const COMMENTS: Partial<Record<keyof Bundle, readonly string[]>> = {
+/** Comments above the top-level keys of a new bundle. */
+const KEY_COMMENTS: Partial<Record<keyof Bundle, readonly string[]>> = {
   version: ["Raise it with every change; entry hosts never go back."],
   failureDomains: ["Groups of hosts that can be lost together."],
   domainDistanceMs: [
@@ -31,14 +31,14 @@
 
 const INDENT = "  ";
 
-/** A new bundle as JSON with comments, for operators to edit. */
+/** Creates a bundle as JSON with comments, for operators to edit. */
 export function createBundleTemplate(deployment: ExampleDeployment): string {
   const bundle = exampleBundle(deployment);
   const members = Object.entries(bundle).map(([key, value]) => {
-    const comments = COMMENTS[key as keyof Bundle] ?? [];
+    const comments = KEY_COMMENTS[key as keyof Bundle] ?? [];
     const lines = comments.map((comment) => `${INDENT}// ${comment}\n`);
     return `${lines.join("")}${INDENT}${JSON.stringify(key)}: ${
-      memberText(value)
+      formatMember(value)
     }`;
   });
   const head =
@@ -46,28 +46,28 @@
   return `${head}{\n${members.join(",\n")}\n}\n`;
 }
 
-function memberText(value: unknown): string {
+function formatMember(value: unknown): string {
   if (!Array.isArray(value)) return JSON.stringify(value);
-  const items = value.map((item) => `${INDENT}${INDENT}${recordText(item)}`);
+  const items = value.map((item) => `${INDENT}${INDENT}${formatRecord(item)}`);
   return `[\n${items.join(",\n")}\n${INDENT}]`;
 }
 
-/** Short records on one line, long ones with a line for each key. */
-function recordText(record: unknown): string {
-  const line = spaced(record);
+/** Formats a short record on one line and a long one with one key per line. */
+function formatRecord(record: unknown): string {
+  const line = formatInline(record);
   if (line.length <= 150) return line;
   const members = Object.entries(record as object).map(([key, value]) =>
-    `${INDENT.repeat(3)}${JSON.stringify(key)}: ${spaced(value)}`
+    `${INDENT.repeat(3)}${JSON.stringify(key)}: ${formatInline(value)}`
   );
   return `{\n${members.join(",\n")}\n${INDENT}${INDENT}}`;
 }
 
-/** JSON on one line with spaces, as people write it. */
-function spaced(value: unknown): string {
-  if (Array.isArray(value)) return `[${value.map(spaced).join(", ")}]`;
+/** Formats JSON on one line, with spaces between tokens. */
+function formatInline(value: unknown): string {
+  if (Array.isArray(value)) return `[${value.map(formatInline).join(", ")}]`;
   if (typeof value !== "object" || value === null) return JSON.stringify(value);
   const members = Object.entries(value).map(([key, member]) =>
-    `${JSON.stringify(key)}: ${spaced(member)}`
+    `${JSON.stringify(key)}: ${formatInline(member)}`
   );
   return members.length === 0 ? "{}" : `{ ${members.join(", ")} }`;
 }
--- a/apps/bundle/src/diffCommand.ts
+++ b/apps/bundle/src/diffCommand.ts
@@ -9,7 +9,10 @@
 import { documentErrorsReport } from "./documentErrorsReport.ts";
 import { findPartChanges, formatPartChange } from "./partChanges.ts";
 
-/** Lists the parts that differ between two bundle files; as `diff`, 1 when any does. */
+/**
+ * Lists the parts that differ between two bundle files; exits with 1 if any
+ * does, like `diff`.
+ */
 export function diffCommand(from: string, to: string): CommandReport {
   return Result.combine([readBundleFile(from), readBundleFile(to)]).match(
     ([former, later]) => differenceReport(former!.bundle, later!.bundle),
--- a/apps/bundle/src/documentErrorsReport.ts
+++ b/apps/bundle/src/documentErrorsReport.ts
@@ -1,7 +1,7 @@
 import { type DocumentError, formatDocumentError } from "@wasabivane/bundle";
 import { type CommandReport, EXIT_FINDINGS } from "@wasabivane/common";
 
-/** A report of what is wrong with a file. */
+/** Creates the report of the errors in a file. */
 export function documentErrorsReport(
   errors: readonly DocumentError[],
 ): CommandReport {
--- a/apps/bundle/src/explainCommand.ts
+++ b/apps/bundle/src/explainCommand.ts
@@ -13,13 +13,16 @@
   type Refusal,
 } from "./explanation.ts";
 
-/** Says which upstreams, limits and tier a request would get, and why. */
+/**
+ * Reports which service, tier, limits and upstreams apply to a request, and
+ * why.
+ */
 export function explainCommand(
   file: string,
   request: ExplainedRequest,
 ): CommandReport {
   if ((request.model === undefined) === (request.path === undefined)) {
-    throw new UsageError("Give one of --model and --path");
+    throw new UsageError("Give either --model or --path");
   }
   return readBundleFile(file).match(
     ({ bundle }) =>
@@ -74,8 +77,8 @@
 function tierLine({ tier, isDefaultTier, account }: Explanation): string {
   const reason = isDefaultTier
     ? `the default of ${account.account}`
-    : `asked for, one of ${account.tiers.join(", ")}`;
-  return `tier ${tier.tier} (${tier.name}), ${reason}; whole answer within ${tier.deadlineMs} ms unless the caller names a deadline`;
+    : `requested, one of ${account.tiers.join(", ")}`;
+  return `tier ${tier.tier} (${tier.name}), ${reason}; complete response within ${tier.deadlineMs} ms unless the caller sets a deadline`;
 }
 
 function resendLine({ isIdempotent, service }: Explanation): string {
--- a/apps/bundle/src/explanation.ts
+++ b/apps/bundle/src/explanation.ts
@@ -9,17 +9,17 @@
 } from "@wasabivane/bundle";
 import { err, ok, type Result } from "neverthrow";
 
-/** A request that an operator asks about. */
+/** A request to explain. */
 export interface ExplainedRequest {
   readonly account: string;
-  /** Model that the body names; or else a path. */
+  /** Model in the request body; without it, `path` selects the service. */
   readonly model?: string;
   readonly path?: string;
   readonly method?: string;
   readonly tier?: number;
 }
 
-/** What a request would get from entry hosts that have this bundle in force. */
+/** How entry hosts with this bundle in force would handle a request. */
 export interface Explanation {
   readonly account: ClientAccount;
   readonly service: Service;
@@ -27,11 +27,11 @@
   readonly isDefaultTier: boolean;
   readonly limits: AccountLimits;
   readonly upstreams: readonly Upstream[];
-  /** Whether a caller's resend may run it again. */
+  /** Whether a resend by the caller may run again. */
   readonly isIdempotent: boolean;
 }
 
-/** Why entry hosts would refuse the request whatever the load. */
+/** Why entry hosts would refuse the request at any load. */
 export interface Refusal {
   readonly kind:
     | "unknown-account"
@@ -43,14 +43,17 @@
   readonly allowed: string;
 }
 
-/** Finds the service, tier, limits and upstreams of a request, in the order in which entry hosts do. */
+/**
+ * Resolves a request's service, tier, limits and upstreams, with the checks of
+ * entry hosts in the same order.
+ */
 export function explainRequest(
   bundle: Bundle,
   request: ExplainedRequest,
 ): Result<Explanation, Refusal> {
   return findAccount(bundle, request.account).andThen((account) =>
     findService(bundle, request)
-      .andThen((service) => allowService(service, account))
+      .andThen((service) => checkServiceAllowed(service, account))
       .andThen((service) =>
         findTier(bundle, { account, requested: request.tier }).map((tier) => ({
           account,
@@ -120,7 +123,7 @@
   });
 }
 
-function allowService(
+function checkServiceAllowed(
   service: Service,
   { account, services }: ClientAccount,
 ): Result<Service, Refusal> {
@@ -136,14 +139,14 @@
   { tiers }: Bundle,
   { account, requested }: { account: ClientAccount; requested?: number },
 ): Result<TierPolicy, Refusal> {
-  const wanted = requested ?? account.defaultTier;
-  const found = tiers.find(({ tier }) => tier === wanted);
+  const effectiveTier = requested ?? account.defaultTier;
+  const found = tiers.find(({ tier }) => tier === effectiveTier);
   if (found !== undefined && account.tiers.includes(found.tier)) {
     return ok(found);
   }
   return err({
     kind: "tier-not-allowed",
-    message: `${account.account} may not use tier ${wanted}`,
+    message: `${account.account} may not use tier ${effectiveTier}`,
     allowed: listAllowed(account.tiers),
   });
 }
--- a/apps/bundle/src/initCommand.ts
+++ b/apps/bundle/src/initCommand.ts
@@ -13,7 +13,7 @@
   readonly out?: string;
 }
 
-/** Writes a first bundle, with comments, for one of the known deployments. */
+/** Writes a commented bundle template for one of the example deployments. */
 export function initCommand({ deployment, out }: InitOptions): CommandReport {
   if (!isExampleDeployment(deployment)) {
     const allowed = listAllowed(EXAMPLE_DEPLOYMENTS, { found: deployment });
--- a/apps/bundle/src/partChanges.ts
+++ b/apps/bundle/src/partChanges.ts
@@ -8,57 +8,57 @@
   partKey,
 } from "@wasabivane/bundle";
 
-/** One value inside a part; `undefined` stands for an absent one. */
+/** One changed value inside a part; `undefined` means absent. */
 export interface ValueChange {
   readonly path: DocumentPath;
   readonly former: unknown;
   readonly later: unknown;
 }
 
-/** One part that is new, gone or different. */
+/** One added, removed or changed part. */
 export interface PartChange {
   readonly kind: "added" | "removed" | "changed";
   readonly key: PartKey;
-  /** The differing values of a changed part. */
+  /** The changed values; empty unless `kind` is `changed`. */
   readonly values: readonly ValueChange[];
 }
 
-const MARKS: Readonly<Record<PartChange["kind"], string>> = {
+const KIND_SYMBOLS: Readonly<Record<PartChange["kind"], string>> = {
   added: "+",
   removed: "-",
   changed: "~",
 };
 
-/** The changes of a comparison, down to the values. */
+/** Lists the changes of a comparison, with the changed values of each part. */
 export function findPartChanges(
   from: Bundle,
   { changed, removed }: PartComparison,
 ): PartChange[] {
-  const former = bundleParts(from)._unsafeUnwrap();
+  const formerParts = bundleParts(from)._unsafeUnwrap();
   const changes = changed.map((part): PartChange => {
     const key = partKey(part);
-    const before = former.get(key);
-    if (before === undefined) return { kind: "added", key, values: [] };
-    const values = valueChanges(before.value, part.value);
+    const formerPart = formerParts.get(key);
+    if (formerPart === undefined) return { kind: "added", key, values: [] };
+    const values = findValueChanges(formerPart.value, part.value);
     return { kind: "changed", key, values };
   });
-  const gone = removed.map((key): PartChange => ({
+  const removals = removed.map((key): PartChange => ({
     kind: "removed",
     key,
     values: [],
   }));
-  return [...changes, ...gone];
+  return [...changes, ...removals];
 }
 
-/** A change as people read it: one line, and one more for each value. */
+/** Formats a change as one line, and one more for each changed value. */
 export function formatPartChange({ kind, key, values }: PartChange): string[] {
   const details = values.map(({ path, former, later }) =>
-    `    ${formatPath(path)}: ${textOf(former)} -> ${textOf(later)}`
+    `    ${formatPath(path)}: ${formatValue(former)} -> ${formatValue(later)}`
   );
-  return [`${MARKS[kind]} ${key}`, ...details];
+  return [`${KIND_SYMBOLS[kind]} ${key}`, ...details];
 }
 
-function valueChanges(
+function findValueChanges(
   former: unknown,
   later: unknown,
   path: DocumentPath = [],
@@ -69,7 +69,7 @@
   }
   const keys = new Set([...Object.keys(former), ...Object.keys(later)]);
   return [...keys].flatMap((key) =>
-    valueChanges(former[key], later[key], [...path, key])
+    findValueChanges(former[key], later[key], [...path, key])
   );
 }
 
@@ -77,6 +77,6 @@
   return typeof value === "object" && value !== null && !Array.isArray(value);
 }
 
-function textOf(value: unknown): string {
+function formatValue(value: unknown): string {
   return value === undefined ? "nothing" : JSON.stringify(value);
 }
--- a/apps/bundle/src/program.ts
+++ b/apps/bundle/src/program.ts
@@ -15,14 +15,17 @@
 import { signCommand } from "./signCommand.ts";
 import { verifyCommand } from "./verifyCommand.ts";
 
-/** How to run the tool. */
+/** Options of {@link runBundleTool}. */
 export interface BundleToolOptions {
   readonly argv: readonly string[];
   readonly output: CommandOutput;
   readonly version: string;
 }
 
-/** Runs `wasabivane-bundle`; gives its exit code: 0 in order, 1 findings, 2 usage. */
+/**
+ * Runs `wasabivane-bundle` and returns its exit code: 0 on success, 1 on
+ * findings, 2 on a usage error.
+ */
 export function runBundleTool(
   { argv, output, version }: BundleToolOptions,
 ): Promise<number> {
@@ -36,27 +39,27 @@
 }
 
 function registerFileCommands(cli: CAC): void {
-  cli.command("init", "Write a first bundle with comments")
+  cli.command("init", "Write a bundle template with comments")
     .option("--deployment <name>", "fukuoka or cairo")
-    .option("--out <file>", "Write there instead of printing")
+    .option("--out <file>", "Write to a file instead of printing")
     .action((options: ParsedOptions) =>
       initCommand({
         deployment: getRequiredTextOption(options, "deployment"),
         out: getTextOption(options, "out"),
       })
     );
-  cli.command("check <file>", "Say what is wrong with a bundle")
+  cli.command("check <file>", "Check a bundle for errors")
     .action((file: unknown) => checkCommand(String(file)));
   cli.command("diff <from> <to>", "List the parts that differ")
     .action((from: unknown, to: unknown) =>
       diffCommand(String(from), String(to))
     );
-  cli.command("explain <file>", "Say what a request would get, and why")
+  cli.command("explain <file>", "Explain how a request would be handled")
     .option("--account <account>", "Client account that sends the request")
     .option("--model <model>", "Model that the request names")
     .option("--path <path>", "Path of the request, for plain services")
     .option("--method <method>", "HTTP method (default: POST)")
-    .option("--tier <tier>", "Tier that the request asks for")
+    .option("--tier <tier>", "Tier that the request names")
     .action((file: unknown, options: ParsedOptions) =>
       explainCommand(String(file), {
         account: getRequiredTextOption(options, "account"),
@@ -69,7 +72,7 @@
 }
 
 function registerKeyCommands(cli: CAC): void {
-  cli.command("keygen", "Make a key pair to sign with")
+  cli.command("keygen", "Create a key pair for signing")
     .option("--key-id <id>", "Id in settings (default: from the key itself)")
     .option("--out <file>", "File of the private key (default: ID.pem)")
     .action((options: ParsedOptions) =>
@@ -81,7 +84,7 @@
   cli.command("sign <file>", "Check and sign a bundle")
     .option("--key <file>", "File of the private key")
     .option("--key-id <id>", "Id under which settings pin the key")
-    .option("--out <file>", "Write there instead of printing")
+    .option("--out <file>", "Write to a file instead of printing")
     .action((file: unknown, options: ParsedOptions) =>
       signCommand(String(file), {
         keyFile: getRequiredTextOption(options, "key"),
@@ -89,11 +92,11 @@
         out: getTextOption(options, "out"),
       })
     );
-  cli.command("verify <file>", "Say whether pinned keys trust a signed bundle")
+  cli.command("verify <file>", "Verify a signed bundle against trusted keys")
     .option("--trust <file>", "Settings, or a list of trusted keys")
     .action((file: unknown, options: ParsedOptions) =>
       verifyCommand(String(file), {
-        trust: getRequiredTextOption(options, "trust"),
+        trustedKeysFile: getRequiredTextOption(options, "trust"),
       })
     );
 }
--- a/apps/bundle/src/readPrivateKey.ts
+++ b/apps/bundle/src/readPrivateKey.ts
@@ -3,14 +3,14 @@
 import { type CommandReport, EXIT_FINDINGS } from "@wasabivane/common";
 import { err, ok, type Result } from "neverthrow";
 
-/** A key file that cannot be used. */
+/** Error of a key file that cannot be used. */
 export interface KeyFileError {
   readonly kind: "unusable-key";
   readonly file: string;
   readonly message: string;
 }
 
-/** Reads an Ed25519 private key in PEM. */
+/** Reads an Ed25519 private key in PEM format. */
 export function readPrivateKey(file: string): Result<KeyObject, KeyFileError> {
   try {
     const privateKey = createPrivateKey(readFileSync(file));
@@ -22,11 +22,12 @@
       return err({ kind: "unusable-key", file, message });
     }
   }
-  const message = "The file holds no Ed25519 private key in PEM";
+  const message =
+    "The file does not contain an Ed25519 private key in PEM format";
   return err({ kind: "unusable-key", file, message });
 }
 
-/** A report of a key file that cannot be used. */
+/** Creates the report of a key file that cannot be used. */
 export function keyFileErrorReport(error: KeyFileError): CommandReport {
   return {
     exitCode: EXIT_FINDINGS,
--- a/apps/bundle/src/signCommand.ts
+++ b/apps/bundle/src/signCommand.ts
@@ -19,12 +19,12 @@
   readonly out?: string;
 }
 
-/** Checks and signs a bundle; a signed one gets a further signature. */
+/** Checks and signs a bundle; adds a signature if it is already signed. */
 export function signCommand(
   file: string,
-  { keyFile: key, keyId, out }: SignOptions,
+  { keyFile, keyId, out }: SignOptions,
 ): CommandReport {
-  const privateKey = readPrivateKey(key);
+  const privateKey = readPrivateKey(keyFile);
   if (privateKey.isErr()) return keyFileErrorReport(privateKey.error);
   const signingKey = { keyId, privateKey: privateKey.value };
   return readBundleFile(file).match(
@@ -41,14 +41,17 @@
     out?: string;
   },
 ): CommandReport {
-  const fresh = signBundle(bundle, signingKey)._unsafeUnwrap();
-  if (signed === undefined) return outputReport(fresh, out);
-  if (signed.root !== fresh.root) return alteredReport(file);
+  const newlySigned = signBundle(bundle, signingKey)._unsafeUnwrap();
+  if (signed === undefined) return outputReport(newlySigned, out);
+  if (signed.root !== newlySigned.root) return rootMismatchReport(file);
   return outputReport(addSignature(signed, signingKey), out);
 }
 
-/** A signature under altered parts would make someone's change look agreed. */
-function alteredReport(file: string): CommandReport {
+/**
+ * Signing altered parts would approve a change that the earlier signers did not
+ * see.
+ */
+function rootMismatchReport(file: string): CommandReport {
   const message = "The bundle was altered after it was signed";
   return {
     exitCode: EXIT_FINDINGS,
--- a/apps/bundle/src/verifyCommand.ts
+++ b/apps/bundle/src/verifyCommand.ts
@@ -8,22 +8,22 @@
 import { type CommandReport, EXIT_FINDINGS, EXIT_OK } from "@wasabivane/common";
 import { documentErrorsReport } from "./documentErrorsReport.ts";
 
-/** Says whether an entry host with these pinned keys would take the bundle. */
+/** Verifies a signed bundle as an entry host with these trusted keys would. */
 export function verifyCommand(
   file: string,
-  { trust }: { trust: string },
+  { trustedKeysFile }: { trustedKeysFile: string },
 ): CommandReport {
-  const trustedKeys = readTrustedKeys(trust);
+  const trustedKeys = readTrustedKeys(trustedKeysFile);
   if (trustedKeys.isErr()) return documentErrorsReport(trustedKeys.error);
   const signed = readSignedBundle(file);
   if (signed.isErr()) return documentErrorsReport(signed.error);
   return verifySignedBundle(signed.value, trustedKeys.value).match(
-    verifiedReport,
-    (error) => refusedReport(error, file),
+    trustedReport,
+    (error) => untrustedReport(error, file),
   );
 }
 
-function verifiedReport(
+function trustedReport(
   { bundle, root, signatures }: SignedBundle,
 ): CommandReport {
   const { deployment, version } = bundle;
@@ -39,23 +39,23 @@
   };
 }
 
-function refusedReport(error: SignatureError, file: string): CommandReport {
+function untrustedReport(error: SignatureError, file: string): CommandReport {
   return {
     exitCode: EXIT_FINDINGS,
     data: { isTrusted: false, error },
-    lines: [`${file}: ${messageOf(error)}`],
+    lines: [`${file}: ${formatSignatureError(error)}`],
   };
 }
 
-function messageOf(error: SignatureError): string {
+function formatSignatureError(error: SignatureError): string {
   switch (error.kind) {
     case "duplicate-part":
-      return `Two parts stand under ${error.key}`;
+      return `Two parts have the key ${error.key}`;
     case "root-mismatch":
       return "The bundle was altered after it was signed";
     case "unknown-key":
       return `No trusted key signed it; signed by ${error.keyIds.join(", ")}`;
     case "bad-signature":
-      return `The signature of key ${error.keyId} does not fit`;
+      return `The signature of key ${error.keyId} is invalid`;
   }
 }
--- a/apps/bundle/src/writeNewFile.ts
+++ b/apps/bundle/src/writeNewFile.ts
@@ -2,18 +2,21 @@
 import { err, ok, type Result } from "neverthrow";
 import { type CommandReport, EXIT_FINDINGS } from "@wasabivane/common";
 
-/** Only the owner reads a private key. */
+/** File mode that gives access to the owner only. */
 export const PRIVATE_FILE_MODE = 0o600;
 const PUBLIC_FILE_MODE = 0o644;
 
-/** A file that could not be written. */
+/** Error of a file that could not be written. */
 export interface FileWriteError {
   readonly kind: "not-written";
   readonly file: string;
   readonly message: string;
 }
 
-/** Writes a file that must not exist yet: a typo must not cost a key or a bundle. */
+/**
+ * Writes a new file; fails if it exists, so that no key or bundle is
+ * overwritten.
+ */
 export function writeNewFile(
   file: string,
   { text, mode = PUBLIC_FILE_MODE }: { text: string; mode?: number },
@@ -24,13 +27,13 @@
   } catch (error) {
     const { code = "unknown error" } = error as NodeJS.ErrnoException;
     const message = code === "EEXIST"
-      ? "The file exists already"
+      ? "The file already exists"
       : `Cannot write the file (${code})`;
     return err({ kind: "not-written", file, message });
   }
 }
 
-/** A report of a file that could not be written. */
+/** Creates the report of a file that could not be written. */
 export function writeErrorReport(error: FileWriteError): CommandReport {
   return {
     exitCode: EXIT_FINDINGS,
--- a/apps/bundle/tests/bundleTool.test.ts
+++ b/apps/bundle/tests/bundleTool.test.ts
@@ -2,17 +2,17 @@
 import test from "ava";
 import { BundleToolFixture } from "./helpers/bundleToolFixture.ts";
 
-const MEMBER = '"region": "kyushu"';
+const REGION_MEMBER = '"region": "kyushu"';
 
-test("a bundle goes from init over check and sign to verify", async (t) => {
-  const bench = new BundleToolFixture(t);
-  const bundle = bench.path("bundle.jsonc");
-  const signed = bench.path("signed.json");
-  const { key, trust } = await bench.makeKey("ops-1");
+test("a bundle passes init, check, sign and verify", async (t) => {
+  const tool = new BundleToolFixture(t);
+  const bundle = tool.path("bundle.jsonc");
+  const signed = tool.path("signed.json");
+  const { key, trust } = await tool.makeKey("ops-1");
   const runs = [
-    await bench.run("init", "--deployment", "cairo", "--out", bundle),
-    await bench.run("check", bundle),
-    await bench.run(
+    await tool.run("init", "--deployment", "cairo", "--out", bundle),
+    await tool.run("check", bundle),
+    await tool.run(
       "sign",
       bundle,
       "--key",
@@ -22,8 +22,8 @@
       "--out",
       signed,
     ),
-    await bench.run("check", signed),
-    await bench.run("verify", signed, "--trust", trust, "--json"),
+    await tool.run("check", signed),
+    await tool.run("verify", signed, "--trust", trust, "--json"),
   ];
   t.deepEqual(runs.map(({ exitCode }) => exitCode), [0, 0, 0, 0, 0]);
   t.like(JSON.parse(runs[4]!.stdout), {
@@ -35,13 +35,13 @@
   t.is(statSync(key).mode & 0o077, 0);
 });
 
-test("during a change of keys a second signature is added", async (t) => {
-  const bench = new BundleToolFixture(t);
-  const former = await bench.makeKey("former");
-  const next = await bench.makeKey("next");
-  const bundle = bench.writeBundle("bundle.jsonc");
-  const [once, twice] = [bench.path("once.json"), bench.path("twice.json")];
-  await bench.run(
+test("a second signature is added during a key rotation", async (t) => {
+  const tool = new BundleToolFixture(t);
+  const former = await tool.makeKey("former");
+  const next = await tool.makeKey("next");
+  const bundle = tool.writeBundle("bundle.jsonc");
+  const [once, twice] = [tool.path("once.json"), tool.path("twice.json")];
+  await tool.run(
     "sign",
     bundle,
     "--key",
@@ -51,7 +51,7 @@
     "--out",
     once,
   );
-  await bench.run(
+  await tool.run(
     "sign",
     once,
     "--key",
@@ -61,17 +61,17 @@
     "--out",
     twice,
   );
-  t.is((await bench.run("verify", once, "--trust", next.trust)).exitCode, 1);
-  t.is((await bench.run("verify", twice, "--trust", next.trust)).exitCode, 0);
-  t.is((await bench.run("verify", twice, "--trust", former.trust)).exitCode, 0);
+  t.is((await tool.run("verify", once, "--trust", next.trust)).exitCode, 1);
+  t.is((await tool.run("verify", twice, "--trust", next.trust)).exitCode, 0);
+  t.is((await tool.run("verify", twice, "--trust", former.trust)).exitCode, 0);
 });
 
 test("an altered bundle is neither verified nor signed again", async (t) => {
-  const bench = new BundleToolFixture(t);
-  const { key, trust } = await bench.makeKey("ops-1");
-  const bundle = bench.writeBundle("bundle.jsonc");
-  const signed = bench.path("signed.json");
-  await bench.run(
+  const tool = new BundleToolFixture(t);
+  const { key, trust } = await tool.makeKey("ops-1");
+  const bundle = tool.writeBundle("bundle.jsonc");
+  const signed = tool.path("signed.json");
+  await tool.run(
     "sign",
     bundle,
     "--key",
@@ -81,17 +81,17 @@
     "--out",
     signed,
   );
-  const altered = bench.write(
+  const altered = tool.write(
     "altered.json",
-    bench.read("signed.json").replace(
+    tool.read("signed.json").replace(
       '"requestsPerSecond": 8',
       '"requestsPerSecond": 800',
     ),
   );
-  const verified = await bench.run("verify", altered, "--trust", trust);
+  const verified = await tool.run("verify", altered, "--trust", trust);
   t.is(verified.exitCode, 1);
   t.regex(verified.stdout, /altered after it was signed/);
-  const again = await bench.run(
+  const again = await tool.run(
     "sign",
     altered,
     "--key",
@@ -102,19 +102,19 @@
   t.is(again.exitCode, 1);
 });
 
-test("check names the place of a typo, and sign refuses it", async (t) => {
-  const bench = new BundleToolFixture(t);
-  const { key } = await bench.makeKey("ops-1");
-  const bundle = bench.writeBundle("bundle.jsonc", {
-    edit: (text) => text.replace(MEMBER, '"regoin": "kyushu"'),
+test("check reports the position of a typo, and sign refuses the bundle", async (t) => {
+  const tool = new BundleToolFixture(t);
+  const { key } = await tool.makeKey("ops-1");
+  const bundle = tool.writeBundle("bundle.jsonc", {
+    edit: (text) => text.replace(REGION_MEMBER, '"regoin": "kyushu"'),
   });
-  const { exitCode, stdout } = await bench.run("check", bundle);
+  const { exitCode, stdout } = await tool.run("check", bundle);
   t.is(exitCode, 1);
   t.regex(
     stdout,
     /bundle\.jsonc:9:34: failureDomains\[0\]\.regoin: Unknown key .*did you mean "region"\?/,
   );
-  const signing = await bench.run(
+  const signing = await tool.run(
     "sign",
     bundle,
     "--key",
@@ -127,16 +127,16 @@
 });
 
 test("diff lists changed values and exits as diff does", async (t) => {
-  const bench = new BundleToolFixture(t);
-  const former = bench.writeBundle("former.jsonc");
-  const later = bench.writeBundle("later.jsonc", {
+  const tool = new BundleToolFixture(t);
+  const former = tool.writeBundle("former.jsonc");
+  const later = tool.writeBundle("later.jsonc", {
     edit: (text) =>
       text.replace('"version": 1', '"version": 2')
         .replace("127.0.0.1:7105", "127.0.0.1:7999"),
   });
-  const same = await bench.run("diff", former, former);
+  const same = await tool.run("diff", former, former);
   t.deepEqual([same.exitCode, same.stdout], [0, ""]);
-  const { exitCode, stdout } = await bench.run("diff", former, later);
+  const { exitCode, stdout } = await tool.run("diff", former, later);
   t.is(exitCode, 1);
   t.is(
     stdout,
@@ -145,12 +145,12 @@
   );
 });
 
-test("explain tells tier, limits and upstreams, or why a request is refused", async (t) => {
-  const bench = new BundleToolFixture(t);
-  const bundle = bench.writeBundle("bundle.jsonc");
-  const ask = ["explain", bundle, "--json", "--account", "oita-law-office"];
-  const granted = await bench.run(...ask, "--path", "/casefile/12");
-  const { upstreams, ...rest } = JSON.parse(granted.stdout);
+test("explain reports tier, limits and upstreams, or why a request is refused", async (t) => {
+  const tool = new BundleToolFixture(t);
+  const bundle = tool.writeBundle("bundle.jsonc");
+  const args = ["explain", bundle, "--json", "--account", "oita-law-office"];
+  const allowed = await tool.run(...args, "--path", "/casefile/12");
+  const { upstreams, ...rest } = JSON.parse(allowed.stdout);
   t.like(rest, {
     service: "casefile",
     isDefaultTier: true,
@@ -158,17 +158,17 @@
   });
   t.is(upstreams.length, 3);
   t.is(rest.tier.tier, 3);
-  const refused = await bench.run(...ask, "--model", "drafter", "--tier", "1");
+  const refused = await tool.run(...args, "--model", "drafter", "--tier", "1");
   t.is(refused.exitCode, 1);
   t.is(JSON.parse(refused.stdout).refusal.kind, "tier-not-allowed");
-  const unknown = await bench.run(...ask, "--model", "darfter");
+  const unknown = await tool.run(...args, "--model", "darfter");
   t.regex(JSON.parse(unknown.stdout).refusal.allowed, /did you mean "drafter"/);
 });
 
-test("a wrong command line is told without a stack trace", async (t) => {
-  const bench = new BundleToolFixture(t);
-  const bundle = bench.writeBundle("bundle.jsonc");
-  const lines = [
+test("a wrong command line is reported without a stack trace", async (t) => {
+  const tool = new BundleToolFixture(t);
+  const bundle = tool.writeBundle("bundle.jsonc");
+  const commandLines = [
     [],
     ["chek", bundle],
     ["check"],
@@ -179,31 +179,31 @@
     ["explain", bundle, "--account", "a", "--model", "m", "--tier", "one"],
     ["verify", bundle],
   ];
-  for (const line of lines) {
-    const { exitCode, stdout, stderr } = await bench.run(...line);
-    t.deepEqual([exitCode, stdout], [2, ""], line.join(" "));
+  for (const args of commandLines) {
+    const { exitCode, stdout, stderr } = await tool.run(...args);
+    t.deepEqual([exitCode, stdout], [2, ""], args.join(" "));
     t.notRegex(stderr, /\n\s+at /);
   }
 });
 
-test("files that are absent, no key or there already are told", async (t) => {
-  const bench = new BundleToolFixture(t);
-  const { key, trust } = await bench.makeKey("ops-1");
-  const bundle = bench.writeBundle("bundle.jsonc");
+test("missing files, invalid keys and existing output files are reported", async (t) => {
+  const tool = new BundleToolFixture(t);
+  const { key, trust } = await tool.makeKey("ops-1");
+  const bundle = tool.writeBundle("bundle.jsonc");
   const runs = [
-    await bench.run("check", bench.path("absent.jsonc")),
-    await bench.run("sign", bundle, "--key", trust, "--key-id", "a"),
-    await bench.run(
+    await tool.run("check", tool.path("absent.jsonc")),
+    await tool.run("sign", bundle, "--key", trust, "--key-id", "a"),
+    await tool.run(
       "sign",
       bundle,
       "--key",
-      bench.path("absent"),
+      tool.path("absent"),
       "--key-id",
       "a",
     ),
-    await bench.run("verify", bundle, "--trust", bundle),
-    await bench.run("keygen", "--out", key),
-    await bench.run("init", "--deployment", "cairo", "--out", bundle),
+    await tool.run("verify", bundle, "--trust", bundle),
+    await tool.run("keygen", "--out", key),
+    await tool.run("init", "--deployment", "cairo", "--out", bundle),
   ];
   t.deepEqual(runs.map(({ exitCode }) => exitCode), [1, 1, 1, 1, 1, 1]);
   t.true(runs.every(({ stdout }) => stdout.includes("allowed: ")));
--- a/apps/bundle/tests/examples.test.ts
+++ b/apps/bundle/tests/examples.test.ts
@@ -21,7 +21,7 @@
 }
 
 for (const deployment of EXAMPLE_DEPLOYMENTS) {
-  test(`the bundle file of ${deployment} is the example in code`, (t) => {
+  test(`the bundle file of ${deployment} equals the example in the code`, (t) => {
     const file = exampleFile(deployment, "bundle.jsonc");
     const read = readDocument(file, bundleSchema, { check: checkBundle });
     t.deepEqual(read._unsafeUnwrap(), exampleBundle(deployment));
--- a/apps/bundle/tests/helpers/bundleToolFixture.ts
+++ b/apps/bundle/tests/helpers/bundleToolFixture.ts
@@ -5,14 +5,14 @@
 import { createBundleTemplate, runBundleTool } from "@wasabivane/bundle-tool";
 import type { ExampleDeployment } from "@wasabivane/bundle";
 
-/** What one run of the tool left behind. */
+/** Exit code and output of one run of the tool. */
 export interface ToolResult {
   readonly exitCode: number;
   readonly stdout: string;
   readonly stderr: string;
 }
 
-/** A folder of its own with the tool at hand. */
+/** Runs the tool on files in a temporary folder. */
 export class BundleToolFixture {
   readonly #folder = mkdtempSync(join(tmpdir(), "wasabivane-"));
 
@@ -33,7 +33,7 @@
     return this.path(name);
   }
 
-  /** Writes an example's bundle, edited as an operator would. */
+  /** Writes an example bundle after applying `edit` to its text. */
   writeBundle(
     name: string,
     { deployment = "fukuoka", edit = (text) => text }: {
@@ -44,7 +44,7 @@
     return this.write(name, edit(createBundleTemplate(deployment)));
   }
 
-  /** Runs the tool with arguments as a shell would pass them. */
+  /** Runs the tool with command-line arguments. */
   async run(...args: string[]): Promise<ToolResult> {
     let stdout = "";
     let stderr = "";
@@ -59,7 +59,7 @@
     return { exitCode, stdout, stderr };
   }
 
-  /** Makes a key pair and a trust file that pins it. */
+  /** Creates a key pair and a file of trusted keys that contains it. */
   async makeKey(keyId: string): Promise<{ key: string; trust: string }> {
     const key = this.path(`${keyId}.pem`);
     const { stdout } = await this.run(
@@ -70,7 +70,7 @@
       "--out",
       key,
     );
-    const pinned = JSON.stringify([JSON.parse(stdout).trustedKey]);
-    return { key, trust: this.write(`${keyId}.trust.json`, pinned) };
+    const trustedKeys = JSON.stringify([JSON.parse(stdout).trustedKey]);
+    return { key, trust: this.write(`${keyId}.trust.json`, trustedKeys) };
   }
 }
--- a/apps/bundle/tests/settingsReference.test.ts
+++ b/apps/bundle/tests/settingsReference.test.ts
@@ -4,12 +4,12 @@
   writtenReference,
 } from "../../../scripts/settingsReference.ts";
 
-/** Without the formatter's padding of table cells. */
+/** Removes the padding that the formatter adds to table cells. */
 function withoutPadding(text: string): string {
   return text.replace(/ +/g, " ").replace(/-{3,}/g, "---");
 }
 
-test("the settings reference of the operators' guide is made from the schemas", (t) => {
+test("the settings reference in the operators' guide matches the schemas", (t) => {
   t.is(
     withoutPadding(writtenReference()),
     withoutPadding(settingsReference()),
@@ -17,7 +17,7 @@
   );
 });
 
-test("every setting in the reference has a meaning", (t) => {
+test("every setting in the reference has a description", (t) => {
   const rows = settingsReference().split("\n").filter((line) =>
     line.startsWith("| `")
   );
--- a/apps/ctl/src/countersCommand.ts
+++ b/apps/ctl/src/countersCommand.ts
@@ -8,12 +8,12 @@
 } from "./fleetStatus.ts";
 import { formatTable } from "./formatTable.ts";
 
-/** Tells every counter that moved, summed over all entry hosts. */
+/** Reports every non-zero counter, summed over all entry hosts. */
 export async function countersCommand(
   clients: readonly EntryClient[],
 ): Promise<CommandReport> {
   const fleet = await fetchFleetStatus(clients);
-  const counters = summedCounters(fleet);
+  const counters = sumCounters(fleet);
   return {
     exitCode: fleet.unresponsive.length === 0 ? EXIT_OK : EXIT_FINDINGS,
     data: {
@@ -27,11 +27,11 @@
   };
 }
 
-function summedCounters(
-  { responding: answering }: FleetStatus,
+function sumCounters(
+  { responding }: FleetStatus,
 ): [string, number][] {
   const sums = new Map<string, number>();
-  for (const { status } of answering) {
+  for (const { status } of responding) {
     for (const [name, value] of Object.entries(status.counters)) {
       sums.set(name, (sums.get(name) ?? 0) + value);
     }
--- a/apps/ctl/src/drainCommand.ts
+++ b/apps/ctl/src/drainCommand.ts
@@ -10,11 +10,11 @@
 /** Options of {@link drainCommand}. */
 export interface DrainOptions {
   readonly host: string;
-  /** The bundle's default stop plan when left out. */
+  /** Defaults to the bundle's default stop plan. */
   readonly stopPlan?: string;
 }
 
-/** Orders one entry host to stop as planned. */
+/** Starts a planned stop of one entry host. */
 export async function drainCommand(
   clients: readonly EntryClient[],
   { host, stopPlan }: DrainOptions,
@@ -22,15 +22,15 @@
   const fleet = await fetchFleetStatus(clients);
   const found = fleet.responding.find(({ status }) => status.host === host);
   if (found === undefined) return unknownHostReport(fleet, host);
-  const answer = await found.client.drain(stopPlan);
-  return answer.match(
+  const result = await found.client.drain(stopPlan);
+  return result.match(
     (state) => ({
       exitCode: state === "started" ? EXIT_OK : EXIT_FINDINGS,
       data: { host, state },
       lines: [
         state === "started"
           ? `${host} has started to drain`
-          : `${host} is draining already`,
+          : `${host} is already draining`,
       ],
     }),
     (error) => ({
@@ -43,7 +43,7 @@
 
 function unknownHostReport(fleet: FleetStatus, host: string): CommandReport {
   const hosts = fleet.responding.map(({ status }) => status.host);
-  const message = `No answering entry host is called ${JSON.stringify(host)}`;
+  const message = `No responding entry host is named ${JSON.stringify(host)}`;
   const allowed = listAllowed(hosts, { found: host });
   return {
     exitCode: EXIT_FINDINGS,
--- a/apps/ctl/src/entryClient.ts
+++ b/apps/ctl/src/entryClient.ts
@@ -9,21 +9,20 @@
 import { err, ok, type Result } from "neverthrow";
 import { type Dispatcher, request as undiciRequest } from "undici";
 
-/** A status of 12,000 upstreams is a little over a megabyte. */
-const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
-/** Why an entry host gave no answer that can be used. */
+/** Why an entry host gave no usable response. */
 export type EntryError =
   | { readonly kind: "no-answer"; readonly detail: string }
   | { readonly kind: "malformed"; readonly detail: string };
 
-/** The part of an HTTP answer that is read. */
+/** The part of an HTTP response that the client reads. */
 export interface EntryResponse {
   readonly statusCode: number;
   readonly body: AsyncIterable<Uint8Array>;
 }
 
-/** Sends one request; as undici's `request`, which is the default. */
+/** Sends one HTTP request; compatible with undici's `request`. */
 export type EntryFetch = (
   url: URL,
   options: {
@@ -37,42 +36,44 @@
 
 /** Options of an {@link EntryClient}. */
 export interface EntryClientOptions {
-  /** Base url of the operator port. */
+  /** Base URL of the operator port. */
   readonly url: string;
   readonly timeoutMs: Milliseconds;
+  /** Defaults to undici's `request`. */
   readonly fetch?: EntryFetch;
   readonly timer?: Timer;
   readonly dispatcher?: Dispatcher;
 }
 
-/** How an entry host took the order to drain. */
+/** State of an entry host's planned stop after a drain request. */
 export type DrainState = "started" | "under-way";
 
-interface JsonAnswer {
+interface JsonResponse {
   readonly statusCode: number;
   readonly value: unknown;
 }
 
-/** Asks one entry host at its operator port. */
+/** Client of one entry host's operator API. */
 export class EntryClient {
   readonly url: string;
   readonly #timeoutMs: Milliseconds;
-  readonly #request: EntryFetch;
+  readonly #fetch: EntryFetch;
   readonly #timer: Timer;
   readonly #dispatcher: Dispatcher | undefined;
 
   constructor(options: EntryClientOptions) {
-    const { url, timeoutMs, fetch: request = undiciRequest } = options;
+    const { url, timeoutMs, fetch = undiciRequest } = options;
     this.url = url;
     this.#timeoutMs = timeoutMs;
-    this.#request = request;
+    this.#fetch = fetch;
     this.#timer = options.timer ?? new SystemTimer();
     this.#dispatcher = options.dispatcher;
   }
 
+  /** Fetches and checks the host's status. */
   async fetchStatus(): Promise<Result<EntryStatus, EntryError>> {
-    const answer = await this.#ask("GET", "status");
-    return answer.andThen(({ value }): Result<EntryStatus, EntryError> => {
+    const response = await this.#send("GET", "status");
+    return response.andThen(({ value }): Result<EntryStatus, EntryError> => {
       const parsed = entryStatusSchema.safeParse(value);
       if (parsed.success) return ok(parsed.data);
       const { issues } = parsed.error;
@@ -82,36 +83,38 @@
     });
   }
 
-  /** Whether the process answers as alive. */
+  /** Whether the liveness check succeeds. */
   async isHealthy(): Promise<Result<boolean, EntryError>> {
-    const answer = await this.#ask("GET", "health");
-    return answer.map(({ statusCode }) => statusCode === 200);
+    const response = await this.#send("GET", "health");
+    return response.map(({ statusCode }) => statusCode === 200);
   }
 
-  /** Whether it takes new connections. */
+  /** Whether the host accepts new connections. */
   async isReady(): Promise<Result<boolean, EntryError>> {
-    const answer = await this.#ask("GET", "ready");
-    return answer.map(({ statusCode }) => statusCode === 200);
+    const response = await this.#send("GET", "ready");
+    return response.map(({ statusCode }) => statusCode === 200);
   }
 
-  /** Orders a planned stop, under the bundle's default stop plan or a named one. */
+  /** Starts a planned stop, by default under the bundle's default stop plan. */
   async drain(
     stopPlan?: string,
   ): Promise<Result<DrainState, EntryError>> {
-    const answer = await this.#ask("POST", "drain", { stopPlan });
-    return answer.andThen(({ statusCode }): Result<DrainState, EntryError> => {
-      if (statusCode === 202) return ok("started");
-      if (statusCode === 409) return ok("under-way");
-      const detail = `The entry host answers ${statusCode}`;
-      return err({ kind: "malformed", detail });
-    });
+    const response = await this.#send("POST", "drain", { stopPlan });
+    return response.andThen(
+      ({ statusCode }): Result<DrainState, EntryError> => {
+        if (statusCode === 202) return ok("started");
+        if (statusCode === 409) return ok("under-way");
+        const detail = `The entry host responded with status ${statusCode}`;
+        return err({ kind: "malformed", detail });
+      },
+    );
   }
 
-  async #ask(
+  async #send(
     method: "GET" | "POST",
     path: string,
     body?: object,
-  ): Promise<Result<JsonAnswer, EntryError>> {
+  ): Promise<Result<JsonResponse, EntryError>> {
     const abort = new AbortController();
     const timeout = this.#timer.after(
       this.#timeoutMs,
@@ -119,13 +122,13 @@
         abort.abort(new Error(`No whole answer within ${this.#timeoutMs} ms`)),
     );
     try {
-      const answer = await this.#request(this.#urlOf(path), {
+      const response = await this.#fetch(this.#urlOf(path), {
         method,
         signal: abort.signal,
         ...(body === undefined ? {} : jsonBody(body)),
         ...(this.#dispatcher && { dispatcher: this.#dispatcher }),
       });
-      return await readJson(answer);
+      return await readJson(response);
     } catch (error) {
       const { code, message } = error as NodeJS.ErrnoException;
       return err({ kind: "no-answer", detail: code ?? message });
@@ -149,10 +152,10 @@
 
 async function readJson(
   { statusCode, body }: EntryResponse,
-): Promise<Result<JsonAnswer, EntryError>> {
-  const bytes = await readBoundedBody(body, MAX_ANSWER_BYTES);
+): Promise<Result<JsonResponse, EntryError>> {
+  const bytes = await readBoundedBody(body, MAX_RESPONSE_BYTES);
   if (bytes === undefined) {
-    const detail = `The answer is larger than ${MAX_ANSWER_BYTES} bytes`;
+    const detail = `The response is larger than ${MAX_RESPONSE_BYTES} bytes`;
     return err({ kind: "malformed", detail });
   }
   try {
--- a/apps/ctl/src/explainCommand.ts
+++ b/apps/ctl/src/explainCommand.ts
@@ -7,13 +7,16 @@
 import { type LogLine, readLogFiles } from "./logLines.ts";
 import { explainRequest } from "./requestExplanation.ts";
 
-/** Puts the lines of all hosts about one request in order and says the cause. */
+/**
+ * Reports all hosts' log lines about one request in order of time, and why it
+ * ended.
+ */
 export function explainCommand(
   id: string,
   files: readonly string[],
 ): CommandReport {
   if (files.length === 0) {
-    throw new UsageError("explain needs at least one log file");
+    throw new UsageError("The command explain needs at least one log file");
   }
   const explanation = explainRequest(readLogFiles(files), id);
   if (explanation === undefined) {
@@ -26,11 +29,11 @@
   return {
     exitCode: EXIT_OK,
     data: { id, ...explanation },
-    lines: [...explanation.lines.map(textOf), explanation.cause],
+    lines: [...explanation.lines.map(formatLogLine), explanation.cause],
   };
 }
 
-function textOf({ time, host, event, values }: LogLine): string {
+function formatLogLine({ time, host, event, values }: LogLine): string {
   const pairs = Object.entries(values).map(([name, value]) =>
     `${name}=${value}`
   );
--- a/apps/ctl/src/fleetStatus.ts
+++ b/apps/ctl/src/fleetStatus.ts
@@ -2,67 +2,69 @@
 import type { Result } from "neverthrow";
 import type { EntryClient, EntryError } from "./entryClient.ts";
 
-/** What one entry host answered. */
+/** Result of querying one entry host. */
 export interface HostResult<Value> {
   readonly client: EntryClient;
   readonly result: Result<Value, EntryError>;
 }
 
-/** An entry host that answered its status. */
+/** An entry host that returned its status. */
 export interface RespondingHost {
   readonly client: EntryClient;
   readonly status: EntryStatus;
 }
 
-/** An entry host that did not. */
+/** An entry host that gave no usable response. */
 export interface UnresponsiveHost {
   readonly client: EntryClient;
   readonly error: EntryError;
 }
 
-/** The statuses of all entry hosts that were asked. */
+/** Statuses of all queried entry hosts. */
 export interface FleetStatus {
   readonly responding: readonly RespondingHost[];
   readonly unresponsive: readonly UnresponsiveHost[];
 }
 
-/** Asks all entry hosts at once; answers come in the order of the clients. */
+/**
+ * Queries all entry hosts concurrently; results follow the order of `clients`.
+ */
 export function queryAll<Value>(
   clients: readonly EntryClient[],
-  ask: (client: EntryClient) => Promise<Result<Value, EntryError>>,
+  query: (client: EntryClient) => Promise<Result<Value, EntryError>>,
 ): Promise<HostResult<Value>[]> {
   return Promise.all(clients.map(async (client) => ({
     client,
-    result: await ask(client),
+    result: await query(client),
   })));
 }
 
-/** Asks all entry hosts for their status. */
+/** Fetches the status of all entry hosts. */
 export async function fetchFleetStatus(
   clients: readonly EntryClient[],
 ): Promise<FleetStatus> {
-  const answers = await queryAll(clients, (client) => client.fetchStatus());
-  const answering: RespondingHost[] = [];
-  const silent: UnresponsiveHost[] = [];
-  for (const { client, result } of answers) {
-    if (result.isOk()) answering.push({ client, status: result.value });
-    else silent.push({ client, error: result.error });
+  const results = await queryAll(clients, (client) => client.fetchStatus());
+  const responding: RespondingHost[] = [];
+  const unresponsive: UnresponsiveHost[] = [];
+  for (const { client, result } of results) {
+    if (result.isOk()) responding.push({ client, status: result.value });
+    else unresponsive.push({ client, error: result.error });
   }
-  return { responding: answering, unresponsive: silent };
+  return { responding, unresponsive };
 }
 
-/** One line for each entry host that gave no answer. */
+/** Formats one line for each unresponsive entry host. */
 export function formatUnresponsiveHosts(
-  { unresponsive: silent }: FleetStatus,
+  { unresponsive }: FleetStatus,
 ): string[] {
-  return silent.map(({ client, error }) =>
+  return unresponsive.map(({ client, error }) =>
     `${client.url}: ${error.kind} (${error.detail})`
   );
 }
 
-/** Silent hosts as programs read them. */
+/** Lists unresponsive hosts for the JSON report. */
 export function unresponsiveHostData(
-  { unresponsive: silent }: FleetStatus,
+  { unresponsive }: FleetStatus,
 ): { url: string; error: EntryError }[] {
-  return silent.map(({ client, error }) => ({ url: client.url, error }));
+  return unresponsive.map(({ client, error }) => ({ url: client.url, error }));
 }
--- a/apps/ctl/src/formatTable.ts
+++ b/apps/ctl/src/formatTable.ts
@@ -1,4 +1,4 @@
-const GAP = "  ";
+const COLUMN_SEPARATOR = "  ";
 // deno-lint-ignore no-control-regex
 const CONTROL_CHARACTERS = /[\u0000-\u001f\u007f-\u009f]/g;
 
@@ -6,15 +6,14 @@
 export type Row = readonly (string | number)[];
 
 /**
- * Lines of a table with aligned columns; numbers stand to the right. Control
- * characters are replaced: a name that a host answers must not steer the
- * operator's terminal.
+ * Formats a table with aligned columns, numbers to the right. Replaces control
+ * characters, so that a name from a host cannot send terminal escape sequences.
  */
 export function formatTable(
   header: readonly string[],
   rows: readonly Row[],
 ): string[] {
-  const texts = [header, ...rows].map((row) => row.map(cellText));
+  const texts = [header, ...rows].map((row) => row.map(formatCell));
   const widths = header.map((_, column) =>
     Math.max(...texts.map((row) => row[column]!.length))
   );
@@ -25,10 +24,10 @@
       return isNumber
         ? cell.padStart(widths[column]!)
         : cell.padEnd(widths[column]!);
-    }).join(GAP).trimEnd()
+    }).join(COLUMN_SEPARATOR).trimEnd()
   );
 }
 
-function cellText(cell: string | number): string {
+function formatCell(cell: string | number): string {
   return String(cell).replace(CONTROL_CHARACTERS, "?");
 }
--- a/apps/ctl/src/healthCommand.ts
+++ b/apps/ctl/src/healthCommand.ts
@@ -4,7 +4,7 @@
 import { queryAll } from "./fleetStatus.ts";
 import { formatTable } from "./formatTable.ts";
 
-/** Tells which entry hosts are alive and which take new connections. */
+/** Reports which entry hosts are alive and which accept new connections. */
 export async function healthCommand(
   clients: readonly EntryClient[],
 ): Promise<CommandReport> {
@@ -14,14 +14,14 @@
   ]);
   const hosts = clients.map(({ url }, index) => ({
     url,
-    health: textOf(healthy[index]!.result),
-    ready: textOf(ready[index]!.result),
+    health: formatCheck(healthy[index]!.result),
+    ready: formatCheck(ready[index]!.result),
   }));
-  const isFine = hosts.every((host) =>
+  const isHealthy = hosts.every((host) =>
     host.health === "yes" && host.ready === "yes"
   );
   return {
-    exitCode: isFine ? EXIT_OK : EXIT_FINDINGS,
+    exitCode: isHealthy ? EXIT_OK : EXIT_FINDINGS,
     data: { hosts },
     lines: formatTable(
       ["ENTRY", "ALIVE", "READY"],
@@ -30,9 +30,9 @@
   };
 }
 
-function textOf(result: Result<boolean, EntryError>): string {
+function formatCheck(result: Result<boolean, EntryError>): string {
   return result.match(
-    (isSo) => (isSo ? "yes" : "no"),
+    (value) => (value ? "yes" : "no"),
     ({ kind, detail }) => `${kind} (${detail})`,
   );
 }
--- a/apps/ctl/src/logLines.ts
+++ b/apps/ctl/src/logLines.ts
@@ -1,15 +1,20 @@
 import { readFileSync } from "node:fs";
 import type { LogEvent } from "@wasabivane/gateway";
 
-/** One structured line of an entry host. */
+/** One structured log line of an entry host. */
 export interface LogLine {
+  /** Milliseconds since the epoch. */
   readonly time: number;
   readonly host: string;
   readonly event: LogEvent;
+  /** The remaining keys of the line. */
   readonly values: Readonly<Record<string, unknown>>;
 }
 
-/** Reads files of lines in the order of time; what is no structured line is left out. */
+/**
+ * Reads the structured lines of log files, in order of time; skips all other
+ * lines.
+ */
 export function readLogFiles(files: readonly string[]): LogLine[] {
   const lines = files.flatMap((file) =>
     parseLogLines(readFileSync(file, "utf8"))
@@ -17,7 +22,10 @@
   return lines.sort((left, right) => left.time - right.time);
 }
 
-/** Parses lines; a prefix that a collector wrote before the document is skipped. */
+/**
+ * Parses log lines; skips a prefix that a log collector put before the JSON
+ * object.
+ */
 export function parseLogLines(text: string): LogLine[] {
   return text.split("\n").flatMap((line) => parseLine(line) ?? []);
 }
--- a/apps/ctl/src/operatorSettings.ts
+++ b/apps/ctl/src/operatorSettings.ts
@@ -14,21 +14,26 @@
 } from "@wasabivane/common";
 import { Agent, type Dispatcher } from "undici";
 
-/** The settings that a command line names: a file, or urls of entry hosts. */
+/**
+ * Reads the settings from the file or the entry URLs that the command line
+ * names.
+ */
 export function readOperatorSettings(options: ParsedOptions): OperatorSettings {
   const file = getTextOption(options, "settings");
   const entries = getTextOption(options, "entries");
   if ((file === undefined) === (entries === undefined)) {
-    throw new UsageError("Give one of --entries and --settings");
+    throw new UsageError("Give either --entries or --settings");
   }
   const settings = file === undefined
-    ? settingsOfUrls(entries!)
-    : settingsOfFile(file);
+    ? readEntryUrls(entries!)
+    : readSettingsFile(file);
   const timeoutMs = getIntegerOption(options, "timeout");
   return timeoutMs === undefined ? settings : { ...settings, timeoutMs };
 }
 
-/** Trusts the settings' authority for TLS; undici's own trust without one. */
+/**
+ * Creates a dispatcher that trusts the settings' certificate authority, if any.
+ */
 export function createDispatcher(
   { authorityFile }: OperatorSettings,
 ): Dispatcher | undefined {
@@ -43,7 +48,7 @@
   }
 }
 
-function settingsOfFile(file: string): OperatorSettings {
+function readSettingsFile(file: string): OperatorSettings {
   return readDocument(file, operatorSettingsSchema).match(
     (settings) => settings,
     (errors) => {
@@ -52,7 +57,7 @@
   );
 }
 
-function settingsOfUrls(entries: string): OperatorSettings {
+function readEntryUrls(entries: string): OperatorSettings {
   const urls = entries.split(",").map((url) => url.trim());
   const text = JSON.stringify({ entries: urls });
   return parseDocument(text, operatorSettingsSchema, { file: "--entries" })
--- a/apps/ctl/src/program.ts
+++ b/apps/ctl/src/program.ts
@@ -23,12 +23,12 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** How to run the tool. */
+/** Options of {@link runOperatorTool}. */
 export interface OperatorToolOptions {
   readonly argv: readonly string[];
   readonly output: CommandOutput;
   readonly version: string;
-  /** Ends `--watch`. */
+  /** Stops `--watch`. */
   readonly signal?: AbortSignal;
   readonly isTerminal?: boolean;
   readonly timer?: Timer;
@@ -39,121 +39,138 @@
   clients: readonly EntryClient[],
 ) => Promise<CommandReport>;
 
-interface FleetCommandEntry {
+interface FleetCommandDefinition {
   readonly name: string;
   readonly description: string;
   readonly command: FleetCommand;
 }
 
-const FLEET_COMMANDS: readonly FleetCommandEntry[] = [
+const FLEET_COMMANDS: readonly FleetCommandDefinition[] = [
   {
     name: "versions",
-    description: "Tell the version in force on each host",
+    description: "Show the bundle version in force on each host",
     command: versionsCommand,
   },
   {
     name: "status",
-    description: "Tell how each host stands",
+    description: "Show the state of each host",
     command: statusCommand,
   },
   {
     name: "waiting",
-    description: "Tell what waits by service, tier and client account",
+    description: "Count waiting requests by service, tier and client account",
     command: waitingCommand,
   },
   {
     name: "upstreams",
-    description: "Tell the load of each upstream",
+    description: "Show the load of each upstream",
     command: upstreamsCommand,
   },
   {
     name: "counters",
-    description: "Tell every counter that moved, over all hosts",
+    description: "Show every non-zero counter, summed over all hosts",
     command: countersCommand,
   },
   {
     name: "health",
-    description: "Tell which hosts are alive and ready",
+    description: "Show which hosts are alive and ready",
     command: healthCommand,
   },
 ];
 
 /**
- * Runs `wasabivane-ctl`; gives its exit code: 0 in order, 1 when a host does
- * not answer or something differs, 2 usage.
+ * Runs `wasabivane-ctl` and returns its exit code: 0 on success, 1 when a host
+ * is unresponsive or the report needs attention, 2 on a usage error.
  */
-export function runOperatorTool(run: OperatorToolOptions): Promise<number> {
+export function runOperatorTool(
+  toolOptions: OperatorToolOptions,
+): Promise<number> {
   const cli = cac("wasabivane-ctl");
   cli.option("--entries <urls>", "Operator ports, separated by commas");
   cli.option("--settings <file>", "File that lists the operator ports");
-  cli.option("--timeout <ms>", "How long one host may take (default: 2000)");
-  cli.option("--watch <seconds>", "Ask again and again until interrupted");
-  cli.option("--json", "Print JSON documents for programs, one a line");
-  for (const entry of FLEET_COMMANDS) registerFleetCommand(cli, { entry, run });
-  registerDrain(cli, run);
+  cli.option("--timeout <ms>", "Timeout per host (default: 2000)");
+  cli.option("--watch <seconds>", "Repeat the command until interrupted");
+  cli.option("--json", "Print one JSON document per line");
+  for (const entry of FLEET_COMMANDS) {
+    registerFleetCommand(cli, { entry, toolOptions });
+  }
+  registerDrainCommand(cli, toolOptions);
   cli.command(
     "explain <id> [...files]",
-    "Say from log files why a request ended as it did",
+    "Explain from log files why a request ended as it did",
   ).action((id: unknown, files: string[]) => explainCommand(String(id), files));
   cli.help();
-  cli.version(run.version);
-  return runCommandLine(cli, run);
+  cli.version(toolOptions.version);
+  return runCommandLine(cli, toolOptions);
 }
 
 function registerFleetCommand(
   cli: CAC,
-  { entry, run }: { entry: FleetCommandEntry; run: OperatorToolOptions },
+  { entry, toolOptions }: {
+    entry: FleetCommandDefinition;
+    toolOptions: OperatorToolOptions;
+  },
 ): void {
   const { name, description, command } = entry;
   cli.command(name, description).action((options: ParsedOptions) => {
-    const clients = clientsOf(options, run);
-    return repeated(() => command(clients), { options, run });
+    const clients = createClients(options, toolOptions);
+    return runRepeatedly(() => command(clients), { options, toolOptions });
   });
 }
 
-function registerDrain(cli: CAC, run: OperatorToolOptions): void {
-  cli.command("drain <host>", "Order one host to stop as planned")
+function registerDrainCommand(
+  cli: CAC,
+  toolOptions: OperatorToolOptions,
+): void {
+  cli.command("drain <host>", "Start a planned stop of one host")
     .option("--stop-plan <name>", "Stop plan (default: the bundle's)")
     .action((host: unknown, options: ParsedOptions) => {
       if (options.watch !== undefined) {
-        throw new UsageError("drain cannot be watched; watch status instead");
+        throw new UsageError(
+          "The command drain cannot be watched; watch status instead",
+        );
       }
-      return drainCommand(clientsOf(options, run), {
+      return drainCommand(createClients(options, toolOptions), {
         host: String(host),
         stopPlan: getTextOption(options, "stopPlan"),
       });
     });
 }
 
-function repeated(
-  ask: () => Promise<CommandReport>,
-  { options, run }: { options: ParsedOptions; run: OperatorToolOptions },
+function runRepeatedly(
+  command: () => Promise<CommandReport>,
+  { options, toolOptions }: {
+    options: ParsedOptions;
+    toolOptions: OperatorToolOptions;
+  },
 ): Promise<CommandReport> {
-  const periodMs = watchPeriod(options);
-  if (periodMs === undefined) return ask();
-  return watchReports(ask, {
+  const periodMs = parseWatchPeriod(options);
+  if (periodMs === undefined) return command();
+  return watchReports(command, {
     periodMs,
-    timer: run.timer ?? new SystemTimer(),
-    output: run.output,
+    timer: toolOptions.timer ?? new SystemTimer(),
+    output: toolOptions.output,
     isJson: options.json === true,
-    isTerminal: run.isTerminal ?? false,
-    signal: run.signal ?? new AbortController().signal,
+    isTerminal: toolOptions.isTerminal ?? false,
+    signal: toolOptions.signal ?? new AbortController().signal,
   });
 }
 
-function watchPeriod(options: ParsedOptions): number | undefined {
+function parseWatchPeriod(options: ParsedOptions): number | undefined {
   const text = getTextOption(options, "watch");
   if (text === undefined) return undefined;
   const seconds = Number(text);
   if (seconds > 0 && seconds <= 86_400) {
     return seconds * MILLISECONDS_PER_SECOND;
   }
-  throw new UsageError("--watch must be a number of seconds above 0");
+  throw new UsageError(
+    "--watch must be a number of seconds above 0 and at most 86400",
+  );
 }
 
-function clientsOf(
+function createClients(
   options: ParsedOptions,
-  { fetch: request, timer }: OperatorToolOptions,
+  { fetch, timer }: OperatorToolOptions,
 ): EntryClient[] {
   const settings = readOperatorSettings(options);
   const dispatcher = createDispatcher(settings);
@@ -161,7 +178,7 @@
     new EntryClient({
       url,
       timeoutMs: settings.timeoutMs,
-      fetch: request,
+      fetch,
       timer,
       dispatcher,
     })
--- a/apps/ctl/src/statusCommand.ts
+++ b/apps/ctl/src/statusCommand.ts
@@ -20,10 +20,10 @@
   "ENDINGS",
 ];
 
-/** A counter of endings, as entry hosts name it, and which ending it counts. */
-const ENDING_COUNTER = /^request\.ended\{(?:.*,)?ending=([^,}]+)/;
+/** Matches the name of a request outcome counter and captures the outcome. */
+const OUTCOME_COUNTER = /^request\.ended\{(?:.*,)?ending=([^,}]+)/;
 
-/** Tells how each entry host stands, one line each. */
+/** Reports the state of each entry host. */
 export async function statusCommand(
   clients: readonly EntryClient[],
 ): Promise<CommandReport> {
@@ -33,13 +33,13 @@
     exitCode: fleet.unresponsive.length === 0 ? EXIT_OK : EXIT_FINDINGS,
     data: { hosts: statuses, silent: unresponsiveHostData(fleet) },
     lines: [
-      ...formatTable(HEADER, statuses.map(statusRow)),
+      ...formatTable(HEADER, statuses.map(createStatusRow)),
       ...formatUnresponsiveHosts(fleet),
     ],
   };
 }
 
-function statusRow(status: EntryStatus): Row {
+function createStatusRow(status: EntryStatus): Row {
   const { members, waiting, upstreams, bundle } = status;
   const alive = members.filter(({ state }) => state === "alive").length;
   return [
@@ -51,15 +51,15 @@
     `${alive} of ${members.length}`,
     sum(waiting.map(({ requests }) => requests)),
     sum(upstreams.map(({ inFlight }) => inFlight)),
-    endingsText(status),
+    formatOutcomes(status),
   ];
 }
 
-/** The counters of endings, summed over their other tags. */
-function endingsText({ counters }: EntryStatus): string {
+/** Formats the outcome counters, summed over their other tags. */
+function formatOutcomes({ counters }: EntryStatus): string {
   const sums = new Map<string, number>();
   for (const [name, value] of Object.entries(counters)) {
-    const ending = ENDING_COUNTER.exec(name)?.[1];
+    const ending = OUTCOME_COUNTER.exec(name)?.[1];
     if (ending !== undefined) sums.set(ending, (sums.get(ending) ?? 0) + value);
   }
   return [...sums].map(([ending, value]) => `${ending} ${value}`).join(", ");
--- a/apps/ctl/src/upstreamsCommand.ts
+++ b/apps/ctl/src/upstreamsCommand.ts
@@ -9,17 +9,19 @@
 } from "./fleetStatus.ts";
 import { formatTable } from "./formatTable.ts";
 
-type KeptUpstream = EntryStatus["upstreams"][number] & {
-  /** The entry host that keeps the upstream's pool. */
+type CoordinatedUpstream = EntryStatus["upstreams"][number] & {
+  /** The entry host that coordinates the upstream's pool. */
   readonly keeper: string;
 };
 
-/** Tells the load of each upstream, as the keeper of its pool sees it. */
+/**
+ * Reports the load of each upstream, as seen by the coordinator of its pool.
+ */
 export async function upstreamsCommand(
   clients: readonly EntryClient[],
 ): Promise<CommandReport> {
   const fleet = await fetchFleetStatus(clients);
-  const upstreams = keptUpstreams(fleet);
+  const upstreams = listUpstreams(fleet);
   return {
     exitCode: fleet.unresponsive.length === 0 ? EXIT_OK : EXIT_FINDINGS,
     data: { upstreams, silent: unresponsiveHostData(fleet) },
@@ -31,7 +33,7 @@
           upstream.upstream,
           upstream.inFlight,
           upstream.bound,
-          stateText(upstream),
+          formatState(upstream),
           upstream.keeper,
         ]),
       ),
@@ -40,8 +42,10 @@
   };
 }
 
-function keptUpstreams({ responding: answering }: FleetStatus): KeptUpstream[] {
-  const upstreams = answering.flatMap(({ status }) =>
+function listUpstreams(
+  { responding }: FleetStatus,
+): CoordinatedUpstream[] {
+  const upstreams = responding.flatMap(({ status }) =>
     status.upstreams.map((upstream) => ({ ...upstream, keeper: status.host }))
   );
   return upstreams.sort((left, right) =>
@@ -50,7 +54,7 @@
   );
 }
 
-function stateText({ isEjected, isLeaving }: KeptUpstream): string {
+function formatState({ isEjected, isLeaving }: CoordinatedUpstream): string {
   const states = [isLeaving && "leaving", isEjected && "ejected"];
   return states.filter((state) => state !== false).join(", ") || "live";
 }
--- a/apps/ctl/src/versionsCommand.ts
+++ b/apps/ctl/src/versionsCommand.ts
@@ -8,9 +8,9 @@
 } from "./fleetStatus.ts";
 import { formatTable } from "./formatTable.ts";
 
-const ROOT_CHARACTERS = 12;
+const ROOT_PREFIX_LENGTH = 12;
 
-/** Where one entry host stands on the way to the newest version seen. */
+/** State of one entry host relative to the newest version seen. */
 type VersionState = "in-force" | "on-its-way" | "no-bundle" | "conflict";
 
 const STATE_TEXTS: Readonly<Record<VersionState, string>> = {
@@ -20,21 +20,25 @@
   conflict: "same version, other root",
 };
 
-/** Tells the version in force on each entry host and what is still on its way. */
+/**
+ * Reports the bundle version in force on each entry host and hosts that lag
+ * behind.
+ */
 export async function versionsCommand(
   clients: readonly EntryClient[],
 ): Promise<CommandReport> {
   const fleet = await fetchFleetStatus(clients);
-  const newest = newestHost(fleet.responding);
+  const newest = findNewestHost(fleet.responding);
   const hosts = fleet.responding.map((host) => ({
     ...host,
-    state: versionState(host, newest),
+    state: determineState(host, newest),
   }));
-  const unheard = unheardMembers(fleet.responding);
-  const isSettled = fleet.unresponsive.length === 0 && unheard.length === 0 &&
+  const missingMembers = findMissingMembers(fleet.responding);
+  const isUpToDate = fleet.unresponsive.length === 0 &&
+    missingMembers.length === 0 &&
     hosts.every(({ state }) => state === "in-force");
   return {
-    exitCode: isSettled ? EXIT_OK : EXIT_FINDINGS,
+    exitCode: isUpToDate ? EXIT_OK : EXIT_FINDINGS,
     data: {
       newest: newest?.status.bundle ?? null,
       hosts: hosts.map(({ status, state }) => ({
@@ -44,7 +48,7 @@
         root: status.bundle?.root ?? null,
         state,
       })),
-      unheard,
+      unheard: missingMembers,
       silent: unresponsiveHostData(fleet),
     },
     lines: [
@@ -54,27 +58,31 @@
           status.host,
           status.failureDomain,
           status.bundle?.version ?? "-",
-          status.bundle?.root.slice(0, ROOT_CHARACTERS) ?? "-",
-          stateText(state, newest),
+          status.bundle?.root.slice(0, ROOT_PREFIX_LENGTH) ?? "-",
+          formatState(state, newest),
         ]),
       ),
-      ...unheard.map((host) => `${host}: a member that gave no answer here`),
+      ...missingMembers.map((host) =>
+        `${host}: a member that gave no answer here`
+      ),
       ...formatUnresponsiveHosts(fleet),
     ],
   };
 }
 
-/** Members that answering hosts name and that are not among them: their version is not known. */
-function unheardMembers(hosts: readonly RespondingHost[]): string[] {
-  const answering = new Set(hosts.map(({ status }) => status.host));
+/**
+ * Lists members that responding hosts name but that did not respond themselves.
+ */
+function findMissingMembers(hosts: readonly RespondingHost[]): string[] {
+  const responding = new Set(hosts.map(({ status }) => status.host));
   const members = hosts.flatMap(({ status }) =>
     status.members.map(({ host }) => host)
   );
-  const unheard = members.filter((host) => !answering.has(host));
-  return [...new Set(unheard)].sort();
+  const missing = members.filter((host) => !responding.has(host));
+  return [...new Set(missing)].sort();
 }
 
-function newestHost(
+function findNewestHost(
   hosts: readonly RespondingHost[],
 ): RespondingHost | undefined {
   return hosts.reduce<RespondingHost | undefined>(
@@ -87,7 +95,7 @@
   return host?.status.bundle?.version ?? 0;
 }
 
-function versionState(
+function determineState(
   host: RespondingHost,
   newest: RespondingHost | undefined,
 ): VersionState {
@@ -97,7 +105,7 @@
   return isSame ? "in-force" : "conflict";
 }
 
-function stateText(
+function formatState(
   state: VersionState,
   newest: RespondingHost | undefined,
 ): string {
--- a/apps/ctl/src/waitingCommand.ts
+++ b/apps/ctl/src/waitingCommand.ts
@@ -15,12 +15,15 @@
   readonly requests: number;
 }
 
-/** Tells what waits by service, tier and client account, over all entry hosts. */
+/**
+ * Reports waiting requests by service, tier and client account, over all entry
+ * hosts.
+ */
 export async function waitingCommand(
   clients: readonly EntryClient[],
 ): Promise<CommandReport> {
   const fleet = await fetchFleetStatus(clients);
-  const groups = waitingGroups(fleet);
+  const groups = groupWaiting(fleet);
   return {
     exitCode: fleet.unresponsive.length === 0 ? EXIT_OK : EXIT_FINDINGS,
     data: { waiting: groups, silent: unresponsiveHostData(fleet) },
@@ -39,13 +42,13 @@
   };
 }
 
-function waitingGroups({ responding: answering }: FleetStatus): WaitingGroup[] {
+function groupWaiting({ responding }: FleetStatus): WaitingGroup[] {
   const groups = new Map<string, WaitingGroup>();
-  for (const { status } of answering) {
+  for (const { status } of responding) {
     for (const { service, tier, account, requests } of status.waiting) {
       const key = JSON.stringify([service, tier, account]);
-      const former = groups.get(key)?.requests ?? 0;
-      const total = former + requests;
+      const previous = groups.get(key)?.requests ?? 0;
+      const total = previous + requests;
       groups.set(key, { service, tier, account, requests: total });
     }
   }
--- a/apps/ctl/src/watchReports.ts
+++ b/apps/ctl/src/watchReports.ts
@@ -9,35 +9,35 @@
 
 const CLEAR_SCREEN = "\u001b[2J\u001b[H";
 
-/** How a command is repeated. */
+/** Options of {@link watchReports}. */
 export interface WatchOptions {
   readonly periodMs: Milliseconds;
   readonly timer: Timer;
   readonly output: CommandOutput;
   readonly isJson: boolean;
-  /** Whether each report takes the place of the one before. */
+  /** Whether to clear the screen before each report. */
   readonly isTerminal: boolean;
-  /** Ends the watch. */
+  /** Stops the repetition. */
   readonly signal: AbortSignal;
 }
 
-/** Asks and prints again and again; the last report counts for the exit code. */
+/** Runs a command periodically, prints each report and returns the last one. */
 export async function watchReports(
-  ask: () => Promise<CommandReport>,
+  command: () => Promise<CommandReport>,
   { periodMs, timer, output, isJson, isTerminal, signal }: WatchOptions,
 ): Promise<CommandReport> {
   while (true) {
-    const report = await ask();
+    const report = await command();
     if (isTerminal && !isJson) output.write(CLEAR_SCREEN);
     printReport(report, { isJson, output });
     if (!signal.aborted) {
-      await Promise.race([sleep(timer, periodMs), aborted(signal)]);
+      await Promise.race([sleep(timer, periodMs), whenAborted(signal)]);
     }
     if (signal.aborted) return { ...report, isPrinted: true };
   }
 }
 
-function aborted(signal: AbortSignal): Promise<void> {
+function whenAborted(signal: AbortSignal): Promise<void> {
   return new Promise((resolve) =>
     signal.addEventListener("abort", () => resolve(), { once: true })
   );
--- a/apps/ctl/tests/explain.test.ts
+++ b/apps/ctl/tests/explain.test.ts
@@ -4,7 +4,7 @@
 import test from "ava";
 import { runOperatorTool } from "@wasabivane/ctl";
 
-/** Runs `explain` over the given logs, one file a host. */
+/** Runs `explain` on the given logs, one file per host. */
 async function explain(
   id: string,
   logs: readonly string[],
@@ -28,13 +28,13 @@
   return { code, text };
 }
 
-function line(values: Readonly<Record<string, unknown>>): string {
+function formatLine(values: Readonly<Record<string, unknown>>): string {
   return `${JSON.stringify({ level: "info", host: "h1", ...values })}\n`;
 }
 
-test("a request that waited in vain is told by what was ahead", async (t) => {
+test("a refusal after waiting is explained by the requests ahead", async (t) => {
   const { code, text } = await explain("q1", [
-    "12.1 h1 " + line({
+    "12.1 h1 " + formatLine({
       time: 10,
       id: "q1",
       status: 503,
@@ -49,10 +49,10 @@
   t.regex(text, /Refused with 503: it waited 1500 ms.*22 .*40 were ahead/);
 });
 
-test("a request refused on an old policy is told with the lost store", async (t) => {
+test("a refusal under an unconfirmed policy is explained by the lost store", async (t) => {
   const { text } = await explain("q2", [
-    line({ time: 5, event: "store_lost", detail: "refused with 503" }) +
-    line({
+    formatLine({ time: 5, event: "store_lost", detail: "refused with 503" }) +
+    formatLine({
       time: 20,
       id: "q2",
       status: 503,
@@ -60,7 +60,12 @@
       proofAge: 3_300,
       event: "request_refused",
     }),
-    line({ time: 6, host: "h2", event: "store_lost", detail: "other host" }),
+    formatLine({
+      time: 6,
+      host: "h2",
+      event: "store_lost",
+      detail: "other host",
+    }),
   ]);
   t.regex(
     text,
@@ -69,17 +74,17 @@
   t.notRegex(text, /other host/);
 });
 
-test("a cut stream is told with the failure before it, in order of time", async (t) => {
+test("a cut stream is explained by the earlier failure, in order of time", async (t) => {
   const { text } = await explain("q3", [
-    line({
+    formatLine({
       time: 30,
       id: "q3",
       event: "request_cut",
       detail: "broken",
       lastEvent: 4,
     }) +
-    line({ time: 10, id: "q3", event: "request_sent", upstream: "u1" }) +
-    line({
+    formatLine({ time: 10, id: "q3", event: "request_sent", upstream: "u1" }) +
+    formatLine({
       time: 29,
       id: "q3",
       event: "request_failed",
@@ -87,27 +92,26 @@
       outcome: "broken",
       detail: "connection reset",
     }) +
-    line({ time: 31, id: "q3", event: "request_ended", ending: "cut" }),
+    formatLine({ time: 31, id: "q3", event: "request_ended", ending: "cut" }),
   ]);
   t.regex(text, /request_sent[^]*request_failed[^]*request_cut/);
   t.regex(text, /Cut after event 4 \(broken\); before, u1 was broken/);
 });
 
-test("a request whose host was killed is told by the host's next start", async (t) => {
-  // A killed process writes nothing. The caller saw its connection end; the last line
-  // tells where the request ran, the host's next start that it was lost with it.
+test("a request on a killed host is explained by the host's next start", async (t) => {
+  // A killed process logs no outcome of its requests.
   const { text } = await explain("q4", [
-    line({ time: 10, id: "q4", event: "request_sent", upstream: "u1" }) +
-    line({ time: 900, event: "started" }),
-    line({ time: 500, host: "h2", event: "started" }),
+    formatLine({ time: 10, id: "q4", event: "request_sent", upstream: "u1" }) +
+    formatLine({ time: 900, event: "started" }),
+    formatLine({ time: 500, host: "h2", event: "started" }),
   ]);
   t.regex(text, /Its host ended without a word .* again 890 ms after/);
 });
 
-test("a caller that left is told with how far its answer had come", async (t) => {
+test("a caller's disconnect is explained with the progress of the response", async (t) => {
   const { text } = await explain("q5", [
-    line({ time: 10, id: "q5", event: "request_sent", upstream: "u1" }) +
-    line({
+    formatLine({ time: 10, id: "q5", event: "request_sent", upstream: "u1" }) +
+    formatLine({
       time: 15_010,
       id: "q5",
       event: "caller_left",
@@ -119,7 +123,7 @@
   t.regex(text, /The caller left after 15000 ms and event 205/);
 });
 
-test("a request that no line names is a finding", async (t) => {
+test("a request that no line names is reported as a finding", async (t) => {
   const { code, text } = await explain("q9", ["no json\n"]);
   t.is(code, 1);
   t.regex(text, /No line names q9/);
--- a/apps/ctl/tests/explainGatewayLogs.test.ts
+++ b/apps/ctl/tests/explainGatewayLogs.test.ts
@@ -8,15 +8,17 @@
   startUpstream,
 } from "../../../packages/gateway/tests/helpers/fleet.ts";
 
-/** The cause that the lines of a host alone tell. */
-function causeOf({ lines }: RunningGateway, id: string): string | undefined {
+/** Returns the cause that a host's own log lines give. */
+function explainCause(
+  { lines }: RunningGateway,
+  id: string,
+): string | undefined {
   const text = lines.map((line) => JSON.stringify(line)).join("\n");
   return explainRequest(parseLogLines(text), id)?.cause;
 }
 
-test("a request that is refused under load is explained by its logs", async (t) => {
-  // One upstream with one place hangs. The second request waits for the place until
-  // an answer would come too late, and is refused as not run.
+test("a refusal under load is explained by the logs", async (t) => {
+  // A hanging request occupies the only slot until the second one is refused.
   const upstream = await startUpstream(() => {});
   const fleet = await startGateway({
     upstreams: [upstream],
@@ -32,15 +34,15 @@
     503,
   );
   t.regex(
-    causeOf(fleet, "waits")!,
+    explainCause(fleet, "waits")!,
     /Refused with 503: it waited \d+ ms for a place/,
   );
   t.is((await first).status, 504);
-  t.regex(causeOf(fleet, "hangs")!, /Refused with 504: its time was over/);
+  t.regex(explainCause(fleet, "hangs")!, /Refused with 504: its time was over/);
   await fleet.close();
 });
 
-test("a request that is unknown after an upstream's failure is explained by its logs", async (t) => {
+test("an unknown outcome after an upstream failure is explained by the logs", async (t) => {
   const upstream = await startUpstream(({ socket }: ReceivedRequest) =>
     void socket.resetAndDestroy()
   );
@@ -50,14 +52,14 @@
   });
   t.is((await sendRequest(fleet.url, { headers: { id: "lost" } })).status, 502);
   t.regex(
-    causeOf(fleet, "lost")!,
+    explainCause(fleet, "lost")!,
     /Refused with 502: the upstream's answer broke off.*was broken/,
   );
   await fleet.close();
 });
 
-test("a request refused while the store cannot be reached is explained by its logs", async (t) => {
-  // No proof of freshness comes any more, and the last one has run out.
+test("a refusal while the store is unreachable is explained by the logs", async (t) => {
+  // The policy's last confirmation has expired.
   const upstream = await startUpstream(() => {});
   const fleet = await startGateway({
     upstreams: [upstream],
@@ -73,7 +75,7 @@
     503,
   );
   t.regex(
-    causeOf(fleet, "behind")!,
+    explainCause(fleet, "behind")!,
     /could not prove.*the store was lost: refused with 503/,
   );
   t.is(upstream.received.length, 0);
--- a/apps/ctl/tests/helpers/fakeFleet.ts
+++ b/apps/ctl/tests/helpers/fakeFleet.ts
@@ -6,18 +6,18 @@
   runOperatorTool,
 } from "@wasabivane/ctl";
 
-/** How one fake entry host answers. */
+/** Configures the responses of one fake entry host. */
 export interface FakeEntryOptions {
   readonly status?: Partial<EntryStatus>;
   readonly isReady?: boolean;
   readonly isDraining?: boolean;
-  /** Takes the request and never answers. */
+  /** Accepts requests and never responds. */
   readonly isUnresponsive?: boolean;
-  /** Body of `/status` in place of a well-formed one. */
+  /** Response body of `/status` in place of a valid one. */
   readonly statusText?: string;
 }
 
-/** One call that reached a fake entry host. */
+/** One request that reached a fake entry host. */
 export interface ReceivedRequest {
   readonly host: string;
   readonly method: string;
@@ -25,7 +25,7 @@
   readonly body?: string;
 }
 
-/** Fake entry hosts that answer in the process of the test. */
+/** In-process fake entry hosts. */
 export class FakeFleet {
   readonly received: ReceivedRequest[] = [];
   readonly #entries: Readonly<Record<string, FakeEntryOptions>>;
@@ -44,8 +44,8 @@
     const host = url.hostname.replace(/\.test$/, "");
     const entry = this.#entries[host]!;
     this.received.push({ host, method, path: url.pathname, body });
-    if (entry.isUnresponsive) return refusedBy(signal);
-    return Promise.resolve(answerOf(host, { entry, path: url.pathname }));
+    if (entry.isUnresponsive) return rejectOnAbort(signal);
+    return Promise.resolve(createResponse(host, { entry, path: url.pathname }));
   };
 
   /** Runs the tool against the fleet. */
@@ -69,7 +69,7 @@
   }
 }
 
-/** A well-formed status with a few values of the test's own. */
+/** Creates a valid status with some values replaced. */
 export function createStatus(
   host: string,
   values: Partial<EntryStatus> = {},
@@ -89,12 +89,12 @@
   };
 }
 
-function answerOf(
+function createResponse(
   host: string,
   { entry, path }: { entry: FakeEntryOptions; path: string },
-): ReturnType<EntryFetch> extends Promise<infer Answer> ? Answer : never {
+): ReturnType<EntryFetch> extends Promise<infer Response> ? Response : never {
   const { isReady = true, isDraining = false } = entry;
-  const answers: Record<string, { statusCode: number; text: string }> = {
+  const responses: Record<string, { statusCode: number; text: string }> = {
     "/health": { statusCode: 200, text: '{"status":"ok"}' },
     "/ready": { statusCode: isReady ? 200 : 503, text: "{}" },
     "/drain": { statusCode: isDraining ? 409 : 202, text: "{}" },
@@ -104,16 +104,16 @@
         JSON.stringify(createStatus(host, entry.status)),
     },
   };
-  const { statusCode, text } = answers[path]!;
-  return { statusCode, body: inOneChunk(text) };
+  const { statusCode, text } = responses[path]!;
+  return { statusCode, body: singleChunk(text) };
 }
 
-function refusedBy(signal: AbortSignal): Promise<never> {
+function rejectOnAbort(signal: AbortSignal): Promise<never> {
   return new Promise((_resolve, reject) =>
     signal.addEventListener("abort", () => reject(signal.reason))
   );
 }
 
-async function* inOneChunk(text: string): AsyncGenerator<Uint8Array> {
+async function* singleChunk(text: string): AsyncGenerator<Uint8Array> {
   yield await Promise.resolve(Buffer.from(text));
 }
--- a/apps/ctl/tests/operatorTool.test.ts
+++ b/apps/ctl/tests/operatorTool.test.ts
@@ -5,12 +5,12 @@
 import { runOperatorTool } from "@wasabivane/ctl";
 import { createStatus, FakeFleet } from "./helpers/fakeFleet.ts";
 
-const OLD = { version: 2, root: "b".repeat(64) };
+const OLD_BUNDLE = { version: 2, root: "b".repeat(64) };
 
-test("versions tells what is in force and what is still on its way", async (t) => {
+test("versions reports hosts with the newest version, an older one and none", async (t) => {
   const fleet = new FakeFleet({
     "entry-1": {},
-    "entry-2": { status: { bundle: OLD } },
+    "entry-2": { status: { bundle: OLD_BUNDLE } },
     "entry-3": { status: { bundle: null } },
   });
   const { exitCode, stdout } = await fleet.run(["versions"]);
@@ -23,19 +23,19 @@
   ]);
 });
 
-test("versions is in order only when all hosts have one bundle", async (t) => {
+test("versions succeeds only when all hosts have the same bundle", async (t) => {
   const same = new FakeFleet({ "entry-1": {}, "entry-2": {} });
   t.is((await same.run(["versions"])).exitCode, 0);
   const conflict = new FakeFleet({
     "entry-1": {},
-    "entry-2": { status: { bundle: { ...OLD, version: 3 } } },
+    "entry-2": { status: { bundle: { ...OLD_BUNDLE, version: 3 } } },
   });
   const { exitCode, stdout } = await conflict.run(["versions", "--json"]);
   t.is(exitCode, 1);
   t.is(JSON.parse(stdout).hosts[1].state, "conflict");
 });
 
-test("a member that was not asked leaves the version unproved", async (t) => {
+test("versions reports members that did not respond", async (t) => {
   const members = ["entry-1", "entry-9"].map((host) => ({
     host,
     state: "alive",
@@ -46,10 +46,8 @@
   t.regex(stdout, /^entry-9: a member that gave no answer here$/m);
 });
 
-// The operator sees one host missing from the table and exit code 1. The host
-// is paused: it takes the connection and answers nothing, so that only the
-// tool's own timeout ends the question; the other hosts' answers still count.
-test("a host that does not answer in time is named", async (t) => {
+// Guards against a hanging host that hides the state of the other hosts.
+test("a host that does not respond in time is reported", async (t) => {
   const timer = new VirtualTimer();
   const fleet = new FakeFleet({
     "entry-1": {},
@@ -63,11 +61,11 @@
   t.regex(stdout, /entry-2\.test: no-answer \(No whole answer within 700 ms\)/);
 });
 
-test("an answer of another shape is named with its path, and steers no terminal", async (t) => {
-  const odd = { ...createStatus("entry-2"), phase: 7 };
+test("a malformed status is reported with its path, and control characters are removed", async (t) => {
+  const malformed = { ...createStatus("entry-2"), phase: 7 };
   const fleet = new FakeFleet({
     "entry-1": { status: { phase: "\u001b[2Jserving" } },
-    "entry-2": { statusText: JSON.stringify(odd) },
+    "entry-2": { statusText: JSON.stringify(malformed) },
     "entry-3": { statusText: "<html>" },
   });
   const { exitCode, stdout } = await fleet.run(["status"]);
@@ -102,7 +100,7 @@
   t.deepEqual(JSON.parse(counters.stdout).counters, { shed: 3 });
 });
 
-test("status sums the endings over tiers and problems", async (t) => {
+test("status sums the outcomes over tiers and problems", async (t) => {
   const counters = {
     "request.ended{ending=whole,problem=none,tier=1}": 4,
     "request.ended{ending=whole,problem=none,tier=2}": 3,
@@ -115,7 +113,7 @@
   t.regex(stdout, /1 of 1 +0 +0 +whole 7, not-run 2$/m);
 });
 
-test("upstreams are told with the keeper that sees them", async (t) => {
+test("upstreams are listed with their coordinator", async (t) => {
   const upstream = {
     service: "drafter",
     upstream: "drafter-02",
@@ -131,9 +129,9 @@
   t.regex(stdout, /drafter +drafter-02 +3 +8 +leaving, ejected +entry-1/);
 });
 
-test("health needs every host alive and ready", async (t) => {
-  const fine = new FakeFleet({ "entry-1": {} });
-  t.is((await fine.run(["health"])).exitCode, 0);
+test("health succeeds only when every host is alive and ready", async (t) => {
+  const ready = new FakeFleet({ "entry-1": {} });
+  t.is((await ready.run(["health"])).exitCode, 0);
   const draining = new FakeFleet({
     "entry-1": {},
     "entry-2": { isReady: false },
@@ -143,7 +141,7 @@
   t.is(JSON.parse(stdout).hosts[1].ready, "no");
 });
 
-test("drain orders the named host only, with its stop plan", async (t) => {
+test("drain stops only the named host, with its stop plan", async (t) => {
   const fleet = new FakeFleet({
     "entry-1": {},
     "entry-2": { isDraining: true },
@@ -167,7 +165,7 @@
   t.regex(unknown.stdout, /did you mean "entry-1"/);
 });
 
-test("watch asks every period until it is interrupted", async (t) => {
+test("watch repeats the command every period until it is interrupted", async (t) => {
   const timer = new VirtualTimer();
   const interrupt = new AbortController();
   const fleet = new FakeFleet({ "entry-1": {} });
@@ -188,9 +186,9 @@
   t.is(timer.now(), 5_000);
 });
 
-test("a wrong command line is told without a stack trace", async (t) => {
+test("a wrong command line is reported without a stack trace", async (t) => {
   const fleet = new FakeFleet({ "entry-1": {} });
-  const lines = [
+  const commandLines = [
     [],
     ["verisons"],
     ["versions", "--wach", "1"],
@@ -199,15 +197,15 @@
     ["drain"],
     ["drain", "entry-1", "--watch", "1"],
   ];
-  for (const line of lines) {
-    const { exitCode, stdout, stderr } = await fleet.run(line);
-    t.deepEqual([exitCode, stdout], [2, ""], line.join(" "));
+  for (const args of commandLines) {
+    const { exitCode, stdout, stderr } = await fleet.run(args);
+    t.deepEqual([exitCode, stdout], [2, ""], args.join(" "));
     t.notRegex(stderr, /\n\s+at /);
   }
   t.deepEqual(fleet.received, []);
 });
 
-test("a status is asked for over real HTTP", async (t) => {
+test("the status is fetched over HTTP", async (t) => {
   const server = createServer((_request, response) => {
     response.end(JSON.stringify(createStatus("entry-1")));
   }).listen(0, "127.0.0.1");
--- a/apps/load/src/formatLoadReport.ts
+++ b/apps/load/src/formatLoadReport.ts
@@ -15,7 +15,7 @@
   "whole p50/p99 ms",
 ];
 
-/** The report as lines for people. */
+/** Formats a report as a table, followed by the problem types of each tier. */
 export function formatLoadReport(report: LoadReport): string[] {
   const { pattern, seed, offered, resends, elapsedMs } = report;
   const tiers = Object.entries(report.tiers);
@@ -24,28 +24,28 @@
     `Pattern ${pattern}, seed ${seed}: ${offered} calls in ${seconds} s, ${resends} resends`,
     ...alignRows([
       HEADER,
-      ...tiers.map(([tier, tierReport]) => rowOf(tier, tierReport)),
+      ...tiers.map(([tier, tierReport]) => createRow(tier, tierReport)),
     ]),
-    ...tiers.flatMap(([tier, tierReport]) => reasonLines(tier, tierReport)),
+    ...tiers.flatMap(([tier, tierReport]) => formatReasons(tier, tierReport)),
   ];
 }
 
-function rowOf(tier: string, report: TierReport): Row {
+function createRow(tier: string, report: TierReport): Row {
   return [
     tier,
     String(report.offered),
     String(report.whole),
-    String(sumOf(report.notRun)),
-    String(sumOf(report.unknown)),
+    String(sumCounts(report.notRun)),
+    String(sumCounts(report.unknown)),
     String(report.cut),
     String(report.crossed),
-    showTimes(report.firstTokenMs),
-    showTimes(report.betweenTokensMs),
-    showTimes(report.wholeMs),
+    formatLatency(report.firstTokenMs),
+    formatLatency(report.betweenTokensMs),
+    formatLatency(report.wholeMs),
   ];
 }
 
-function reasonLines(tier: string, report: TierReport): string[] {
+function formatReasons(tier: string, report: TierReport): string[] {
   const reasons = [
     ...Object.entries(report.notRun).map(([type, count]) =>
       `${type} ${count} (not run)`
@@ -57,7 +57,7 @@
   return reasons.length === 0 ? [] : [`tier ${tier}: ${reasons.join(", ")}`];
 }
 
-function showTimes({ count, p50, p99 }: Percentiles): string {
+function formatLatency({ count, p50, p99 }: Percentiles): string {
   return count === 0 ? "-" : `${p50.toFixed(1)} / ${p99.toFixed(1)}`;
 }
 
@@ -70,6 +70,6 @@
   );
 }
 
-function sumOf(counts: Readonly<Record<string, number>>): number {
+function sumCounts(counts: Readonly<Record<string, number>>): number {
   return Object.values(counts).reduce((sum, count) => sum + count, 0);
 }
--- a/apps/load/src/loadFlags.ts
+++ b/apps/load/src/loadFlags.ts
@@ -6,7 +6,7 @@
 import { ok, type Result } from "neverthrow";
 import { type LoadSettings, loadSettingsSchema } from "./settings.ts";
 
-/** Flags of the command line, as the parser gives them. */
+/** Parsed command-line flags. */
 export interface LoadFlags {
   readonly settings?: string;
   readonly entry?: string | readonly string[];
@@ -19,7 +19,7 @@
   readonly json?: boolean;
 }
 
-/** The settings file, if any, with the flags before it; all checked by one schema. */
+/** Reads the settings file, if any, and overrides its values with the flags. */
 export function readLoadSettings(
   flags: LoadFlags,
 ): Result<LoadSettings, DocumentError[]> {
@@ -28,14 +28,14 @@
       ? ok({})
       : readDocument(flags.settings, loadSettingsSchema);
   return file.andThen((settings) => {
-    const merged = { ...settings, ...definedMembers(settingsIn(flags)) };
+    const merged = { ...settings, ...withoutUndefined(flagsToSettings(flags)) };
     return parseDocument(JSON.stringify(merged), loadSettingsSchema, {
       file: "command line",
     });
   });
 }
 
-function settingsIn(flags: LoadFlags): Record<string, unknown> {
+function flagsToSettings(flags: LoadFlags): Record<string, unknown> {
   return {
     entries: flags.entry === undefined ? undefined : [flags.entry].flat(),
     deployment: flags.deployment,
@@ -47,7 +47,7 @@
   };
 }
 
-function definedMembers(
+function withoutUndefined(
   members: Record<string, unknown>,
 ): Record<string, unknown> {
   return Object.fromEntries(
--- a/apps/load/src/loadReport.ts
+++ b/apps/load/src/loadReport.ts
@@ -4,7 +4,7 @@
 import type { PatternName } from "./pattern.ts";
 import type { TokenLatency } from "./tokenLatencyRecorder.ts";
 
-/** Percentiles of one kind of time, in milliseconds. */
+/** Percentiles of a latency distribution. */
 export interface Percentiles {
   readonly count: number;
   readonly p50: Milliseconds;
@@ -13,20 +13,21 @@
   readonly maximum: Milliseconds;
 }
 
-/** What the callers of one tier received. */
+/** Outcomes and latencies of the calls of one tier. */
 export interface TierReport {
   readonly offered: number;
   readonly whole: number;
-  /** Refused and not run, by problem type. */
+  /** Calls that were refused and did not run, by problem type. */
   readonly notRun: Readonly<Record<string, number>>;
-  /** Ended unknown, by problem type, or `connection-broken`. */
+  /** Calls with an unknown outcome, by problem type or `connection-broken`. */
   readonly unknown: Readonly<Record<string, number>>;
-  /** Parts that looked whole; anything above zero is a fault. */
+  /** Incomplete responses that ended without an error; any is a fault. */
   readonly cut: number;
-  /** Answers with another call's content; anything above zero is a fault. */
+  /** Responses with another call's content; any is a fault. */
   readonly crossed: number;
   readonly firstTokenMs: Percentiles;
   readonly betweenTokensMs: Percentiles;
+  /** Time to a complete response. */
   readonly wholeMs: Percentiles;
 }
 
@@ -34,7 +35,7 @@
 export interface LoadReport {
   readonly pattern: PatternName;
   readonly seed: number;
-  /** Time from the first arrival to the last ending. */
+  /** Time from the start of the run to its last outcome. */
   readonly elapsedMs: Milliseconds;
   readonly offered: number;
   /** Resends after broken connections. */
@@ -42,15 +43,15 @@
   readonly tiers: Readonly<Record<string, TierReport>>;
 }
 
-const MICROSECONDS = 1_000;
+const MICROSECONDS_PER_MILLISECOND = 1_000;
 const BROKEN_TYPE = "connection-broken";
 
-/** Whether a caller got a part for the whole, or another call's content. */
+/** Whether any response was cut or crossed. */
 export function hasIntegrityFault({ tiers }: LoadReport): boolean {
   return Object.values(tiers).some(({ cut, crossed }) => cut + crossed > 0);
 }
 
-/** Counts the endings of one tier. */
+/** Collects the outcomes and latencies of one tier. */
 export class TierStats {
   offered = 0;
   readonly #counts = { whole: 0, cut: 0, crossed: 0 };
@@ -58,19 +59,19 @@
   readonly #unknown = new Map<string, number>();
   readonly #firstToken = build();
   readonly #betweenTokens = build();
-  readonly #whole = build();
+  readonly #complete = build();
 
   recordTokenLatency({ isFirst, ms }: TokenLatency): void {
     record(isFirst ? this.#firstToken : this.#betweenTokens, ms);
   }
 
-  recordOutcome(ending: CallOutcome, elapsedMs: Milliseconds): void {
-    if (ending.kind === "problem") {
-      const { type, ending: truth } = ending.problem;
-      increment(truth === "not-run" ? this.#notRun : this.#unknown, type);
-    } else if (ending.kind === "broken") increment(this.#unknown, BROKEN_TYPE);
-    else this.#counts[ending.kind]++;
-    if (ending.kind === "whole") record(this.#whole, elapsedMs);
+  recordOutcome(outcome: CallOutcome, elapsedMs: Milliseconds): void {
+    if (outcome.kind === "problem") {
+      const { type, ending } = outcome.problem;
+      increment(ending === "not-run" ? this.#notRun : this.#unknown, type);
+    } else if (outcome.kind === "broken") increment(this.#unknown, BROKEN_TYPE);
+    else this.#counts[outcome.kind]++;
+    if (outcome.kind === "whole") record(this.#complete, elapsedMs);
   }
 
   createReport(): TierReport {
@@ -79,20 +80,22 @@
       ...this.#counts,
       notRun: Object.fromEntries(this.#notRun),
       unknown: Object.fromEntries(this.#unknown),
-      firstTokenMs: percentilesOf(this.#firstToken),
-      betweenTokensMs: percentilesOf(this.#betweenTokens),
-      wholeMs: percentilesOf(this.#whole),
+      firstTokenMs: computePercentiles(this.#firstToken),
+      betweenTokensMs: computePercentiles(this.#betweenTokens),
+      wholeMs: computePercentiles(this.#complete),
     };
   }
 }
 
 function record(histogram: Histogram, ms: Milliseconds): void {
-  histogram.recordValue(Math.max(0, Math.round(ms * MICROSECONDS)));
+  histogram.recordValue(
+    Math.max(0, Math.round(ms * MICROSECONDS_PER_MILLISECOND)),
+  );
 }
 
-function percentilesOf(histogram: Histogram): Percentiles {
+function computePercentiles(histogram: Histogram): Percentiles {
   const at = (percentile: number): Milliseconds =>
-    histogram.getValueAtPercentile(percentile) / MICROSECONDS;
+    histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MILLISECOND;
   return {
     count: histogram.totalCount,
     p50: at(50),
--- a/apps/load/src/main.ts
+++ b/apps/load/src/main.ts
@@ -12,28 +12,28 @@
 import { formatLoadReport } from "./formatLoadReport.ts";
 import { type LoadOptions, runLoad } from "./runLoad.ts";
 
-/** Callers received something that no caller may receive. */
+/** Exit code when any response was cut or crossed. */
 const EXIT_FAULT = 1;
 const EXIT_USAGE = 2;
 const PACKAGE_FILE = new URL("../package.json", import.meta.url);
 
-function exitWith(code: number, lines: readonly string[]): never {
+function exitWithError(code: number, lines: readonly string[]): never {
   for (const line of lines) process.stderr.write(`${line}\n`);
   process.exit(code);
 }
 
-function optionsOf(flags: LoadFlags): LoadOptions {
+function readOptions(flags: LoadFlags): LoadOptions {
   const settings = readLoadSettings(flags);
   if (settings.isErr()) {
-    exitWith(EXIT_USAGE, settings.error.map(formatDocumentError));
+    exitWithError(EXIT_USAGE, settings.error.map(formatDocumentError));
   }
   const options = resolveLoadOptions(settings.value);
-  if (options.isErr()) exitWith(EXIT_USAGE, [options.error.detail]);
+  if (options.isErr()) exitWithError(EXIT_USAGE, [options.error.detail]);
   return options.value;
 }
 
 async function run(flags: LoadFlags): Promise<void> {
-  const options = optionsOf(flags);
+  const options = readOptions(flags);
   const progress = new ProgressLine({
     timer: new SystemTimer(),
     write: (text) => process.stderr.write(text),
@@ -53,22 +53,25 @@
 }
 
 function check(flags: LoadFlags): void {
-  optionsOf(flags);
+  readOptions(flags);
   process.stdout.write("The settings are valid\n");
 }
 
 const program = cac("wasabivane-load");
 program
   .option("--settings <file>", "Settings file, JSON with comments")
-  .option("--entry <url>", "Caller port of an entry; may stand more than once")
-  .option("--deployment <name>", "Play the accounts of an example bundle")
+  .option("--entry <url>", "Caller port of an entry; may be repeated")
+  .option("--deployment <name>", "Use the accounts of an example bundle")
   .option("--pattern <name>", Object.keys(PATTERNS).join(", "))
   .option("--seed <number>", "Fixes arrivals, lengths and callers")
-  .option("--duration <seconds>", "Time over which calls arrive")
-  .option("--rate <number>", "Usual calls a second, which patterns multiply")
+  .option("--duration <seconds>", "Duration over which calls are sent")
+  .option(
+    "--rate <number>",
+    "Base rate in calls per second, scaled by the pattern",
+  )
   .option("--deadline <ms>", "Deadline of every call")
   .option("--json", "Print one JSON object");
-program.command("", "Send load and say what callers received").action(run);
+program.command("", "Send load and report what callers received").action(run);
 program.command("check", "Check the settings without sending").action(check);
 program.help();
 program.version(JSON.parse(readFileSync(PACKAGE_FILE, "utf8")).version);
@@ -77,5 +80,5 @@
   program.parse(process.argv, { run: false });
   await program.runMatchedCommand();
 } catch (error) {
-  exitWith(EXIT_USAGE, [(error as Error).message]);
+  exitWithError(EXIT_USAGE, [(error as Error).message]);
 }
--- a/apps/load/src/pattern.ts
+++ b/apps/load/src/pattern.ts
@@ -1,16 +1,19 @@
 import type { Random } from "@wasabivane/common";
 
-/** What traffic is like at one moment. */
+/** Traffic parameters at one moment of a run. */
 export interface TrafficShape {
-  /** Arrivals as a multiple of the usual rate. */
+  /** Arrival rate as a multiple of the base rate. */
   readonly rateFactor: number;
-  /** Share of the requests that come from the first account alone. */
+  /**
+   * Share of the requests that the first account sends on top of its usual
+   * ones.
+   */
   readonly hotAccountShare: number;
-  /** Share of the requests with a long prompt and a long answer. */
+  /** Share of the requests with a long prompt and a long response. */
   readonly longShare: number;
 }
 
-/** Traffic over a run; `progress` goes from 0 to 1. */
+/** Maps the progress of a run, from 0 to 1, to its traffic. */
 export type Pattern = (progress: number) => TrafficShape;
 
 const STEADY: TrafficShape = {
@@ -24,29 +27,29 @@
   rateFactor: 1.5,
   hotAccountShare: 0.8,
 };
-const LONG_AMONG_SHORT: TrafficShape = { ...STEADY, longShare: 0.15 };
+const MIXED_LENGTHS: TrafficShape = { ...STEADY, longShare: 0.15 };
 const OVERLOAD: TrafficShape = { ...STEADY, rateFactor: 2 };
 
 const BURST_START = 0.4;
 const BURST_END = 0.5;
 const MIXED_SEGMENTS = 6;
 
-/** How each pattern is made; the random source decides about `mixed` only. */
+/** Creates each pattern by name; only `mixed` uses the random source. */
 export const PATTERNS = {
-  /** The usual rate all along. */
+  /** The base rate throughout. */
   "steady": (): Pattern => () => STEADY,
-  /** Six times the rate for a tenth of the run. */
+  /** A burst above the base rate in the middle of the run. */
   "burst": (): Pattern => (progress) =>
     progress >= BURST_START && progress < BURST_END ? BURST : STEADY,
-  /** One account sends four of five requests. */
+  /** One account sends most of the requests. */
   "hot-account": (): Pattern => () => HOT_ACCOUNT,
-  /** Every seventh request is many times as long as the others. */
-  "long-among-short": (): Pattern => () => LONG_AMONG_SHORT,
-  /** Twice the usual rate, which should be what the fleet can carry. */
+  /** Some requests are many times as long as the others. */
+  "long-among-short": (): Pattern => () => MIXED_LENGTHS,
+  /** Twice the base rate; set the base rate to the capacity of the fleet. */
   "overload": (): Pattern => () => OVERLOAD,
-  /** Several of these, one after the other. */
+  /** A random sequence of the other patterns. */
   "mixed": (random: Random): Pattern => {
-    const shapes = [STEADY, BURST, HOT_ACCOUNT, LONG_AMONG_SHORT, OVERLOAD];
+    const shapes = [STEADY, BURST, HOT_ACCOUNT, MIXED_LENGTHS, OVERLOAD];
     const segments = Array.from(
       { length: MIXED_SEGMENTS },
       () => random.pick(shapes),
@@ -61,13 +64,13 @@
   },
 } as const satisfies Record<string, (random: Random) => Pattern>;
 
-/** Name of one entry of {@link PATTERNS}. */
+/** Name of a pattern in {@link PATTERNS}. */
 export type PatternName = keyof typeof PATTERNS;
 
 /** The greatest `rateFactor` of any pattern. */
 export const MAXIMUM_RATE_FACTOR = 6;
 
-/** Whether a text names a pattern. */
+/** Whether a string names a pattern. */
 export function isPatternName(name: string): name is PatternName {
   return Object.hasOwn(PATTERNS, name);
 }
--- a/apps/load/src/planCalls.ts
+++ b/apps/load/src/planCalls.ts
@@ -11,20 +11,20 @@
   type TrafficShape,
 } from "./pattern.ts";
 
-/** A client account as the load tool plays it. */
+/** A client account in whose name calls are sent. */
 export interface Caller {
   readonly account: string;
   readonly apiKey: string;
   readonly tiers: readonly Tier[];
 }
 
-/** What the calls ask for. */
+/** Streamed completion, non-streamed (`whole`) completion or plain call. */
 export type CallKind = "streamed" | "whole" | "plain";
 
-/** One request of a run, fixed by the seed. */
+/** One call of a run, determined by the seed. */
 export interface PlannedCall {
   readonly index: number;
-  /** From the start of the run. */
+  /** Time since the start of the run. */
   readonly arrivalOffset: Milliseconds;
   readonly caller: Caller;
   readonly tier: Tier;
@@ -38,7 +38,7 @@
   readonly pattern: PatternName;
   readonly seed: number;
   readonly durationMs: Milliseconds;
-  /** The usual rate, which patterns multiply. */
+  /** Base rate, scaled by the pattern. */
   readonly requestsPerSecond: number;
   readonly callers: readonly Caller[];
   /** Share of calls to plain services. */
@@ -47,32 +47,36 @@
   readonly wholeShare: number;
 }
 
-/** Log-normal lengths; together they spread over a hundredfold. */
+/** Log-normal length distribution. */
 const PROMPT_TOKENS = { median: 120, sigma: 1.1, maximum: 16_000 };
+/** Log-normal length distribution. */
 const OUTPUT_TOKENS = { median: 60, sigma: 0.8, maximum: 2_000 };
-const LONG_FACTOR = 20;
+const LONG_PROMPT_FACTOR = 20;
 const LONG_OUTPUT_FACTOR = 4;
-const SECOND = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Every call of an open-loop run: arrivals do not wait for answers. */
+/**
+ * Plans the calls of an open-loop run, whose arrivals do not wait for
+ * responses.
+ */
 export function planCalls(options: PlanOptions): PlannedCall[] {
   const random = new SeededRandom(options.seed);
   const pattern = PATTERNS[options.pattern](random);
   const maximumRate = options.requestsPerSecond * MAXIMUM_RATE_FACTOR;
   const calls: PlannedCall[] = [];
-  let at = random.exponential(SECOND / maximumRate);
-  while (at < options.durationMs) {
-    const shape = pattern(at / options.durationMs);
-    // Thinning: arrivals at the greatest rate, each kept with its share of it.
+  let arrivalOffset = random.exponential(MILLISECONDS_PER_SECOND / maximumRate);
+  while (arrivalOffset < options.durationMs) {
+    const shape = pattern(arrivalOffset / options.durationMs);
+    // Thinning of a Poisson process at the maximum rate.
     const isKept = random.float() < shape.rateFactor / MAXIMUM_RATE_FACTOR;
     if (isKept) {
       calls.push({
         index: calls.length,
-        arrivalOffset: at,
+        arrivalOffset,
         ...drawCall(random, { shape, options }),
       });
     }
-    at += random.exponential(SECOND / maximumRate);
+    arrivalOffset += random.exponential(MILLISECONDS_PER_SECOND / maximumRate);
   }
   return calls;
 }
@@ -81,8 +85,10 @@
   random: Random,
   { shape, options }: { shape: TrafficShape; options: PlanOptions },
 ): Omit<PlannedCall, "index" | "arrivalOffset"> {
-  const isHot = random.float() < shape.hotAccountShare;
-  const caller = isHot ? options.callers[0]! : random.pick(options.callers);
+  const isHotAccount = random.float() < shape.hotAccountShare;
+  const caller = isHotAccount
+    ? options.callers[0]!
+    : random.pick(options.callers);
   const isLong = random.float() < shape.longShare;
   return {
     caller,
@@ -90,7 +96,7 @@
     kind: drawKind(random, options),
     promptTokens: drawLength(random, {
       ...PROMPT_TOKENS,
-      factor: isLong ? LONG_FACTOR : 1,
+      factor: isLong ? LONG_PROMPT_FACTOR : 1,
     }),
     outputTokens: drawLength(random, {
       ...OUTPUT_TOKENS,
--- a/apps/load/src/problemDocument.ts
+++ b/apps/load/src/problemDocument.ts
@@ -1,6 +1,6 @@
 import type { RequestOutcome } from "@wasabivane/common";
 
-/** What a caller reads from an RFC 9457 problem document. */
+/** Members of an RFC 9457 problem document that the load tool evaluates. */
 export interface ProblemDocument {
   /** Last part of the document's `type`. */
   readonly type: string;
@@ -8,10 +8,10 @@
   readonly status: number;
 }
 
-/** Type of an error answer that is no problem document. */
+/** Type of an error response that is not a problem document. */
 const UNNAMED_TYPE = "unnamed";
 
-/** Reads a problem; whatever does not say "not-run" plainly is unknown. */
+/** Parses a problem document; any `ending` but "not-run" becomes "unknown". */
 export function parseProblemDocument(
   text: string,
   status: number,
--- a/apps/load/src/progressLine.ts
+++ b/apps/load/src/progressLine.ts
@@ -1,8 +1,8 @@
 import type { Milliseconds, Timer } from "@wasabivane/common";
 import type { LoadProgress } from "./runLoad.ts";
 
-/** Runs shorter than this show nothing. */
-const QUIET_MS = 2_000;
+/** Time before the first progress is shown. */
+const SHOW_DELAY_MS = 2_000;
 const REFRESH_MS = 200;
 const CLEAR_LINE = "\r\u001b[K";
 
@@ -13,7 +13,7 @@
   write: (text: string) => void;
 }
 
-/** One line on a terminal that says how far a run is. */
+/** Shows the progress of a run on one terminal line. */
 export class ProgressLine {
   readonly #timer: Timer;
   readonly #write: (text: string) => void;
@@ -28,7 +28,7 @@
 
   show({ planned, sent, ended }: LoadProgress): void {
     const now = this.#timer.now();
-    if (now - this.#startedAt < QUIET_MS) return;
+    if (now - this.#startedAt < SHOW_DELAY_MS) return;
     if (now - this.#shownAt < REFRESH_MS) return;
     this.#shownAt = now;
     this.#write(`${CLEAR_LINE}${ended} of ${planned} ended, ${sent} sent`);
--- a/apps/load/src/resolveLoadOptions.ts
+++ b/apps/load/src/resolveLoadOptions.ts
@@ -5,36 +5,39 @@
 import type { LoadOptions } from "./runLoad.ts";
 import type { LoadSettings } from "./settings.ts";
 
-const SECOND = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What is missing for a run. */
+/** Error of settings that lack a value that a run needs. */
 export interface IncompleteSettings {
   readonly kind: "incomplete";
   readonly detail: string;
 }
 
-/** The options of a run; what the settings leave out comes from their deployment. */
+/**
+ * Resolves the options of a run; missing settings default to those of the
+ * deployment.
+ */
 export function resolveLoadOptions(
   settings: LoadSettings,
 ): Result<LoadOptions, IncompleteSettings> {
-  const example = exampleOf(settings);
-  const callers = firstFilled(settings.callers, example.callers);
-  const models = firstFilled(settings.models, example.models);
-  const plainPaths = firstFilled(settings.plainPaths, example.plainPaths);
+  const defaults = exampleDefaults(settings);
+  const callers = ownOrExample(settings.callers, defaults.callers);
+  const models = ownOrExample(settings.models, defaults.models);
+  const plainPaths = ownOrExample(settings.plainPaths, defaults.plainPaths);
   if (settings.entries.length === 0) return incomplete("Name an entry's url");
   if (callers.length === 0) return incomplete("Name a deployment or callers");
-  // Kinds of calls without a target are left out, so that no call fails for the tool's own fault.
+  // Without a target for a kind of call, no calls of that kind are planned.
   const plainShare = plainPaths.length === 0 ? 0 : settings.plainShare;
   return ok({
     ...settings,
     callers,
     targets: { models, plainPaths },
     plainShare: models.length === 0 ? 1 : plainShare,
-    durationMs: settings.durationSeconds * SECOND,
+    durationMs: settings.durationSeconds * MILLISECONDS_PER_SECOND,
   });
 }
 
-function exampleOf(
+function exampleDefaults(
   { deployment }: LoadSettings,
 ): CallTargets & { callers: readonly Caller[] } {
   if (deployment === undefined) {
@@ -52,11 +55,11 @@
   };
 }
 
-function firstFilled<Item>(
+function ownOrExample<Item>(
   own: readonly Item[],
-  example: readonly Item[],
+  defaults: readonly Item[],
 ): readonly Item[] {
-  return own.length > 0 ? own : example;
+  return own.length > 0 ? own : defaults;
 }
 
 function incomplete(detail: string): Result<never, IncompleteSettings> {
--- a/apps/load/src/runLoad.ts
+++ b/apps/load/src/runLoad.ts
@@ -14,14 +14,14 @@
 import { TokenLatencyRecorder } from "./tokenLatencyRecorder.ts";
 import { uuidV7 } from "./uuidV7.ts";
 
-/** How far a run is. */
+/** Number of planned, sent and ended calls. */
 export interface LoadProgress {
   readonly planned: number;
   readonly sent: number;
   readonly ended: number;
 }
 
-/** How one call ended, after all its resends. */
+/** A call with its outcome after all resends. */
 export interface EndedCall {
   readonly call: PlannedCall;
   readonly idempotencyKey: string;
@@ -30,31 +30,34 @@
 
 /** Options of {@link runLoad}. */
 export interface LoadOptions extends PlanOptions {
-  /** Base urls of the entries, which take turns as behind a balancer. */
+  /** Base URLs of the entries, used in round-robin order. */
   readonly entries: readonly string[];
   readonly targets: CallTargets;
-  /** Deadline that callers set; the tier's own when left out. */
+  /** Deadline of each call; defaults to that of its tier. */
   readonly deadlineMs?: Milliseconds | undefined;
-  /** Resends of one call after broken connections, each through the next entry. */
+  /** Resends per call after broken connections, each through the next entry. */
   readonly maximumResends?: number;
-  /** Silence after which a caller gives a connection up. */
+  /** Idle time after which a connection is closed. */
   readonly idleTimeoutMs?: Milliseconds;
   readonly timer?: Timer;
   readonly random?: Random;
-  /** Called after each change. */
+  /** Called after each ended call. */
   readonly onProgress?: ((progress: LoadProgress) => void) | undefined;
-  /** Called once for each call. */
+  /** Called once per call. */
   readonly onEnd?: ((ended: EndedCall) => void) | undefined;
 }
 
 const RESEND_DELAY_MS = 100;
 
-/** Sends a pattern of load to running entries and says what the callers received. */
+/**
+ * Sends a load pattern to running entries and reports what the callers
+ * received.
+ */
 export async function runLoad(options: LoadOptions): Promise<LoadReport> {
-  const silenceMs = options.idleTimeoutMs ?? 120_000;
+  const idleTimeoutMs = options.idleTimeoutMs ?? 120_000;
   const dispatcher = new Agent({
-    headersTimeout: silenceMs,
-    bodyTimeout: silenceMs,
+    headersTimeout: idleTimeoutMs,
+    bodyTimeout: idleTimeoutMs,
   });
   try {
     return await new LoadRun(options, dispatcher).run();
@@ -69,11 +72,11 @@
   readonly #timer: Timer;
   readonly #random: Random;
   readonly #calls: PlannedCall[];
-  readonly #tallies = new Map<number, TierStats>();
+  readonly #statsByTier = new Map<number, TierStats>();
   #sent = 0;
   #ended = 0;
   #resends = 0;
-  #turn = 0;
+  #nextEntryIndex = 0;
 
   constructor(options: LoadOptions, dispatcher: Agent) {
     this.#options = options;
@@ -86,7 +89,9 @@
   async run(): Promise<LoadReport> {
     const startedAt = this.#timer.now();
     await Promise.all(this.#calls.map((call) => this.#runCall(call)));
-    const tallies = [...this.#tallies].sort(([left], [right]) => left - right);
+    const tiers = [...this.#statsByTier].sort(([left], [right]) =>
+      left - right
+    );
     return {
       pattern: this.#options.pattern,
       seed: this.#options.seed,
@@ -94,56 +99,59 @@
       offered: this.#calls.length,
       resends: this.#resends,
       tiers: Object.fromEntries(
-        tallies.map(([tier, tally]) => [tier, tally.createReport()]),
+        tiers.map(([tier, stats]) => [tier, stats.createReport()]),
       ),
     };
   }
 
   async #runCall(call: PlannedCall): Promise<void> {
     await sleep(this.#timer, call.arrivalOffset);
-    const tally = this.#tallyOf(call);
+    const stats = this.#statsOf(call);
     const startedAt = this.#timer.now();
     this.#sent++;
-    tally.offered++;
-    const ending = await this.#sendUntilEnded(call, tally);
-    tally.recordOutcome(ending, this.#timer.now() - startedAt);
+    stats.offered++;
+    const outcome = await this.#sendUntilEnded(call, stats);
+    stats.recordOutcome(outcome, this.#timer.now() - startedAt);
     this.#ended++;
-    this.#tellProgress();
+    this.#reportProgress();
   }
 
-  /** Resends under the same key, so that a resend joins what is running. */
+  /**
+   * Resends under the same idempotency key, so that entries can deduplicate the
+   * call.
+   */
   async #sendUntilEnded(
     call: PlannedCall,
-    tally: TierStats,
+    stats: TierStats,
   ): Promise<CallOutcome> {
     const { entries, targets, seed, maximumResends = 3 } = this.#options;
-    const turn = this.#turn++;
-    const body = createCallRequest(call, { targets, seed });
-    const headers = this.#headersOf(call);
-    const clock = new TokenLatencyRecorder(
+    const firstEntryIndex = this.#nextEntryIndex++;
+    const request = createCallRequest(call, { targets, seed });
+    const headers = this.#createHeaders(call);
+    const recorder = new TokenLatencyRecorder(
       this.#timer,
-      (time) => tally.recordTokenLatency(time),
+      (latency) => stats.recordTokenLatency(latency),
     );
     for (let resend = 0;; resend++) {
-      const ending = await sendAttempt({
-        entry: entries[(turn + resend) % entries.length]!,
+      const outcome = await sendAttempt({
+        entry: entries[(firstEntryIndex + resend) % entries.length]!,
         call,
-        request: body,
+        request,
         headers,
         dispatcher: this.#dispatcher,
-        onToken: clock.startAttempt(),
+        onToken: recorder.startAttempt(),
       });
-      if (ending.kind !== "broken" || resend === maximumResends) {
-        const key = headers["idempotency-key"]!;
-        this.#options.onEnd?.({ call, idempotencyKey: key, outcome: ending });
-        return ending;
+      if (outcome.kind !== "broken" || resend === maximumResends) {
+        const idempotencyKey = headers["idempotency-key"]!;
+        this.#options.onEnd?.({ call, idempotencyKey, outcome });
+        return outcome;
       }
       this.#resends++;
       await sleep(this.#timer, RESEND_DELAY_MS);
     }
   }
 
-  #headersOf(call: PlannedCall): Record<string, string> {
+  #createHeaders(call: PlannedCall): Record<string, string> {
     const { deadlineMs } = this.#options;
     return {
       "authorization": `Bearer ${call.caller.apiKey}`,
@@ -155,13 +163,13 @@
     };
   }
 
-  #tallyOf({ tier }: PlannedCall): TierStats {
-    const tally = this.#tallies.get(tier) ?? new TierStats();
-    this.#tallies.set(tier, tally);
-    return tally;
+  #statsOf({ tier }: PlannedCall): TierStats {
+    const stats = this.#statsByTier.get(tier) ?? new TierStats();
+    this.#statsByTier.set(tier, stats);
+    return stats;
   }
 
-  #tellProgress(): void {
+  #reportProgress(): void {
     this.#options.onProgress?.({
       planned: this.#calls.length,
       sent: this.#sent,
--- a/apps/load/src/sendAttempt.ts
+++ b/apps/load/src/sendAttempt.ts
@@ -1,5 +1,5 @@
 import { expectedResponse } from "@wasabivane/engine-model";
-import { type Dispatcher, request } from "undici";
+import { type Dispatcher, request as sendRequest } from "undici";
 import type { CallRequest } from "./callRequest.ts";
 import {
   parseProblemDocument,
@@ -8,32 +8,35 @@
 import { ServerSentEventParser } from "./serverSentEventParser.ts";
 import type { PlannedCall } from "./planCalls.ts";
 
-/** How one attempt of a call ended, judged by what arrived. */
+/** Outcome of a call, judged by what the caller received. */
 export type CallOutcome =
   | { readonly kind: "whole" }
-  /** The answer ended as if it were whole, but part of it is missing. */
+  /** The response ended without an error, but part of it is missing. */
   | { readonly kind: "cut" }
-  /** The answer has content that belongs to another call. */
+  /** The response has content of another call. */
   | { readonly kind: "crossed" }
   | { readonly kind: "problem"; readonly problem: ProblemDocument }
-  /** The connection broke; a resend may find out what became of the call. */
+  /** The connection broke, so that the outcome is unknown. */
   | { readonly kind: "broken"; readonly detail: string };
 
-/** One attempt to send. */
+/** Options of {@link sendAttempt}. */
 export interface AttemptOptions {
-  /** Base url of the entry. */
+  /** Base URL of the entry. */
   readonly entry: string;
   readonly call: PlannedCall;
   readonly request: CallRequest;
   readonly headers: Readonly<Record<string, string>>;
   readonly dispatcher: Dispatcher;
-  /** Called for each token of a streamed answer. */
+  /** Called for each token of a streamed response. */
   readonly onToken: () => void;
 }
 
-const DONE = "[DONE]";
+const END_MARK = "[DONE]";
 
-/** Sends a call once and checks its answer against what the stand-ins answer. */
+/**
+ * Sends a call once and compares the response with the expected one of the
+ * stand-ins.
+ */
 export async function sendAttempt(
   attempt: AttemptOptions,
 ): Promise<CallOutcome> {
@@ -46,21 +49,21 @@
 }
 
 async function receive(attempt: AttemptOptions): Promise<CallOutcome> {
-  const { entry, call, request: body, headers, dispatcher } = attempt;
-  const answer = await request(`${entry}${body.path}`, {
-    method: body.method,
+  const { entry, call, request, headers, dispatcher } = attempt;
+  const response = await sendRequest(`${entry}${request.path}`, {
+    method: request.method,
     headers: { "content-type": "application/json", ...headers },
-    body: body.body,
+    body: request.body,
     dispatcher,
   });
-  const type = String(answer.headers["content-type"] ?? "");
-  const isStream = type.startsWith("text/event-stream");
+  const contentType = String(response.headers["content-type"] ?? "");
+  const isStream = contentType.startsWith("text/event-stream");
   if (isStream && call.kind === "streamed") {
-    return await receiveStream(answer.body, attempt);
+    return await receiveStream(response.body, attempt);
   }
-  const text = await answer.body.text();
-  if (answer.statusCode >= 400) {
-    const problem = parseProblemDocument(text, answer.statusCode);
+  const text = await response.body.text();
+  if (response.statusCode >= 400) {
+    const problem = parseProblemDocument(text, response.statusCode);
     return { kind: "problem", problem };
   }
   return call.kind === "plain"
@@ -70,71 +73,73 @@
 
 async function receiveStream(
   parts: AsyncIterable<Uint8Array>,
-  { call, request: body, onToken }: AttemptOptions,
+  { call, request, onToken }: AttemptOptions,
 ): Promise<CallOutcome> {
-  const events = new ServerSentEventParser();
+  const parser = new ServerSentEventParser();
   let text = "";
   let isDone = false;
   for await (const part of parts) {
-    for (const { name, data } of events.feed(part)) {
+    for (const { name, data } of parser.feed(part)) {
       if (name === "error") {
         return { kind: "problem", problem: parseProblemDocument(data, 200) };
       }
-      // An answer that goes on after its end mark holds something foreign.
+      // Content after the end mark cannot belong to this call.
       if (isDone) return { kind: "crossed" };
-      isDone = data === DONE;
-      const token = isDone ? "" : tokenOf(data);
+      isDone = data === END_MARK;
+      const token = isDone ? "" : parseToken(data);
       if (token !== "") onToken();
       text += token;
     }
   }
-  return judge(text, { call, body, isEnded: isDone });
+  return compareWithExpected(text, { call, request, isEnded: isDone });
 }
 
 function checkCompletion(
   text: string,
-  { call, request: body }: AttemptOptions,
+  { call, request }: AttemptOptions,
 ): CallOutcome {
-  const completion = parse(text) as
+  const completion = parseJson(text) as
     | { choices?: { message?: { content?: string } }[] }
     | undefined;
   const content = completion?.choices?.[0]?.message?.content;
   if (content === undefined) return { kind: "cut" };
-  return judge(content, { call, body, isEnded: true });
+  return compareWithExpected(content, { call, request, isEnded: true });
 }
 
 function checkEcho(
   text: string,
-  { request: body }: AttemptOptions,
+  { request }: AttemptOptions,
 ): CallOutcome {
-  const echo = parse(text) as { body?: string; path?: string } | undefined;
+  const echo = parseJson(text) as { body?: string; path?: string } | undefined;
   if (echo === undefined) return { kind: "cut" };
-  const isOwn = echo.body === body.body && echo.path === body.path;
+  const isOwn = echo.body === request.body && echo.path === request.path;
   return { kind: isOwn ? "whole" : "crossed" };
 }
 
-/** A part of the expected answer is cut; anything else is another call's. */
-function judge(
+/**
+ * A prefix of the expected response is cut; any other difference is crossed.
+ */
+function compareWithExpected(
   text: string,
-  { call, body, isEnded }: {
+  { call, request, isEnded }: {
     call: PlannedCall;
-    body: CallRequest;
+    request: CallRequest;
     isEnded: boolean;
   },
 ): CallOutcome {
-  const expected = expectedResponse(body.prompt, call.outputTokens);
+  const expected = expectedResponse(request.prompt, call.outputTokens);
   if (text === expected) return { kind: isEnded ? "whole" : "cut" };
   return { kind: expected.startsWith(text) ? "cut" : "crossed" };
 }
 
-function tokenOf(data: string): string {
-  const chunk = parse(data) as
+function parseToken(data: string): string {
+  const chunk = parseJson(data) as
     | { choices?: { delta?: { content?: string } }[] }
     | undefined;
   return chunk?.choices?.[0]?.delta?.content ?? "";
 }
 
-function parse(text: string): unknown {
+function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
   } catch {
--- a/apps/load/src/serverSentEventParser.ts
+++ b/apps/load/src/serverSentEventParser.ts
@@ -1,27 +1,27 @@
 /** One server-sent event. */
 export interface ServerSentEvent {
-  /** `message` when the event names none. */
+  /** Event type; `message` by default. */
   readonly name: string;
   readonly data: string;
 }
 
 const EVENT_END = /\r?\n\r?\n/;
 
-/** Cuts a byte stream into its events; a half event waits for its rest. */
+/** Parses a byte stream into events; buffers an incomplete event. */
 export class ServerSentEventParser {
   readonly #decoder = new TextDecoder();
-  #rest = "";
+  #buffer = "";
 
-  /** The events that are complete with this part. */
+  /** Adds a chunk and returns the events that it completes. */
   feed(part: Uint8Array): ServerSentEvent[] {
-    this.#rest += this.#decoder.decode(part, { stream: true });
-    const blocks = this.#rest.split(EVENT_END);
-    this.#rest = blocks.pop()!;
-    return blocks.map(readEvent);
+    this.#buffer += this.#decoder.decode(part, { stream: true });
+    const blocks = this.#buffer.split(EVENT_END);
+    this.#buffer = blocks.pop()!;
+    return blocks.map(parseEvent);
   }
 }
 
-function readEvent(block: string): ServerSentEvent {
+function parseEvent(block: string): ServerSentEvent {
   let name = "message";
   const data: string[] = [];
   for (const line of block.split(/\r?\n/)) {
--- a/apps/load/src/settings.ts
+++ b/apps/load/src/settings.ts
@@ -13,11 +13,16 @@
   tiers: z.array(tier).min(1),
 });
 
-/** Settings of `wasabivane-load`; flags of the command line go before them. */
+/**
+ * Schema of the `wasabivane-load` settings; command-line flags override them.
+ */
 export const loadSettingsSchema = z.strictObject({
-  /** Base urls of the entries' caller ports. */
+  /** Base URLs of the entries' caller ports. */
   entries: z.array(url).max(1_000).default([]),
-  /** Takes accounts with their demo keys, models and paths from an example bundle. */
+  /**
+   * Example bundle that provides default accounts with demo keys, models and
+   * paths.
+   */
   deployment: z.enum(EXAMPLE_DEPLOYMENTS).optional(),
   callers: z.array(callerSchema).default([]),
   models: z.array(z.string().min(1).max(128)).default([]),
@@ -25,14 +30,14 @@
   pattern: z.enum(patterns).default("steady"),
   seed: z.number().int().min(0).default(1),
   durationSeconds: z.number().positive().max(86_400).default(10),
-  /** The usual rate, which patterns multiply. */
+  /** Base rate, scaled by the pattern. */
   requestsPerSecond: z.number().positive().max(10_000).default(20),
   plainShare: share.default(0.1),
   wholeShare: share.default(0.2),
-  /** Deadline that callers set; each tier's own when left out. */
+  /** Deadline of each call; defaults to that of its tier. */
   deadlineMs: z.number().int().min(1).optional(),
   maximumResends: z.number().int().min(0).max(20).default(3),
 });
 
-/** Checked settings of `wasabivane-load`. */
+/** Validated settings of `wasabivane-load`. */
 export type LoadSettings = z.infer<typeof loadSettingsSchema>;
--- a/apps/load/src/tokenLatencyRecorder.ts
+++ b/apps/load/src/tokenLatencyRecorder.ts
@@ -1,36 +1,46 @@
 import type { Milliseconds, Timer } from "@wasabivane/common";
 
-/** How long a caller waited for one token. */
+/**
+ * Time that a caller waited for one token, since the token before or the start
+ * of the call.
+ */
 export interface TokenLatency {
   readonly isFirst: boolean;
   readonly ms: Milliseconds;
 }
 
-/** Called for each token that arrived for the first time. */
-export type TokenLatencyListener = (time: TokenLatency) => void;
+/** Called for each token, but not for tokens that a resend repeats. */
+export type TokenLatencyListener = (latency: TokenLatency) => void;
 
-/** Measures one call's tokens; what a resend repeats is not measured again. */
+/**
+ * Measures the token latencies of one call; skips tokens that a resend repeats.
+ */
 export class TokenLatencyRecorder {
   readonly #timer: Timer;
   readonly #listener: TokenLatencyListener;
-  #seen = 0;
-  #lastAt: Milliseconds;
+  #tokenCount = 0;
+  #lastTokenAt: Milliseconds;
 
   constructor(timer: Timer, listener: TokenLatencyListener) {
     this.#timer = timer;
     this.#listener = listener;
-    this.#lastAt = timer.now();
+    this.#lastTokenAt = timer.now();
   }
 
-  /** Starts an attempt; call what it returns for each of its tokens. */
+  /**
+   * Starts an attempt and returns the callback to call for each of its tokens.
+   */
   startAttempt(): () => void {
     let position = 0;
     return () => {
-      if (++position <= this.#seen) return;
+      if (++position <= this.#tokenCount) return;
       const now = this.#timer.now();
-      this.#listener({ isFirst: this.#seen === 0, ms: now - this.#lastAt });
-      this.#seen = position;
-      this.#lastAt = now;
+      this.#listener({
+        isFirst: this.#tokenCount === 0,
+        ms: now - this.#lastTokenAt,
+      });
+      this.#tokenCount = position;
+      this.#lastTokenAt = now;
     };
   }
 }
--- a/apps/load/src/uuidV7.ts
+++ b/apps/load/src/uuidV7.ts
@@ -3,7 +3,7 @@
 const TIME_DIGITS = 12;
 const VARIANT_BITS = 0x8;
 
-/** A UUID of version 7 (RFC 9562): the time of issue first, then random bits. */
+/** Creates a version 7 UUID (RFC 9562) from a timestamp and random bits. */
 export function uuidV7(now: EpochMilliseconds, random: Random): string {
   const time = Math.floor(now).toString(16).padStart(TIME_DIGITS, "0");
   const bits = random.hex(10);
--- a/apps/load/tests/helpers/fakeEntry.ts
+++ b/apps/load/tests/helpers/fakeEntry.ts
@@ -7,28 +7,28 @@
   responseToken,
 } from "@wasabivane/engine-model";
 
-/** One request as a fake entry got it. */
+/** One request that reached a fake entry. */
 export interface ReceivedRequest {
   readonly path: string;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: string;
-  /** Prompt of a completion, empty for plain calls. */
+  /** Prompt of a completion; empty for plain calls. */
   readonly prompt: string;
   readonly isStreamed: boolean;
 }
 
-/** Answers one request in a true or a faulty way. */
+/** Responds to one request, correctly or with a fault. */
 export type EntryBehavior = (
   request: ReceivedRequest,
-  answer: ServerResponse,
+  outgoing: ServerResponse,
 ) => void;
 
-/** An entry that answers as a test tells it. */
+/** HTTP server that stands in for an entry with a given behavior. */
 export class FakeEntry {
   readonly received: ReceivedRequest[] = [];
   readonly #server: Server;
 
-  constructor(behaviour: EntryBehavior) {
+  constructor(behavior: EntryBehavior) {
     this.#server = createServer((incoming, outgoing) => {
       let body = "";
       incoming.setEncoding("utf8").on("data", (part) => body += part);
@@ -42,7 +42,7 @@
           isStreamed: chat.stream === true,
         };
         this.received.push(request);
-        behaviour(request, outgoing);
+        behavior(request, outgoing);
       });
     });
   }
@@ -60,7 +60,7 @@
   }
 }
 
-/** Answers as an entry before stand-ins does. */
+/** Sends the complete expected response. */
 export function respondCompletely(
   request: ReceivedRequest,
   outgoing: ServerResponse,
@@ -68,7 +68,7 @@
   if (request.isStreamed) {
     sendTokens(request.prompt, outgoing);
     outgoing.end("data: [DONE]\n\n");
-  } else outgoing.end(JSON.stringify(bodyOf(request)));
+  } else outgoing.end(JSON.stringify(createBody(request)));
 }
 
 /** Ends a stream without its end mark. */
@@ -80,7 +80,7 @@
   outgoing.end();
 }
 
-/** Answers somebody else's prompt. */
+/** Sends the response to another prompt. */
 export function respondToOtherPrompt(
   request: ReceivedRequest,
   outgoing: ServerResponse,
@@ -114,7 +114,7 @@
   );
 }
 
-/** Refuses without a run. */
+/** Refuses the request as not run. */
 export function refuseRequest(
   _request: ReceivedRequest,
   outgoing: ServerResponse,
@@ -127,7 +127,7 @@
   }));
 }
 
-function bodyOf(request: ReceivedRequest): unknown {
+function createBody(request: ReceivedRequest): unknown {
   const { prompt, path, body } = request;
   if (prompt === "") return { path, body };
   const content = expectedResponse(prompt, responseLength(prompt));
--- a/apps/load/tests/plan.test.ts
+++ b/apps/load/tests/plan.test.ts
@@ -8,7 +8,7 @@
   tiers: [asTier(1), asTier(3)],
 }));
 
-function optionsOf(options: Partial<PlanOptions> = {}): PlanOptions {
+function createOptions(options: Partial<PlanOptions> = {}): PlanOptions {
   return {
     pattern: "steady",
     seed: 11,
@@ -21,29 +21,32 @@
   };
 }
 
-test("a seed fixes every call, another seed gives others", (t) => {
-  const plan = planCalls(optionsOf({ pattern: "mixed" }));
-  t.deepEqual(planCalls(optionsOf({ pattern: "mixed" })), plan);
-  t.notDeepEqual(planCalls(optionsOf({ pattern: "mixed", seed: 12 })), plan);
+test("the same seed gives the same plan, another seed a different one", (t) => {
+  const plan = planCalls(createOptions({ pattern: "mixed" }));
+  t.deepEqual(planCalls(createOptions({ pattern: "mixed" })), plan);
+  t.notDeepEqual(
+    planCalls(createOptions({ pattern: "mixed", seed: 12 })),
+    plan,
+  );
 });
 
-test("patterns differ as they are described", (t) => {
-  const steady = planCalls(optionsOf());
-  const overload = planCalls(optionsOf({ pattern: "overload" }));
+test("patterns change rate, account share and lengths as specified", (t) => {
+  const steady = planCalls(createOptions());
+  const overload = planCalls(createOptions({ pattern: "overload" }));
   t.true(Math.abs(overload.length / steady.length - 2) < 0.2);
-  const hot = planCalls(optionsOf({ pattern: "hot-account" }));
+  const hot = planCalls(createOptions({ pattern: "hot-account" }));
   const ofLarge = hot.filter(({ caller }) => caller.account === "large");
   t.true(ofLarge.length > 0.75 * hot.length);
-  const burst = planCalls(optionsOf({ pattern: "burst" }));
-  const inBurst = burst.filter(({ arrivalOffset: at }) =>
-    at >= 24_000 && at < 30_000
+  const burst = planCalls(createOptions({ pattern: "burst" }));
+  const inBurst = burst.filter(({ arrivalOffset }) =>
+    arrivalOffset >= 24_000 && arrivalOffset < 30_000
   );
   t.true(inBurst.length > 4 * steady.length / 10);
   const prompts = steady.map(({ promptTokens }) => promptTokens);
   t.true(Math.max(...prompts) > 100 * Math.min(...prompts));
 });
 
-test("keys are version 7 and carry their time of issue", (t) => {
+test("keys are version 7 UUIDs that contain their timestamp", (t) => {
   const now = 1_800_000_000_123;
   const key = uuidV7(now, new SeededRandom(1));
   t.regex(
--- a/apps/load/tests/runLoad.test.ts
+++ b/apps/load/tests/runLoad.test.ts
@@ -12,22 +12,22 @@
   respondWithoutEndMark,
 } from "./helpers/fakeEntry.ts";
 
-interface Run {
+interface LoadResult {
   entries: FakeEntry[];
   report: LoadReport;
   tier: TierReport;
 }
 
-/** Sends a short run to entries that behave so. */
+/** Runs a short load against fake entries with the given behaviors. */
 async function loadEntries(
   t: ExecutionContext,
-  { behaviours, plainShare = 0, wholeShare = 0 }: {
-    behaviours: EntryBehavior[];
+  { behaviors, plainShare = 0, wholeShare = 0 }: {
+    behaviors: EntryBehavior[];
     plainShare?: number;
     wholeShare?: number;
   },
-): Promise<Run> {
-  const entries = behaviours.map((behaviour) => new FakeEntry(behaviour));
+): Promise<LoadResult> {
+  const entries = behaviors.map((behavior) => new FakeEntry(behavior));
   t.teardown(() => entries.forEach((entry) => entry.stop()));
   const report = await runLoad({
     entries: await Promise.all(entries.map((entry) => entry.start())),
@@ -44,9 +44,9 @@
   return { entries, report, tier: report.tiers["2"]! };
 }
 
-test("whole answers of every kind are counted, round robin over the entries", async (t) => {
+test("complete responses of every kind are counted, round robin over the entries", async (t) => {
   const { entries, report, tier } = await loadEntries(t, {
-    behaviours: [respondCompletely, respondCompletely],
+    behaviors: [respondCompletely, respondCompletely],
     plainShare: 0.3,
     wholeShare: 0.5,
   });
@@ -54,7 +54,7 @@
   t.is(tier.whole, report.offered);
   t.is(tier.wholeMs.count, report.offered);
   t.true(tier.firstTokenMs.count > 0);
-  const [first, second] = entries.map(({ received: seen }) => seen.length);
+  const [first, second] = entries.map(({ received }) => received.length);
   t.true(Math.abs(first! - second!) <= 1);
   t.like(entries[0]!.received[0]!.headers, {
     "authorization": "Bearer secret",
@@ -63,45 +63,44 @@
   });
 });
 
-// An entry must never let a part pass for the whole, nor give a caller what
-// belongs to another. The tool has to see both, or no run proves anything.
-test("cut and crossed answers are seen", async (t) => {
-  const cut = await loadEntries(t, { behaviours: [respondWithoutEndMark] });
+// Guards against a load tool that reports a faulty gateway as correct.
+test("cut and crossed responses are detected", async (t) => {
+  const cut = await loadEntries(t, { behaviors: [respondWithoutEndMark] });
   t.is(cut.tier.cut, cut.report.offered);
-  const crossed = await loadEntries(t, { behaviours: [respondToOtherPrompt] });
+  const crossed = await loadEntries(t, { behaviors: [respondToOtherPrompt] });
   t.is(crossed.tier.crossed, crossed.report.offered);
   const wholeCrossed = await loadEntries(t, {
-    behaviours: [respondToOtherPrompt],
+    behaviors: [respondToOtherPrompt],
     wholeShare: 1,
   });
   t.is(wholeCrossed.tier.crossed, wholeCrossed.report.offered);
 });
 
-test("refusals and broken answers are counted by what they say", async (t) => {
-  const refused = await loadEntries(t, { behaviours: [refuseRequest] });
+test("refusals and error events are counted by problem type", async (t) => {
+  const refused = await loadEntries(t, { behaviors: [refuseRequest] });
   t.deepEqual(refused.tier.notRun, { shed: refused.report.offered });
-  const broken = await loadEntries(t, { behaviours: [respondWithErrorEvent] });
+  const broken = await loadEntries(t, { behaviors: [respondWithErrorEvent] });
   t.deepEqual(broken.tier.unknown, { "answer-broken": broken.report.offered });
 });
 
-// The first entry dies under the caller, who sends the same call through the
-// next one; its key must be the same, and repeated tokens are not measured twice.
+// Guards against a resend under another key, and against measuring repeated
+// tokens twice.
 test("a broken connection is resent through another entry with the same key", async (t) => {
   const { entries, report, tier } = await loadEntries(t, {
-    behaviours: [breakConnection, respondCompletely],
+    behaviors: [breakConnection, respondCompletely],
   });
   t.is(tier.whole, report.offered);
   t.true(report.resends > 0);
   t.is(tier.firstTokenMs.count, report.offered);
-  const keys = entries.map(({ received: seen }) =>
-    new Set(seen.map(({ headers }) => headers["idempotency-key"]))
+  const keys = entries.map(({ received }) =>
+    new Set(received.map(({ headers }) => headers["idempotency-key"]))
   );
   t.true([...keys[0]!].every((key) => keys[1]!.has(key)));
 });
 
-test("a call that stays broken ends unknown", async (t) => {
+test("a call whose resends all break has an unknown outcome", async (t) => {
   const { report, tier } = await loadEntries(t, {
-    behaviours: [breakConnection],
+    behaviors: [breakConnection],
   });
   t.deepEqual(tier.unknown, { "connection-broken": report.offered });
 });
--- a/apps/load/tests/settings.test.ts
+++ b/apps/load/tests/settings.test.ts
@@ -7,7 +7,7 @@
   resolveLoadOptions,
 } from "@wasabivane/load";
 
-test("flags and an example deployment make a run", (t) => {
+test("flags and an example deployment give complete options", (t) => {
   const settings = readLoadSettings({
     entry: "http://127.0.0.1:9001",
     deployment: "cairo",
@@ -25,7 +25,7 @@
   t.is(options.callers.length, 5);
 });
 
-test("a wrong flag is told with what is allowed, a missing one by name", (t) => {
+test("a wrong flag is reported with the allowed values, a missing one by name", (t) => {
   const [error] = readLoadSettings({ pattern: "burts" })._unsafeUnwrapErr();
   t.like(error, { file: "command line", path: "pattern" });
   t.regex(error!.allowed, /did you mean "burst"/);
@@ -36,7 +36,7 @@
   );
 });
 
-test("the table has a row for each tier and the reasons below", (t) => {
+test("the table has a row for each tier, followed by the problem types", (t) => {
   const times = { count: 1, p50: 1, p95: 2, p99: 3, maximum: 3 };
   const lines = formatLoadReport({
     pattern: "steady",
@@ -63,7 +63,7 @@
   t.is(lines[3], "tier 1: shed 2 (not run), answer-broken 1 (unknown)");
 });
 
-test("progress shows only on runs over two seconds, and not too often", (t) => {
+test("progress is shown after a delay and at a limited rate", (t) => {
   const timer = new VirtualTimer();
   const written: string[] = [];
   const line = new ProgressLine({ timer, write: (text) => written.push(text) });
