--- a/packages/proof/scenarios/keeperDies.ts
+++ b/packages/proof/scenarios/coordinatorDies.ts
@@ -4,7 +4,7 @@
 // its place, the host that keeps the drafting pool, entry-4, dies. The
 // running draft goes on, because streams never pass the keeper; the waiting one
 // is asked for again at the next keeper. Both callers get whole drafts.
-export const KEEPER_DIES: FaultScenario = {
+export const COORDINATOR_DIES: FaultScenario = {
   name: "keeperDies",
   concurrency: 1,
   requests: {
--- a/packages/proof/scenarios/plannedStopCutsNothing.ts
+++ b/packages/proof/scenarios/gracefulStopCompletesWork.ts
@@ -4,7 +4,7 @@
 // for its answer and a review was just accepted there. The draft and the save
 // end whole on their own connections; the review is handed over, and its caller
 // fetches it from another host.
-export const PLANNED_STOP_CUTS_NOTHING: FaultScenario = {
+export const GRACEFUL_STOP_COMPLETES_WORK: FaultScenario = {
   name: "plannedStopCutsNothing",
   requests: {
     "draft-1": { kind: "draft", tokens: 200 },
--- a/packages/proof/scenarios/freshHostMeetsStaleService.ts
+++ b/packages/proof/scenarios/hostRestartsWithStaleService.ts
@@ -3,7 +3,7 @@
 // The configuration service falls back to an old state after a roll, and a
 // host restarts. The service offers the fresh host the old bundle; its peers
 // have the newer one in force, and the host takes that and nothing older.
-export const FRESH_HOST_MEETS_STALE_SERVICE: FaultScenario = {
+export const HOST_RESTARTS_WITH_STALE_SERVICE: FaultScenario = {
   name: "freshHostMeetsStaleService",
   requests: { "draft-1": { kind: "draft", hasKey: false } },
   story: [
--- a/packages/proof/scenarios/hostPausedAnHourWakesBelievingItsOldView.ts
+++ b/packages/proof/scenarios/hostResumesWithStaleView.ts
@@ -5,7 +5,7 @@
 // paused process has sent it, so they say "unknown". When the paused hosts wake
 // they believe that no time has passed, but they run nothing more: the deadline
 // is long over, and the key is no longer theirs to use.
-export const HOST_PAUSED_AN_HOUR_WAKES_BELIEVING_ITS_OLD_VIEW: FaultScenario = {
+export const HOST_RESUMES_WITH_STALE_VIEW: FaultScenario = {
   name: "hostPausedAnHourWakesBelievingItsOldView",
   requests: { "save-1": { kind: "save" }, "save-2": { kind: "save" } },
   story: [
--- a/packages/proof/scenarios/hostPausedAnHourWakesWithAJob.ts
+++ b/packages/proof/scenarios/jobHolderResumesAfterTakeover.ts
@@ -4,7 +4,7 @@
 // The copies wait, agree that it can no longer dispatch, and run the job. When
 // the holder wakes it still believes that the job is its own; it must ask the
 // copies before it sends a byte, and learns that the job has run.
-export const HOST_PAUSED_AN_HOUR_WAKES_WITH_A_JOB: FaultScenario = {
+export const JOB_HOLDER_RESUMES_AFTER_TAKEOVER: FaultScenario = {
   name: "hostPausedAnHourWakesWithAJob",
   requests: { "export-1": { kind: "export", deadlineMs: 60_000 } },
   story: [
--- a/packages/proof/scenarios/lateAnswerAfterCancel.ts
+++ b/packages/proof/scenarios/lateResponseAfterCancel.ts
@@ -3,7 +3,7 @@
 // A caller hangs up while a slow engine works, and the engine answers later all
 // the same. The next callers of that engine get their own answers; the late one
 // reaches nobody.
-export const LATE_ANSWER_AFTER_CANCEL: FaultScenario = {
+export const LATE_RESPONSE_AFTER_CANCEL: FaultScenario = {
   name: "lateAnswerAfterCancel",
   requests: {
     "draft-1": { kind: "draft", hasKey: false, tokens: 40 },
--- a/packages/proof/scenarios/crossedAnswers.ts
+++ b/packages/proof/scenarios/misroutedResponses.ts
@@ -3,7 +3,7 @@
 // Upstreams mix up their answers: one gives the answer of another request, one
 // puts another request's text under the right head. Both callers are told that
 // their ending is unknown, and neither sees a word of the other's answer.
-export const CROSSED_ANSWERS: FaultScenario = {
+export const MISROUTED_RESPONSES: FaultScenario = {
   name: "crossedAnswers",
   requests: {
     "draft-1": { kind: "draft" },
--- a/packages/proof/scenarios/strandedJobIsToldInWords.ts
+++ b/packages/proof/scenarios/strandedJobReportedUnknown.ts
@@ -4,7 +4,7 @@
 // once and come back without memory of it. Its holder can no longer get leave
 // to dispatch, and cannot know whether a copy got it before it died. The caller
 // who fetches the job is told in words that its ending is unknown.
-export const STRANDED_JOB_IS_TOLD_IN_WORDS: FaultScenario = {
+export const STRANDED_JOB_REPORTED_UNKNOWN: FaultScenario = {
   name: "strandedJobIsToldInWords",
   requests: { "export-1": { kind: "export", deadlineMs: 40_000 } },
   story: [
--- a/packages/proof/src/spanFill.ts
+++ b/packages/proof/src/allocateGreedily.ts
@@ -1,5 +1,5 @@
 /** Work that must be done between two slots of time, both included. */
-export interface SpanJob {
+export interface WindowedJob {
   readonly work: number;
   readonly release: number;
   readonly due: number;
@@ -11,8 +11,8 @@
  * times form a polymatroid, so that this greedy order is the optimum. A set of
  * jobs fits when each span of slots has room for the jobs that lie within it.
  */
-export function fillSpans(
-  jobs: readonly SpanJob[],
+export function allocateGreedily(
+  jobs: readonly WindowedJob[],
   capacity: Float64Array,
 ): number[] {
   const slots = capacity.length;
--- a/packages/proof/src/arrivalPatterns.ts
+++ b/packages/proof/src/arrivalPatterns.ts
@@ -12,16 +12,16 @@
   buildArrivals,
   buildFleet,
   type Deployment,
-  domainDistance,
-  type Fault,
+  domainLatency,
+  type ExperimentScenario,
   type LoadShape,
   MAXIMUM_OUTPUT_TOKENS,
-  type Scenario,
+  type UpstreamFault,
 } from "./arrivals.ts";
 
 /** What a pattern adds to the usual load. */
 interface PatternShape extends Partial<LoadShape> {
-  readonly faults?: (random: Random) => Fault[];
+  readonly faults?: (random: Random) => UpstreamFault[];
   readonly reportLagMs?: Milliseconds;
   readonly cacheEventLagMs?: Milliseconds;
   readonly hasKiller?: boolean;
@@ -61,19 +61,19 @@
 } as const satisfies Record<string, PatternShape>;
 
 /** Name of a load pattern. */
-export type Pattern = keyof typeof PATTERNS;
+export type LoadPattern = keyof typeof PATTERNS;
 
 /** Every pattern, in the order of reports. */
-export const PATTERN_NAMES = Object.keys(PATTERNS) as Pattern[];
+export const PATTERN_NAMES = Object.keys(PATTERNS) as LoadPattern[];
 
 /** Draws the requests and faults of one pattern. */
-export function buildScenario(
+export function buildExperimentScenario(
   { pattern, deployment, seed }: {
-    pattern: Pattern;
+    pattern: LoadPattern;
     deployment: Deployment;
     seed: number;
   },
-): Scenario {
+): ExperimentScenario {
   const shape: PatternShape = PATTERNS[pattern];
   const random = new SeededRandom(seed + 1_000_003);
   const load = shape.load ?? (() => USUAL_LOAD);
@@ -89,7 +89,7 @@
     faults: shape.faults?.(random) ?? [],
     reportLagMs: shape.reportLagMs ?? REPORT_LAG_MS,
     cacheEventLagMs: shape.cacheEventLagMs ?? CACHE_EVENT_LAG_MS,
-    domainDistanceMs: domainDistance(deployment),
+    domainDistanceMs: domainLatency(deployment),
   };
 }
 
@@ -101,7 +101,7 @@
 }
 
 /** One engine of each generation turns slow and recovers. */
-function slowUpstreams(random: Random): Fault[] {
+function slowUpstreams(random: Random): UpstreamFault[] {
   return [random.int(4), 4 + random.int(6), 10 + random.int(6)]
     .flatMap((upstream) => {
       const at = 15_000 + random.int(30_000);
@@ -110,7 +110,7 @@
 }
 
 /** Two engines are lost one by one, then two at once. */
-function lostUpstreams(random: Random): Fault[] {
+function lostUpstreams(random: Random): UpstreamFault[] {
   const lost = distinct(random, 4);
   const times = [15_000, 35_000, 55_000, 55_200];
   return lost.flatMap((upstream, index) =>
@@ -118,7 +118,7 @@
   );
 }
 
-function leavingUpstreams(random: Random): Fault[] {
+function leavingUpstreams(random: Random): UpstreamFault[] {
   return distinct(random, 4).map((upstream, index) => ({
     at: 15_000 + index * 15_000,
     upstream,
@@ -127,7 +127,7 @@
 }
 
 /** A slowdown, a loss and a leaving upstream at moments drawn from the seed. */
-function mixedFaults(random: Random): Fault[] {
+function mixedFaults(random: Random): UpstreamFault[] {
   const [slow, lost, leaving] = distinct(random, 3) as [number, number, number];
   const moment = (): Milliseconds => 10_000 + random.int(60_000);
   return [
@@ -137,14 +137,14 @@
   ];
 }
 
-function slowFault(upstream: number, at: Milliseconds): Fault[] {
+function slowFault(upstream: number, at: Milliseconds): UpstreamFault[] {
   return [
     { at, upstream, kind: "slow", factor: 6 },
     { at: at + SLOW_FOR_MS, upstream, kind: "slow", factor: 1 },
   ];
 }
 
-function crashFault(upstream: number, at: Milliseconds): Fault[] {
+function crashFault(upstream: number, at: Milliseconds): UpstreamFault[] {
   return [
     { at, upstream, kind: "crash" },
     { at: at + RESTART_AFTER_MS, upstream, kind: "restart" },
@@ -171,6 +171,6 @@
     maximumOutputTokens: MAXIMUM_OUTPUT_TOKENS,
     prefixDigests: [],
     isIdempotent: true,
-    isKiller: true,
+    isPoison: true,
   };
 }
--- a/packages/proof/src/arrivals.ts
+++ b/packages/proof/src/arrivals.ts
@@ -35,11 +35,11 @@
   /** Whether the caller sends it again when its upstream was lost. */
   readonly isIdempotent: boolean;
   /** It crashes each engine that runs it. */
-  readonly isKiller: boolean;
+  readonly isPoison: boolean;
 }
 
 /** Something that happens to an upstream. */
-export interface Fault {
+export interface UpstreamFault {
   readonly at: Milliseconds;
   readonly upstream: number;
   readonly kind: "slow" | "crash" | "restart" | "leave";
@@ -56,10 +56,10 @@
 }
 
 /** Everything an experiment replays for each policy. */
-export interface Scenario {
+export interface ExperimentScenario {
   readonly fleet: readonly FleetMember[];
   readonly arrivals: readonly Arrival[];
-  readonly faults: readonly Fault[];
+  readonly faults: readonly UpstreamFault[];
   readonly reportLagMs: Milliseconds;
   readonly cacheEventLagMs: Milliseconds;
   readonly domainDistanceMs: Milliseconds;
@@ -127,7 +127,7 @@
 }
 
 /** One way between failure domains. */
-export function domainDistance(deployment: Deployment): Milliseconds {
+export function domainLatency(deployment: Deployment): Milliseconds {
   return SHAPES[deployment].distanceMs;
 }
 
@@ -208,7 +208,7 @@
     maximumOutputTokens: MAXIMUM_OUTPUT_TOKENS,
     prefixDigests,
     isIdempotent: random.float() < IDEMPOTENT_SHARE,
-    isKiller: false,
+    isPoison: false,
   };
 }
 
--- a/packages/proof/src/scenarioCall.ts
+++ b/packages/proof/src/callerConnection.ts
@@ -91,7 +91,7 @@
   }
 
   /** The host died; nothing more comes. */
-  breakOff(): void {
+  disconnect(): void {
     this.#end();
   }
 
--- a/packages/proof/src/liveJudge.ts
+++ b/packages/proof/src/checkLiveRun.ts
@@ -31,7 +31,7 @@
 }
 
 /** What a run gave besides its calls. */
-export interface LiveRun {
+export interface LiveRunSummary {
   readonly seed: number;
   readonly seconds: number;
   readonly kills: number;
@@ -41,8 +41,8 @@
 }
 
 /** Compares what callers were told with what the stand-ins ran. */
-export function judgeLive(
-  run: LiveRun,
+export function checkLiveRun(
+  run: LiveRunSummary,
   { calls, fleet }: { calls: readonly EndedCall[]; fleet: Fleet },
 ): LiveReport {
   const runs = runsByKey(fleet);
--- a/packages/proof/src/scenarioJudge.ts
+++ b/packages/proof/src/checkScenario.ts
@@ -1,10 +1,10 @@
 import type { Milliseconds } from "@wasabivane/common";
-import type { FaultScenario, RequestEnding } from "./scenario.ts";
+import type { FaultScenario, ObservedOutcome } from "./scenario.ts";
 import { isIdempotentKind, isJobKind } from "./scenarioCaller.ts";
-import type { DatedFact, ScenarioJournal } from "./scenarioJournal.ts";
+import type { ScenarioJournal, TimedScenarioEvent } from "./scenarioJournal.ts";
 
 /** Broken promises, each 0 in a sound system. */
-export interface BrokenPromises {
+export interface InvariantViolations {
   /** Dispatches beyond what the callers' own attempts allow, or one nonce twice. */
   doubleDispatches: number;
   /** Runs of a request that must not run twice, after the first. */
@@ -26,7 +26,7 @@
 }
 
 /** How a scenario ended, judged by one who saw everything. */
-export interface Verdict extends BrokenPromises {
+export interface ScenarioVerdict extends InvariantViolations {
   requests: number;
   whole: number;
   notRun: number;
@@ -36,8 +36,8 @@
   readonly findings: string[];
 }
 
-/** Names of the counters of {@link BrokenPromises}. */
-export const PROMISES: readonly (keyof BrokenPromises)[] = [
+/** Names of the counters of {@link InvariantViolations}. */
+export const INVARIANTS: readonly (keyof InvariantViolations)[] = [
   "doubleDispatches",
   "doubleRuns",
   "crossed",
@@ -58,7 +58,7 @@
 const JOB_COPIES = 3;
 
 /** A verdict without any request. */
-export function emptyVerdict(): Verdict {
+export function emptyVerdict(): ScenarioVerdict {
   return {
     requests: 0,
     whole: 0,
@@ -79,14 +79,14 @@
 }
 
 /** Compares what callers were told with everything that happened. */
-export function judgeScenario(
+export function checkScenario(
   scenario: FaultScenario,
   journal: ScenarioJournal,
-): Verdict {
-  return new Judge(scenario, journal).verdict();
+): ScenarioVerdict {
+  return new ScenarioChecker(scenario, journal).verdict();
 }
 
-class Judge {
+class ScenarioChecker {
   readonly #scenario: FaultScenario;
   readonly #journal: ScenarioJournal;
   readonly #verdict = emptyVerdict();
@@ -96,9 +96,9 @@
     this.#journal = journal;
   }
 
-  verdict(): Verdict {
+  verdict(): ScenarioVerdict {
     const sent = new Set(
-      this.#journal.of("sent").map(({ request }) => request),
+      this.#journal.ofKind("sent").map(({ request }) => request),
     );
     for (const name of sent) this.#judgeRequest(name);
     this.#judgeNonces();
@@ -156,7 +156,7 @@
   }
 
   #isLossExcused(): boolean {
-    const killed = this.#journal.of("disturbed").filter(({ how }) =>
+    const killed = this.#journal.ofKind("disturbed").filter(({ how }) =>
       how === "killed"
     );
     return killed.length >= JOB_COPIES;
@@ -180,7 +180,7 @@
 
   #judgeExpectation(
     name: string,
-    { ending, dispatches }: { ending: RequestEnding; dispatches: number },
+    { ending, dispatches }: { ending: ObservedOutcome; dispatches: number },
   ): void {
     const expected = this.#scenario.expect?.[name];
     if (expected?.ends !== undefined && !expected.ends.includes(ending)) {
@@ -198,7 +198,7 @@
 
   #judgeNonces(): void {
     const seen = new Set<string>();
-    for (const { nonce, request } of this.#journal.of("dispatched")) {
+    for (const { nonce, request } of this.#journal.ofKind("dispatched")) {
       if (seen.has(nonce)) {
         this.#found("doubleDispatches", `${request} left twice as ${nonce}`);
       }
@@ -208,7 +208,9 @@
 
   #judgeConfiguration(): void {
     const versions = new Map<string, number>();
-    for (const { incarnation, host, version } of this.#journal.of("in-force")) {
+    for (
+      const { incarnation, host, version } of this.#journal.ofKind("in-force")
+    ) {
       const former = versions.get(incarnation) ?? 0;
       if (version < former) {
         this.#found(
@@ -222,11 +224,13 @@
 
   /** Only where no fault has parted what the keepers know. */
   #judgeTiers(): void {
-    for (const { at, request, ending, detail } of this.#journal.of("ended")) {
+    for (
+      const { at, request, ending, detail } of this.#journal.ofKind("ended")
+    ) {
       if (ending !== "not-run" || detail !== "shed") continue;
       if (this.#isDisturbed(at - DISTURBED_MS, at)) continue;
       const { tier = 2, kind } = this.#scenario.requests[request]!;
-      const passed = this.#journal.of("dispatched").find((dispatch) => {
+      const passed = this.#journal.ofKind("dispatched").find((dispatch) => {
         const other = this.#scenario.requests[dispatch.request]!;
         const since = this.#sendsOf(dispatch.request)[0]!.at;
         return (other.tier ?? 2) > tier && dispatch.at > at &&
@@ -244,12 +248,14 @@
 
   #judgeLeaving(): void {
     const learned = new Map<string, Milliseconds>();
-    for (const { at, upstreams } of this.#journal.of("leaving-read")) {
+    for (const { at, upstreams } of this.#journal.ofKind("leaving-read")) {
       for (const upstream of upstreams) {
         if (!learned.has(upstream)) learned.set(upstream, at);
       }
     }
-    for (const { at, upstream, request } of this.#journal.of("dispatched")) {
+    for (
+      const { at, upstream, request } of this.#journal.ofKind("dispatched")
+    ) {
       const since = learned.get(upstream);
       if (since === undefined || at <= since + LEAVING_GRACE_MS) continue;
       if (this.#isDisturbed(since, at)) continue;
@@ -264,7 +270,7 @@
   #isDisturbed(from: Milliseconds, to: Milliseconds): boolean {
     let isCut = false;
     let paused = 0;
-    for (const { at, how } of this.#journal.of("disturbed")) {
+    for (const { at, how } of this.#journal.ofKind("disturbed")) {
       if (at > to) break;
       if (how === "cut") isCut = true;
       if (how === "healed") isCut = false;
@@ -275,30 +281,36 @@
     return isCut || paused > 0;
   }
 
-  #dispatchesOf(name: string): Extract<DatedFact, { kind: "dispatched" }>[] {
-    return this.#journal.of("dispatched").filter(({ request }) =>
+  #dispatchesOf(
+    name: string,
+  ): Extract<TimedScenarioEvent, { kind: "dispatched" }>[] {
+    return this.#journal.ofKind("dispatched").filter(({ request }) =>
       request === name
     );
   }
 
-  #sendsOf(name: string): Extract<DatedFact, { kind: "sent" }>[] {
-    return this.#journal.of("sent").filter(({ request }) => request === name);
+  #sendsOf(name: string): Extract<TimedScenarioEvent, { kind: "sent" }>[] {
+    return this.#journal.ofKind("sent").filter(({ request }) =>
+      request === name
+    );
   }
 
   #endsOf(name: string): Ended[] {
-    return this.#journal.of("ended").filter(({ request }) => request === name);
+    return this.#journal.ofKind("ended").filter(({ request }) =>
+      request === name
+    );
   }
 
-  #found(promise: keyof BrokenPromises, finding: string): void {
+  #found(promise: keyof InvariantViolations, finding: string): void {
     this.#verdict[promise]++;
     this.#verdict.findings.push(`${promise}: ${finding}`);
   }
 }
 
-type Ended = Extract<DatedFact, { kind: "ended" }>;
+type Ended = Extract<TimedScenarioEvent, { kind: "ended" }>;
 
 /** The whole answer where one came, else what the caller was told last. */
-function finalEnding(ended: Ended[]): RequestEnding {
+function finalEnding(ended: Ended[]): ObservedOutcome {
   if (ended.some(({ ending }) => ending === "whole")) return "whole";
   const told = ended.filter(({ detail }) => detail !== "connection-refused");
   const last = told.at(-1)?.ending;
--- a/packages/proof/src/dayBoundMain.ts
+++ b/packages/proof/src/dayBoundMain.ts
@@ -2,10 +2,10 @@
 import process from "node:process";
 import { readLogFiles } from "@wasabivane/ctl";
 import { cac } from "cac";
-import { dayOf, type TierDay } from "./dayBound.ts";
-import { type DayEnding, readDay } from "./dayLog.ts";
+import { analyzeServiceUsage, type TierUsage } from "./serviceUsage.ts";
+import { type LoggedOutcome, readLoggedRequests } from "./loggedRequests.ts";
 
-const ENDINGS: readonly DayEnding[] = [
+const ENDINGS: readonly LoggedOutcome[] = [
   "on time",
   "late by its first event",
   "late by a pause",
@@ -19,7 +19,9 @@
   process.stdout.write(`${row.trimEnd()}\n`);
 }
 
-function rowOf({ tier, asked, endings, bound }: TierDay): (string | number)[] {
+function rowOf(
+  { tier, requestCount: asked, outcomes: endings, bound }: TierUsage,
+): (string | number)[] {
   return [
     tier,
     asked,
@@ -29,8 +31,8 @@
 }
 
 function run(files: readonly string[]): void {
-  for (const [service, requests] of readDay(readLogFiles(files))) {
-    const { tiers, capacity, used } = dayOf(requests);
+  for (const [service, requests] of readLoggedRequests(readLogFiles(files))) {
+    const { tiers, capacity, used } = analyzeServiceUsage(requests);
     const share = Math.round(100 * used / Math.max(1, capacity));
     print([`service ${service}: ${share} % of the time in places used`]);
     print(["tier", "asked", ...ENDINGS, "could be on time"]);
--- a/packages/proof/src/faults.ts
+++ b/packages/proof/src/drawSchedule.ts
@@ -4,14 +4,14 @@
   SeededRandom,
 } from "@wasabivane/common";
 import {
-  type Action,
   type FaultScenario,
-  type Moment,
   type RequestKind,
   SCENARIO_UPSTREAMS,
+  type ScenarioAction,
   type ScenarioLink,
   type ScenarioRequest,
-  type Step,
+  type ScenarioStep,
+  type StepTrigger,
 } from "./scenario.ts";
 import { isJobKind } from "./scenarioCaller.ts";
 
@@ -114,9 +114,12 @@
     };
   }
 
-  #drawSends(request: string, { kind, hasKey }: ScenarioRequest): Step[] {
+  #drawSends(
+    request: string,
+    { kind, hasKey }: ScenarioRequest,
+  ): ScenarioStep[] {
     const first = this.#time();
-    const sends: Step[] = [this.#send(request, first)];
+    const sends: ScenarioStep[] = [this.#send(request, first)];
     // A job sent again is another job, and so is a call without a key.
     if (!hasKey || isJobKind(kind)) return sends;
     const resends = this.#random.int(MAX_RESENDS + 1);
@@ -127,17 +130,17 @@
     return sends;
   }
 
-  #send(request: string, at: Milliseconds): Step {
+  #send(request: string, at: Milliseconds): ScenarioStep {
     return { at: Math.round(at), do: "send", request, via: this.#host() };
   }
 
-  #drawFaults(requests: string[]): Step[] {
+  #drawFaults(requests: string[]): ScenarioStep[] {
     const count = 1 + this.#random.int(MAX_FAULTS);
     return Array.from({ length: count }, () => this.#drawFault(requests))
       .flat();
   }
 
-  #drawFault(requests: string[]): Step[] {
+  #drawFault(requests: string[]): ScenarioStep[] {
     const request = this.#random.pick(requests);
     const moment = this.#drawMoment(request);
     const start = "at" in moment ? moment.at : this.#time();
@@ -151,7 +154,7 @@
     ];
   }
 
-  #drawMoment(request: string): Moment {
+  #drawMoment(request: string): StepTrigger {
     if (this.#happens(0.6)) return { at: this.#time() };
     const is = this.#random.pick(["dispatched", "accepted"] as const);
     return { once: { request, is }, after: this.#random.pick([0, 1, 5, 50]) };
@@ -210,7 +213,10 @@
 }
 
 /** Further actions follow a given time after the first one's. */
-type Fault = { readonly action: Action; readonly after?: Milliseconds }[];
+type Fault = {
+  readonly action: ScenarioAction;
+  readonly after?: Milliseconds;
+}[];
 
 const FAULTS: readonly ((draw: ScheduleDraw, request: string) => Fault)[] = [
   (draw) => [{ action: { do: "kill", hosts: draw.hosts() } }],
--- a/packages/proof/src/entryBench.ts
+++ b/packages/proof/src/entryBench.ts
@@ -36,7 +36,7 @@
 const MICROSECONDS = 1_000;
 
 /** What the benchmark of one entry process prints. */
-export interface EntryBench {
+export interface EntryBenchResult {
   readonly passThroughRps: number;
   readonly entryRps: number;
   /** Median over the rounds. */
@@ -64,13 +64,13 @@
 }
 
 /** Measures one entry process against the barest relay, over the same upstream. */
-export async function benchEntry(): Promise<EntryBench> {
+export async function benchEntry(): Promise<EntryBenchResult> {
   const upstream = await startProgram("./benchUpstreamMain.js");
-  const upstreamUrl = urlOf(upstream.announcement.port);
+  const upstreamUrl = loopbackUrl(upstream.announcement.port);
   const relay = await startProgram("./benchPassThroughMain.js", [upstreamUrl]);
   const entry = await startBenchEntry(upstreamUrl);
-  const relayUrl = urlOf(relay.announcement.port);
-  const entryUrl = urlOf(entry.program.announcement.callerPort);
+  const relayUrl = loopbackUrl(relay.announcement.port);
+  const entryUrl = loopbackUrl(entry.program.announcement.callerPort);
   const relaySubject = subjectOf(relayUrl, relay.child.pid!);
   const entrySubject = subjectOf(entryUrl, entry.program.child.pid!);
   try {
@@ -137,7 +137,7 @@
   const file = join(folder, "entry.json");
   await writeFile(file, JSON.stringify(benchSettings(url)));
   const program = await startProgram(ENTRY_PROGRAM, ["--settings", file]);
-  await untilReady(urlOf(program.announcement.operatorPort));
+  await untilReady(loopbackUrl(program.announcement.operatorPort));
   return {
     program,
     async close(): Promise<void> {
@@ -270,7 +270,7 @@
 }
 
 /** The call that the benchmark's client account makes. */
-export function benchCall(
+export function createBenchRequest(
   { stream, tokens }: { stream: boolean; tokens: number },
 ): {
   path: string;
@@ -299,7 +299,7 @@
   { stream }: { stream: boolean },
 ): () => Promise<void> {
   const agent = new Agent({ connections: 256, pipelining: 1 });
-  const request = benchCall({ stream, tokens: STREAM_TOKENS });
+  const request = createBenchRequest({ stream, tokens: STREAM_TOKENS });
   return async () => {
     const answer = await agent.request({ origin: url, ...request });
     const text = await answer.body.text();
@@ -346,7 +346,7 @@
 }
 
 /** The address of a program on loopback. */
-export function urlOf(port: unknown): string {
+export function loopbackUrl(port: unknown): string {
   return `http://127.0.0.1:${String(port)}`;
 }
 
--- a/packages/proof/src/experiment.ts
+++ b/packages/proof/src/experiment.ts
@@ -18,16 +18,16 @@
 import { type EngineEvent, EngineModel } from "@wasabivane/engine-model";
 import {
   type Arrival,
-  type Fault,
+  type ExperimentScenario,
   type FleetMember,
-  type Scenario,
   TIER_LOADS,
+  type UpstreamFault,
 } from "./arrivals.ts";
-import { timeAlone } from "./bound.ts";
-import { ExperimentTally, type WasteCause } from "./experimentTally.ts";
+import { computeUnloadedTime } from "./goodputBound.ts";
+import { ExperimentStats, type WasteCause } from "./experimentStats.ts";
 
 /** Makes the scheduler under test. */
-export type SchedulerBuilder = (
+export type SchedulerFactory = (
   policy: PoolPolicy,
   random: SeededRandom,
 ) => Scheduler;
@@ -72,9 +72,9 @@
  * at the deadline.
  */
 export class Experiment {
-  readonly tally = new ExperimentTally();
+  readonly stats = new ExperimentStats();
   readonly #timer = new VirtualTimer();
-  readonly #scenario: Scenario;
+  readonly #scenario: ExperimentScenario;
   readonly #engines: Engine[];
   readonly #byUpstream: Map<string, Engine>;
   readonly #scheduler: Scheduler;
@@ -83,8 +83,8 @@
   readonly #random: SeededRandom;
 
   constructor(
-    scenario: Scenario,
-    { build, seed }: { build: SchedulerBuilder; seed: number },
+    scenario: ExperimentScenario,
+    { build, seed }: { build: SchedulerFactory; seed: number },
   ) {
     this.#scenario = scenario;
     this.#random = new SeededRandom(seed + 7);
@@ -95,10 +95,10 @@
     this.#scheduler = build(this.#policy(), new SeededRandom(seed + 13));
   }
 
-  /** Runs the scenario to its end and leaves the counts in {@link tally}. */
+  /** Runs the scenario to its end and leaves the counts in {@link stats}. */
   run(): void {
     for (const arrival of this.#scenario.arrivals) {
-      if (!arrival.isKiller) this.tally.offered[arrival.tier]!++;
+      if (!arrival.isPoison) this.stats.offered[arrival.tier]!++;
       this.#timer.after(arrival.at, () => this.#send(arrival, 0));
     }
     for (const fault of this.#scenario.faults) {
@@ -114,7 +114,7 @@
     );
     this.#timer.runUntil(end + 1);
     for (const { state } of this.#sendings.values()) {
-      if (state !== "ended") this.tally.unanswered++;
+      if (state !== "ended") this.stats.unanswered++;
     }
   }
 
@@ -132,7 +132,7 @@
       outputTokens: 0,
       wasPassedOver: false,
     };
-    this.tally.sent++;
+    this.stats.sent++;
     this.#sendings.set(ask.request, sending);
     const left = arrival.deadline - this.#timer.now();
     this.#timer.after(left, () => this.#reachDeadline(sending));
@@ -159,29 +159,29 @@
     sending: Sending,
     { reason }: Extract<Decision, { kind: "refuse" }>,
   ): void {
-    if (sending.state !== "waiting") this.tally.falseNotRun++;
+    if (sending.state !== "waiting") this.stats.falseNotRun++;
     this.#waiting.delete(sending.ask.request);
     sending.state = "ended";
-    this.tally.refusedOnce(sending.arrival, reason);
+    this.stats.recordRefusal(sending.arrival, reason);
     const isCapacityReason = reason === "shed" ||
       reason === "deadline-unreachable";
     if (isCapacityReason) this.#countInversion(sending, reason);
-    if (sending.arrival.isKiller) this.#resendKiller(sending);
+    if (sending.arrival.isPoison) this.#resendKiller(sending);
   }
 
   /** A request was shed while a lower tier keeps its place in the queue. */
   #countInversion({ ask, wasPassedOver }: Sending, reason: string): void {
-    if (wasPassedOver) this.tally.passedOver++;
+    if (wasPassedOver) this.stats.passedOver++;
     if (reason !== "shed") return;
     const hasLowerWaiting = [...this.#waiting.values()].some((other) =>
       other.ask.tier > ask.tier
     );
-    if (hasLowerWaiting) this.tally.tierInversions++;
+    if (hasLowerWaiting) this.stats.tierInversions++;
   }
 
   #dispatch(sending: Sending, engine: Engine): void {
     if (sending.state !== "waiting") {
-      this.tally.doubleDispatches++;
+      this.stats.doubleDispatches++;
       return;
     }
     this.#waiting.delete(sending.ask.request);
@@ -199,7 +199,11 @@
     for (const other of this.#waiting.values()) {
       if (other.ask.tier >= ask.tier || other.wasPassedOver) continue;
       const { promptTokens, maximumOutputTokens, deadline } = other.arrival;
-      const most = timeAlone(member.speed, promptTokens, maximumOutputTokens);
+      const most = computeUnloadedTime(
+        member.speed,
+        promptTokens,
+        maximumOutputTokens,
+      );
       other.wasPassedOver = this.#timer.now() + most <= deadline;
     }
   }
@@ -217,7 +221,7 @@
       (event) => this.#hear(sending, engine, event),
     );
     if (!isTaken) return this.#meetRefusedConnection(sending);
-    this.tally.dispatches++;
+    this.stats.dispatches++;
     engine.running.set(ask.request, sending);
   }
 
@@ -232,19 +236,19 @@
 
   #hear(sending: Sending, engine: Engine, event: EngineEvent): void {
     const { arrival, ask } = sending;
-    if (sending.engine !== engine) this.tally.crossedAnswers++;
+    if (sending.engine !== engine) this.stats.crossedAnswers++;
     switch (event.kind) {
       case "firstToken":
         sending.outputTokens = 1;
-        this.tally.firstToken(arrival, this.#timer.now() - arrival.at);
+        this.stats.recordFirstToken(arrival, this.#timer.now() - arrival.at);
         this.#scheduler.recordFirstToken(ask.request, this.#timer.now());
-        if (arrival.isKiller) this.#crashSoon(engine);
+        if (arrival.isPoison) this.#crashSoon(engine);
         return;
       case "tokens":
         sending.outputTokens += event.count;
         return;
       case "finished":
-        this.tally.answered(arrival, {
+        this.stats.recordResponse(arrival, {
           tier: arrival.tier,
           at: this.#timer.now(),
           waited: sending.grantedAt! - arrival.at,
@@ -262,8 +266,8 @@
     if (sending.state === "waiting") {
       this.#waiting.delete(ask.request);
       this.#scheduler.withdraw(ask.request, this.#timer.now());
-      this.tally.refusedOnce(sending.arrival, "not answered in time");
-      if (sending.wasPassedOver) this.tally.passedOver++;
+      this.stats.recordRefusal(sending.arrival, "not answered in time");
+      if (sending.wasPassedOver) this.stats.passedOver++;
       sending.state = "ended";
     } else if (sending.state === "running") {
       const wasted = engine!.model.cancel(ask.request) ?? 0;
@@ -283,15 +287,19 @@
     ));
   }
 
-  #waste(cause: WasteCause, { isKiller }: Arrival, tokens: number): void {
-    if (!isKiller) this.tally.wasted[cause] += tokens;
+  #waste(
+    cause: WasteCause,
+    { isPoison: isKiller }: Arrival,
+    tokens: number,
+  ): void {
+    if (!isKiller) this.stats.wasted[cause] += tokens;
   }
 
   #resendAfterLoss(sending: Sending): void {
     const { arrival, resends } = sending;
-    if (arrival.isKiller) return this.#resendKiller(sending);
+    if (arrival.isPoison) return this.#resendKiller(sending);
     if (!arrival.isIdempotent) {
-      this.tally.broken++;
+      this.stats.broken++;
       return;
     }
     const delay = RESEND_MS * (1 + this.#random.float());
@@ -316,11 +324,11 @@
   }
 
   #crash(engine: Engine): void {
-    this.tally.upstreamsLost++;
+    this.stats.upstreamsLost++;
     engine.model.crash();
   }
 
-  #apply({ upstream, kind, factor }: Fault): void {
+  #apply({ upstream, kind, factor }: UpstreamFault): void {
     const engine = this.#engines[upstream]!;
     switch (kind) {
       case "slow":
--- a/packages/proof/src/experimentMain.ts
+++ b/packages/proof/src/experimentMain.ts
@@ -1,6 +1,6 @@
 import process from "node:process";
 import { cac } from "cac";
-import { type Pattern, PATTERN_NAMES } from "./arrivalPatterns.ts";
+import { type LoadPattern, PATTERN_NAMES } from "./arrivalPatterns.ts";
 import type { Deployment } from "./arrivals.ts";
 import { type DetailedResult, runExperiment } from "./experimentPolicies.ts";
 import { formatTable } from "./reportTable.ts";
@@ -35,7 +35,7 @@
 async function runFlags(flags: Flags): Promise<void> {
   const patterns = flags.pattern === "all" ? PATTERN_NAMES : [flags.pattern];
   const isKnown =
-    patterns.every((name) => PATTERN_NAMES.includes(name as Pattern)) &&
+    patterns.every((name) => PATTERN_NAMES.includes(name as LoadPattern)) &&
     DEPLOYMENTS.includes(flags.deployment as Deployment);
   if (!isKnown || !Number.isInteger(flags.seed)) {
     process.stderr.write("Name a known pattern, a deployment and a seed\n");
@@ -44,7 +44,7 @@
   }
   const results = patterns.map((pattern) => {
     const detailed = runExperiment({
-      pattern: pattern as Pattern,
+      pattern: pattern as LoadPattern,
       deployment: flags.deployment as Deployment,
       seed: flags.seed,
     });
--- a/packages/proof/src/experimentPolicies.ts
+++ b/packages/proof/src/experimentPolicies.ts
@@ -4,13 +4,16 @@
   RoundRobinScheduler,
 } from "@wasabivane/decisions";
 import type { Deployment } from "./arrivals.ts";
-import { buildScenario, type Pattern } from "./arrivalPatterns.ts";
-import { type Bound, workOutBound } from "./bound.ts";
-import { Experiment, type SchedulerBuilder } from "./experiment.ts";
-import type { AnswerSample, PolicyResult } from "./experimentTally.ts";
+import {
+  buildExperimentScenario,
+  type LoadPattern,
+} from "./arrivalPatterns.ts";
+import { computeGoodputBound, type GoodputBound } from "./goodputBound.ts";
+import { Experiment, type SchedulerFactory } from "./experiment.ts";
+import type { PolicyResult, ResponseSample } from "./experimentStats.ts";
 
 /** The policies that are compared, by name. */
-export const POLICIES: Readonly<Record<string, SchedulerBuilder>> = {
+export const POLICIES: Readonly<Record<string, SchedulerFactory>> = {
   naive: (policy) => new RoundRobinScheduler(policy),
   leastOutstanding: (policy, random) =>
     new LeastOutstandingScheduler(policy, { random }),
@@ -19,43 +22,43 @@
 
 /** What one pattern gave under each policy. */
 export interface ExperimentResult {
-  readonly pattern: Pattern;
+  readonly pattern: LoadPattern;
   readonly deployment: Deployment;
   readonly seed: number;
   readonly policies: Readonly<Record<string, PolicyResult>>;
-  readonly bound: Bound;
+  readonly bound: GoodputBound;
 }
 
 /** A result with the answers behind it. */
 export interface DetailedResult {
   readonly result: ExperimentResult;
-  readonly answers: Readonly<Record<string, readonly AnswerSample[]>>;
+  readonly responses: Readonly<Record<string, readonly ResponseSample[]>>;
 }
 
 /** Runs one pattern under every policy, or under those that are named. */
 export function runExperiment(
   { pattern, deployment, seed, policies = Object.keys(POLICIES) }: {
-    pattern: Pattern;
+    pattern: LoadPattern;
     deployment: Deployment;
     seed: number;
     policies?: readonly string[];
   },
 ): DetailedResult {
-  const scenario = buildScenario({ pattern, deployment, seed });
+  const scenario = buildExperimentScenario({ pattern, deployment, seed });
   const results: Record<string, PolicyResult> = {};
-  const answers: Record<string, readonly AnswerSample[]> = {};
+  const answers: Record<string, readonly ResponseSample[]> = {};
   for (const name of policies) {
     const experiment = new Experiment(scenario, {
       build: POLICIES[name]!,
       seed,
     });
     experiment.run();
-    results[name] = experiment.tally.result(experiment.engineCounters());
-    answers[name] = experiment.tally.answers;
+    results[name] = experiment.stats.result(experiment.engineCounters());
+    answers[name] = experiment.stats.responses;
   }
-  const bound = workOutBound(scenario);
+  const bound = computeGoodputBound(scenario);
   return {
     result: { pattern, deployment, seed, policies: results, bound },
-    answers,
+    responses: answers,
   };
 }
--- a/packages/proof/src/experimentTally.ts
+++ b/packages/proof/src/experimentStats.ts
@@ -40,7 +40,7 @@
 }
 
 /** One whole answer, for the plots. */
-export interface AnswerSample {
+export interface ResponseSample {
   readonly tier: number;
   readonly at: Milliseconds;
   /** From the arrival to the grant. */
@@ -48,7 +48,7 @@
 }
 
 /** Counts what happens in one run of an experiment. */
-export class ExperimentTally {
+export class ExperimentStats {
   readonly goodput = emptyByTier();
   readonly offered = emptyByTier();
   readonly refused = emptyByTier();
@@ -59,7 +59,7 @@
     cancelled: 0,
     shedAfterStart: 0,
   };
-  readonly answers: AnswerSample[] = [];
+  readonly responses: ResponseSample[] = [];
   readonly #firstTokens: Record<string, Milliseconds[]> = {};
   tierInversions = 0;
   passedOver = 0;
@@ -72,18 +72,18 @@
   dispatches = 0;
   sent = 0;
 
-  answered({ tier }: Arrival, sample: AnswerSample): void {
+  recordResponse({ tier }: Arrival, sample: ResponseSample): void {
     this.goodput[tier]!++;
-    this.answers.push(sample);
+    this.responses.push(sample);
   }
 
-  refusedOnce({ tier, isKiller }: Arrival, reason: string): void {
+  recordRefusal({ tier, isPoison: isKiller }: Arrival, reason: string): void {
     if (isKiller) return;
     this.refused[tier]!++;
     this.refusedByReason[reason] = (this.refusedByReason[reason] ?? 0) + 1;
   }
 
-  firstToken({ tier }: Arrival, elapsed: Milliseconds): void {
+  recordFirstToken({ tier }: Arrival, elapsed: Milliseconds): void {
     (this.#firstTokens[tier] ??= []).push(elapsed);
   }
 
--- a/packages/proof/src/fakeUpstreams.ts
+++ b/packages/proof/src/fakeUpstreams.ts
@@ -23,19 +23,19 @@
 const MARK = /\[\[(\{.*?\})\]\]/;
 
 /** What a request tells the fakes of itself, in its prompt or its body. */
-export interface RequestMark {
+export interface RequestMarker {
   readonly request: string;
   readonly tokens: number;
   readonly isPoison?: boolean;
 }
 
 /** Writes a mark into a text. */
-export function markOfRequest(mark: RequestMark): string {
+export function formatMarker(mark: RequestMarker): string {
   return `[[${JSON.stringify(mark)}]]`;
 }
 
 /** The answer that belongs to a request of a model engine, and to no other. */
-export function answerTo({ request, tokens }: RequestMark): string {
+export function expectedCompletion({ request, tokens }: RequestMarker): string {
   return Array.from({ length: tokens }, (_, index) => tokenOf(request, index))
     .join("");
 }
@@ -149,7 +149,7 @@
 
 interface Run {
   readonly nonce: string;
-  readonly mark: RequestMark;
+  readonly mark: RequestMarker;
   readonly isStream: boolean;
   produced: number;
   connection: Connection | undefined;
@@ -162,13 +162,13 @@
 interface Reply {
   readonly headNonce: string;
   readonly nonce: string;
-  readonly mark: RequestMark;
+  readonly mark: RequestMarker;
 }
 
 /** One upstream: a model engine or a plain service; it forgets all in a crash. */
 export class FakeUpstream {
   readonly name: string;
-  readonly #world: UpstreamWorld;
+  readonly #world: UpstreamEnvironment;
   readonly #runs = new Map<string, Run>();
   #isUp = true;
   #slowness = 1;
@@ -179,7 +179,7 @@
     mark: { request: "stranger", tokens: 3 },
   };
 
-  constructor(name: string, world: UpstreamWorld) {
+  constructor(name: string, world: UpstreamEnvironment) {
     this.name = name;
     this.#world = world;
   }
@@ -213,7 +213,7 @@
   }
 
   /** Gives the next answer to the wrong request, or under the right nonce with a wrong body. */
-  crossNext(what: "answer" | "body"): void {
+  misrouteNext(what: "answer" | "body"): void {
     this.#crossing = what;
   }
 
@@ -226,7 +226,7 @@
         String(connection.call.body ?? "").replaceAll('\\"', '"') +
           decodeURIComponent(path),
       )![1]!,
-    ) as RequestMark;
+    ) as RequestMarker;
     const { nonce } = connection.call;
     this.#world.journal.add({
       kind: "dispatched",
@@ -250,7 +250,7 @@
     this.#runs.delete(nonce);
   }
 
-  #start(connection: Connection, mark: RequestMark): Run {
+  #start(connection: Connection, mark: RequestMarker): Run {
     const { nonce, body } = connection.call;
     const own: Reply = { headNonce: nonce, nonce, mark };
     const run: Run = {
@@ -278,7 +278,7 @@
   }
 
   #head(connection: Connection, nonce: string, status = 200): void {
-    const { checksNonce } = this.#world;
+    const { shouldCheckNonce: checksNonce } = this.#world;
     const type = connection.call.path.startsWith("/v1/")
       ? "text/event-stream"
       : "application/json";
@@ -360,25 +360,25 @@
 }
 
 /** What all upstreams of a scenario share. */
-export interface UpstreamWorld {
+export interface UpstreamEnvironment {
   readonly timer: Timer;
   readonly journal: ScenarioJournal;
   /** Whether the client compares the nonce of an answer's head, as the HTTP client does. */
-  readonly checksNonce: boolean;
+  readonly shouldCheckNonce: boolean;
 }
 
 /** The client of one entry host's process. */
 export class FakeUpstreamClient extends UpstreamClient {
   readonly #host: string;
   readonly #process: ScenarioProcess;
-  readonly #world: UpstreamWorld;
+  readonly #world: UpstreamEnvironment;
   readonly #upstreams: ReadonlyMap<string, FakeUpstream>;
 
   constructor(
     { host, process, world, upstreams }: {
       host: string;
       process: ScenarioProcess;
-      world: UpstreamWorld;
+      world: UpstreamEnvironment;
       /** By url. */
       upstreams: ReadonlyMap<string, FakeUpstream>;
     },
@@ -473,12 +473,12 @@
   }\n\n`;
 }
 
-function wholeCompletion(nonce: string, mark: RequestMark): string {
+function wholeCompletion(nonce: string, mark: RequestMarker): string {
   return JSON.stringify({
     id: `chatcmpl-${nonce}`,
     choices: [{
       index: 0,
-      message: { role: "assistant", content: answerTo(mark) },
+      message: { role: "assistant", content: expectedCompletion(mark) },
       finish_reason: "stop",
     }],
     usage: { "prompt_tokens": 8, "completion_tokens": mark.tokens },
--- a/packages/proof/src/faultsMain.ts
+++ b/packages/proof/src/faultsMain.ts
@@ -2,7 +2,7 @@
 import process from "node:process";
 import { fileURLToPath } from "node:url";
 import { cac } from "cac";
-import { drawSchedule } from "./faults.ts";
+import { drawSchedule } from "./drawSchedule.ts";
 import {
   addReport,
   emptyReport,
@@ -10,8 +10,8 @@
   type FaultsReport,
   runFaults,
 } from "./faultsReport.ts";
-import { PROMISES } from "./scenarioJudge.ts";
-import { lineOf } from "./scenarioJournal.ts";
+import { INVARIANTS } from "./checkScenario.ts";
+import { formatEvent } from "./scenarioJournal.ts";
 import { runScenario } from "./scenarioRunner.ts";
 
 interface Flags {
@@ -60,7 +60,7 @@
   const seconds = (performance.now() - startedAt) / 1_000;
   if (flags.json) print(JSON.stringify(report));
   else printReadable(report, seconds);
-  const isSound = PROMISES.every((promise) => report[promise] === 0);
+  const isSound = INVARIANTS.every((promise) => report[promise] === 0);
   process.exitCode = isSound ? 0 : 1;
 }
 
@@ -73,7 +73,7 @@
   }
   print(`${story.length} steps; milliseconds, then what happened`);
   const { journal, origin, verdict } = await runScenario(scenario);
-  for (const fact of journal.facts) print(lineOf(fact, origin));
+  for (const fact of journal.events) print(formatEvent(fact, origin));
   for (const finding of verdict.findings) print(`BROKEN ${finding}`);
   process.exitCode = verdict.findings.length === 0 ? 0 : 1;
 }
--- a/packages/proof/src/faultsReport.ts
+++ b/packages/proof/src/faultsReport.ts
@@ -1,6 +1,10 @@
-import { drawSchedule } from "./faults.ts";
+import { drawSchedule } from "./drawSchedule.ts";
 import type { FaultScenario } from "./scenario.ts";
-import { emptyVerdict, PROMISES, type Verdict } from "./scenarioJudge.ts";
+import {
+  emptyVerdict,
+  INVARIANTS,
+  type ScenarioVerdict,
+} from "./checkScenario.ts";
 import { runScenario } from "./scenarioRunner.ts";
 
 /** A schedule that broke a promise. */
@@ -13,7 +17,7 @@
 }
 
 /** What the `faults` command prints. */
-export interface FaultsReport extends Omit<Verdict, "findings"> {
+export interface FaultsReport extends Omit<ScenarioVerdict, "findings"> {
   readonly seed: number;
   runs: number;
   readonly failures: FailedSchedule[];
@@ -43,7 +47,7 @@
     if (verdict.findings.length === 0) continue;
     const isShrunk = report.failures.length < MAX_SHRUNK;
     report.failures.push({
-      schedule: isShrunk ? await shrink(scenario) : scenario,
+      schedule: isShrunk ? await shrinkSchedule(scenario) : scenario,
       what: verdict.findings.join("; "),
       replay: `npm run --silent faults -- --seed ${seed} --replay ${index}`,
     });
@@ -66,18 +70,20 @@
 
 function addVerdict(
   sum: FaultsReport,
-  part: Omit<Verdict, "findings">,
+  part: Omit<ScenarioVerdict, "findings">,
 ): void {
   sum.requests += part.requests;
   sum.whole += part.whole;
   sum.notRun += part.notRun;
   sum.unknown += part.unknown;
   sum.unknownThatHadNotRun += part.unknownThatHadNotRun;
-  for (const promise of PROMISES) sum[promise] += part[promise];
+  for (const promise of INVARIANTS) sum[promise] += part[promise];
 }
 
 /** Leaves out every step without which the schedule still breaks a promise. */
-export async function shrink(scenario: FaultScenario): Promise<FaultScenario> {
+export async function shrinkSchedule(
+  scenario: FaultScenario,
+): Promise<FaultScenario> {
   let smallest = scenario;
   for (let index = scenario.story.length - 1; index >= 0; index--) {
     const story = smallest.story.filter((_, position) => position !== index);
--- a/packages/proof/src/bound.ts
+++ b/packages/proof/src/goodputBound.ts
@@ -2,14 +2,14 @@
 import { type EngineProfile, TOKENS_PER_BLOCK } from "@wasabivane/engine-model";
 import {
   type Arrival,
+  type ExperimentScenario,
   fullBatchStepMs,
-  type Scenario,
   TIER_LOADS,
 } from "./arrivals.ts";
-import { fillSpans, type SpanJob } from "./spanFill.ts";
+import { allocateGreedily, type WindowedJob } from "./allocateGreedily.ts";
 
 /** What no scheduler could exceed on a scenario; see docs/DECISIONS/0003. */
-export interface Bound {
+export interface GoodputBound {
   /** For schedulers that serve a higher tier first, whatever it costs the lower. */
   readonly goodputByTier: Readonly<Record<string, number>>;
   /** For any scheduler, with the weights of {@link TIER_LOADS}. */
@@ -21,12 +21,14 @@
 /** Prompt tokens that an output token is counted as; each choice gives a valid bound. */
 const OUTPUT_COSTS = [3.8, 4.1, 6];
 
-interface Job extends SpanJob {
+interface Job extends WindowedJob {
   readonly tier: Tier;
 }
 
 /** Works out the bound of a scenario. */
-export function workOutBound(scenario: Scenario): Bound {
+export function computeGoodputBound(
+  scenario: ExperimentScenario,
+): GoodputBound {
   const options = OUTPUT_COSTS.map((outputCost) =>
     boundFor(scenario, outputCost)
   );
@@ -41,7 +43,7 @@
 }
 
 function boundFor(
-  scenario: Scenario,
+  scenario: ExperimentScenario,
   outputCost: number,
 ): { byTier: Record<string, number>; weighted: number } {
   const sharedBlocks = blocksOfSeveral(scenario.arrivals);
@@ -54,13 +56,13 @@
   const strict = jobs.toSorted((left, right) =>
     left.tier - right.tier || left.work - right.work
   );
-  fillSpans(strict, capacity).forEach((share, index) => {
+  allocateGreedily(strict, capacity).forEach((share, index) => {
     byTier[strict[index]!.tier]! += share;
   });
   const dense = jobs.toSorted((left, right) =>
     weightOf(right) / right.work - weightOf(left) / left.work
   );
-  const weighted = fillSpans(dense, capacity).reduce(
+  const weighted = allocateGreedily(dense, capacity).reduce(
     (sum, share, index) => sum + share * weightOf(dense[index]!),
     0,
   );
@@ -107,21 +109,21 @@
 /** Whether the fastest engine alone could answer in time. */
 function isPossible(
   arrival: Arrival,
-  { fleet }: Scenario,
+  { fleet }: ExperimentScenario,
   sharedBlocks: ReadonlySet<string>,
 ): boolean {
-  if (arrival.isKiller) return false;
+  if (arrival.isPoison) return false;
   const prefill = leastPrefill(arrival, sharedBlocks);
   const least = Math.min(
     ...fleet.map(({ speed }) =>
-      timeAlone(speed, prefill, arrival.outputTokens)
+      computeUnloadedTime(speed, prefill, arrival.outputTokens)
     ),
   );
   return arrival.at + least <= arrival.deadline;
 }
 
 /** Time of a request on an engine that runs nothing else. */
-export function timeAlone(
+export function computeUnloadedTime(
   speed: EngineProfile,
   promptTokens: number,
   outputTokens: number,
@@ -133,7 +135,7 @@
 
 /** Work that the engines which are up can do in each slot, at most. */
 function capacityBySlot(
-  { fleet, faults }: Scenario,
+  { fleet, faults }: ExperimentScenario,
   outputCost: number,
   slots: number,
 ): Float64Array {
--- a/packages/proof/src/liveMain.ts
+++ b/packages/proof/src/liveMain.ts
@@ -9,7 +9,7 @@
 import { cac } from "cac";
 import { type Fleet, startFleet } from "./fleet.ts";
 import { injectFaults } from "./liveFaults.ts";
-import { judgeLive, type LiveReport } from "./liveJudge.ts";
+import { checkLiveRun, type LiveReport } from "./checkLiveRun.ts";
 
 interface Flags {
   readonly seconds: number;
@@ -90,7 +90,7 @@
     }),
   ]);
   const configurationReversions = versions.stop();
-  return judgeLive(
+  return checkLiveRun(
     { seed, seconds, ...faults, configurationReversions },
     { calls, fleet },
   );
--- a/packages/proof/src/dayLog.ts
+++ b/packages/proof/src/loggedRequests.ts
@@ -2,7 +2,7 @@
 import type { EpochMilliseconds, Milliseconds } from "@wasabivane/common";
 
 /** How a request went, as its caller saw it. */
-export type DayEnding =
+export type LoggedOutcome =
   | "on time"
   | "late by its first event"
   | "late by a pause"
@@ -10,7 +10,7 @@
   | "broken off";
 
 /** One request that reached a service, by what the hosts logged of it. */
-export interface DayRequest {
+export interface LoggedRequest {
   readonly tier: number;
   readonly at: EpochMilliseconds;
   /** Time until its first event, or whole plain answer, that is on time. */
@@ -23,16 +23,16 @@
   readonly held: Milliseconds;
   /** Time between its events; `undefined` with fewer than three. */
   readonly pace: Milliseconds | undefined;
-  readonly ending: DayEnding;
+  readonly outcome: LoggedOutcome;
 }
 
 /** Requests of each service in the lines of one or more hosts, in order of time. */
-export function readDay(
+export function readLoggedRequests(
   lines: readonly LogLine[],
-): Map<string, DayRequest[]> {
+): Map<string, LoggedRequest[]> {
   const sends = new Map<string, LogLine>();
-  const services = new Map<string, DayRequest[]>();
-  const add = (service: string, request: DayRequest): void => {
+  const services = new Map<string, LoggedRequest[]>();
+  const add = (service: string, request: LoggedRequest): void => {
     services.set(service, [...services.get(service) ?? [], request]);
   };
   for (const line of lines) {
@@ -51,7 +51,7 @@
   return services;
 }
 
-function refusedRequest({ time, values }: LogLine): DayRequest {
+function refusedRequest({ time, values }: LogLine): LoggedRequest {
   return {
     tier: numberIn(values.tier),
     at: time - numberIn(values.held),
@@ -60,11 +60,11 @@
     slots: 0,
     held: numberIn(values.hold),
     pace: undefined,
-    ending: "refused",
+    outcome: "refused",
   };
 }
 
-function endedRequest(sent: LogLine, ended: LogLine): DayRequest {
+function endedRequest(sent: LogLine, ended: LogLine): LoggedRequest {
   const { waited, target, pauseTarget, tier, slots, upstream } = sent.values;
   const { first, took, parts } = ended.values;
   const events = numberIn(parts);
@@ -77,7 +77,7 @@
     slots: numberIn(slots),
     held: ended.time - sent.time,
     pace: events > 2 ? answering / (events - 1) : undefined,
-    ending: endingOf(ended, {
+    outcome: endingOf(ended, {
       target: numberIn(target),
       pauseTarget: numberIn(pauseTarget),
     }),
@@ -87,7 +87,7 @@
 function endingOf(
   { values: { ending, first, pause } }: LogLine,
   { target, pauseTarget }: { target: number; pauseTarget: number },
-): DayEnding {
+): LoggedOutcome {
   const isWhole = ending === "whole" || ending === "status-200";
   if (!isWhole) return "broken off";
   if (numberIn(first) > target) return "late by its first event";
--- a/packages/proof/src/modelCheck.ts
+++ b/packages/proof/src/modelCheck.ts
@@ -11,15 +11,15 @@
   createClaim,
   createHostState,
   type ModelBounds,
+  type ModelComponents,
   modelDispatch,
   type ModelHost,
-  type ModelMachines,
   ModelProcess,
   type ModelState,
-  SHIPPED_MACHINES,
+  PRODUCTION_COMPONENTS,
   StateDigests,
   TICK_MS,
-} from "./modelWorld.ts";
+} from "./modelState.ts";
 
 /** One thing that may happen, with the state after it. */
 interface Step {
@@ -43,7 +43,7 @@
   readonly bounds: ModelBounds;
   /** The home of the key in each list, by list index. */
   readonly homes: readonly HostId[];
-  readonly machines?: ModelMachines;
+  readonly components?: ModelComponents;
   readonly maximumStates?: number;
 }
 
@@ -78,7 +78,7 @@
 
 class ModelCheck {
   readonly #bounds: ModelBounds;
-  readonly #machines: ModelMachines;
+  readonly #machines: ModelComponents;
   readonly #maximum: number;
   readonly #key: IdempotencyKey;
   readonly #seen = new Set<string>();
@@ -88,7 +88,7 @@
     {
       bounds,
       homes,
-      machines = SHIPPED_MACHINES,
+      components: machines = PRODUCTION_COMPONENTS,
       maximumStates = MAX_STATES,
     }: ModelOptions,
   ) {
@@ -149,10 +149,10 @@
       entriesLeft: entries,
       leaseMessages: new Map(),
       claimMessages: new Map(),
-      answers: new Map(),
+      claimReplies: new Map(),
       issuedAt: undefined,
       dispatches: 0,
-      notRunSaid: false,
+      hasReportedNotRun: false,
     };
   }
 
@@ -176,7 +176,7 @@
       if (host.records.size === 0) return [name, host];
       const copy = copyHost(host);
       const process = this.#process(name, copy, { tick });
-      process.home.expire(tick * TICK_MS);
+      process.keyTable.expire(tick * TICK_MS);
       return [name, copy];
     }));
     return [{ name: `time is ${tick}`, next: { ...state, tick, hosts } }];
@@ -280,7 +280,7 @@
       answer = lease.handleRequest(from, request, now);
     });
     const name = `${to} hears ${from}`;
-    if (!this.#bounds.hasSlowAnswers) {
+    if (!this.#bounds.hasDelayedReplies) {
       const step = this.#takeAnswer(next, {
         from: to,
         to: from,
@@ -326,13 +326,13 @@
           String(state.hosts.get(host)!.incarnation) !== incarnation,
       });
     });
-    const answers = new Map(state.answers);
+    const answers = new Map(state.claimReplies);
     const way = `${claimId} ${left}`;
     const to = claim.claimant.host;
     answers.set(way, { answer: answer!, to, from: home });
-    const next = { ...decided, claimMessages, answers };
+    const next = { ...decided, claimMessages, claimReplies: answers };
     const name = `${home} decides about ${claimId}: ${JSON.stringify(answer)}`;
-    return this.#bounds.hasSlowAnswers
+    return this.#bounds.hasDelayedReplies
       ? { name, next }
       : { name, next: this.#hearAnswer(next, way) };
   }
@@ -347,7 +347,7 @@
       bounds: this.#bounds,
     });
     const claimMessages = new Map(state.claimMessages);
-    const next = this.#change(issued, entry, ({ lease, owner }) => {
+    const next = this.#change(issued, entry, ({ lease, claimTable: owner }) => {
       const home = homeOf(
         this.#key,
         lease.newestView ?? this.#bounds.lists[0]!,
@@ -361,21 +361,26 @@
   }
 
   #answerSteps(state: ModelState): Step[] {
-    return [...state.answers].map(([way, { answer, to }]) => ({
+    return [...state.claimReplies].map(([way, { answer, to }]) => ({
       name: `${to} hears of its claim: ${answer.kind}`,
       next: this.#hearAnswer(state, way),
     }));
   }
 
   #hearAnswer(state: ModelState, way: string): ModelState {
-    const { answer, to, from } = state.answers.get(way)!;
+    const { answer, to, from } = state.claimReplies.get(way)!;
     const claimId = way.split(" ")[0]!;
-    const answers = new Map(state.answers);
+    const answers = new Map(state.claimReplies);
     answers.delete(way);
     let isGivenBack = false;
-    const taken = this.#change({ ...state, answers }, to, ({ owner }) => {
-      isGivenBack = owner.applyReply(claimId, answer, { from }) === "give-back";
-    });
+    const taken = this.#change(
+      { ...state, claimReplies: answers },
+      to,
+      ({ claimTable: owner }) => {
+        isGivenBack =
+          owner.applyReply(claimId, answer, { from }) === "give-back";
+      },
+    );
     return isGivenBack ? this.#release(taken, { claimId, home: from }) : taken;
   }
 
@@ -386,8 +391,8 @@
         if (own.state === "owned") {
           steps.push(...this.#useSteps(state, { host, claimId }));
         }
-        if (own.state === "pending" && this.#bounds.hasGiveUps) {
-          const next = this.#change(state, host, ({ owner }) => {
+        if (own.state === "pending" && this.#bounds.hasAbandonment) {
+          const next = this.#change(state, host, ({ claimTable: owner }) => {
             owner.abandon(claimId);
           });
           steps.push({ name: `${host} waits no longer`, next });
@@ -407,7 +412,7 @@
       { name: `${host} writes, its home does not hear`, next: written },
       { name: `${host} writes, its home hears`, next: told },
     ];
-    if (!this.#bounds.hasGiveUps) return steps;
+    if (!this.#bounds.hasAbandonment) return steps;
     const released = this.#giveUp(state, host, claimId);
     return [...steps, { name: `${host} gives up`, next: released }];
   }
@@ -422,14 +427,14 @@
   ): ModelState {
     const now = state.tick * TICK_MS;
     let isWritten = false;
-    const spent = this.#change(state, host, ({ owner }) => {
+    const spent = this.#change(state, host, ({ claimTable: owner }) => {
       isWritten = owner.consumeGrant(claimId, now);
     });
     if (!isWritten) return spent;
     const { claim, home } = state.hosts.get(host)!.claims.get(claimId)!;
     const next = isTold
       ? this.#change(spent, home, (process) => {
-        process.home.markDispatched(
+        process.keyTable.markDispatched(
           { ...claim, sequence: 1 },
           modelDispatch(),
         );
@@ -445,7 +450,7 @@
   #giveUp(state: ModelState, host: HostId, claimId: string): ModelState {
     const { home } = state.hosts.get(host)!.claims.get(claimId)!;
     let isReleased = false;
-    const released = this.#change(state, host, ({ owner }) => {
+    const released = this.#change(state, host, ({ claimTable: owner }) => {
       isReleased = owner.release(claimId);
     });
     if (!isReleased) return released;
@@ -454,7 +459,7 @@
     const violation = isFalse
       ? "Not run was said of a key that ran"
       : undefined;
-    const next = { ...told, notRunSaid: true };
+    const next = { ...told, hasReportedNotRun: true };
     return violation === undefined ? next : { ...next, violation };
   }
 
@@ -466,7 +471,7 @@
       createClaim(home, state, { key: this.#key, bounds: this.#bounds })
         .account;
     return this.#change(state, home, (process) => {
-      process.home.release({
+      process.keyTable.release({
         account,
         key: this.#key,
         claimId,
--- a/packages/proof/src/modelScopes.ts
+++ b/packages/proof/src/modelScopes.ts
@@ -70,7 +70,7 @@
       entries: [A, B],
       claimDeliveries: 2,
       lifetimeTicks: 1,
-      hasGiveUps: true,
+      hasAbandonment: true,
     },
   },
 };
@@ -81,10 +81,10 @@
   homeChange: widened("homeChange", {
     rounds: { a: 1, b: 2 },
     readers: [A, B],
-    hasSlowAnswers: true,
+    hasDelayedReplies: true,
   }),
   granterRestart: widened("granterRestart", { ticks: 1 }),
-  keyExpiry: widened("keyExpiry", { hasSlowAnswers: true }),
+  keyExpiry: widened("keyExpiry", { hasDelayedReplies: true }),
 };
 
 function widened(
--- a/packages/proof/src/modelWorld.ts
+++ b/packages/proof/src/modelState.ts
@@ -31,15 +31,15 @@
 const LEASE_MS = 2 * TICK_MS;
 
 /** Which machines the model runs; tests replace one by a weaker one. */
-export interface ModelMachines {
+export interface ModelComponents {
   readonly createLease: (options: ViewLeaseOptions) => ViewLease;
-  readonly createHome: (options: KeyTableOptions) => KeyTable;
+  readonly createKeyTable: (options: KeyTableOptions) => KeyTable;
 }
 
 /** The machines as they ship. */
-export const SHIPPED_MACHINES: ModelMachines = {
+export const PRODUCTION_COMPONENTS: ModelComponents = {
   createLease: (options) => new ViewLease(options),
-  createHome: (options) => new KeyTable(options),
+  createKeyTable: (options) => new KeyTable(options),
 };
 
 /** What may happen in one exploration; all counts are upper bounds. */
@@ -61,9 +61,9 @@
   readonly isIdempotent?: boolean;
   readonly lifetimeTicks?: number;
   /** Lets entries give up waiting and give up grants. */
-  readonly hasGiveUps?: boolean;
+  readonly hasAbandonment?: boolean;
   /** Lets answers arrive apart from requests; more states. */
-  readonly hasSlowAnswers?: boolean;
+  readonly hasDelayedReplies?: boolean;
 }
 
 /** One host's process, as plain data. */
@@ -89,13 +89,13 @@
     string,
     { claim: Claim; home: HostId; left: number }
   >;
-  readonly answers: Map<
+  readonly claimReplies: Map<
     string,
     { answer: ClaimReply; to: HostId; from: HostId }
   >;
   readonly issuedAt: number | undefined;
   readonly dispatches: number;
-  readonly notRunSaid: boolean;
+  readonly hasReportedNotRun: boolean;
   /** What was broken, if anything. */
   readonly violation?: string;
 }
@@ -110,15 +110,15 @@
 /** Builds machines over one host's plain state. */
 export class ModelProcess {
   readonly lease: ViewLease;
-  readonly home: KeyTable;
-  readonly owner: ClaimTable;
+  readonly keyTable: KeyTable;
+  readonly claimTable: ClaimTable;
   readonly #host: HostId;
   readonly #now: number;
 
   constructor(
     host: HostId,
     state: ModelHost,
-    options: { now: number; bounds: ModelBounds; machines: ModelMachines },
+    options: { now: number; bounds: ModelBounds; machines: ModelComponents },
   ) {
     const { now, bounds, machines } = options;
     this.#host = host;
@@ -131,7 +131,7 @@
       driftMs: 0,
       state: state.lease,
     });
-    this.home = machines.createHome({
+    this.keyTable = machines.createKeyTable({
       records: state.records,
       tenureMarginMs: 0,
       lifetimeMs: lifetimeOf(bounds),
@@ -139,7 +139,7 @@
       // a release can do at worst.
       releaseGraceMs: 0,
     });
-    this.owner = new ClaimTable({ claims: state.claims });
+    this.claimTable = new ClaimTable({ claims: state.claims });
   }
 
   /** Decides a claim as the key's home, as the controller does. */
@@ -149,7 +149,7 @@
       homeOf(claim.key, activity.view) === this.#host;
     if (!isHome) return { kind: "unknown", reason: "home-inactive" };
     const { tenures } = activity;
-    return this.home.claim(claim, {
+    return this.keyTable.claim(claim, {
       wallNow: this.#now,
       tenureStartedAt: tenureStartOf(claim.key, { host: this.#host, tenures }),
       isTerminated: isGone,
@@ -199,7 +199,7 @@
     startedAt: number;
     isJoined: boolean;
     firstView: View | undefined;
-    machines: ModelMachines;
+    machines: ModelComponents;
     host: HostId;
   },
 ): ModelHost {
--- a/packages/proof/src/registerCheck.ts
+++ b/packages/proof/src/registerCheck.ts
@@ -27,16 +27,16 @@
  * the runs. The functions are those that the entry hosts run.
  */
 export interface RegisterRules {
-  readonly answerRequest: typeof handleRegisterRequest;
-  readonly takeReply: typeof applyRegisterReply;
+  readonly handleRequest: typeof handleRegisterRequest;
+  readonly applyReply: typeof applyRegisterReply;
   /** Whether the holder may use its own round twice with other values. */
   readonly canRepeatHolderRound: boolean;
 }
 
 /** The rules as they are. */
 export const REGISTER_RULES: RegisterRules = {
-  answerRequest: handleRegisterRequest,
-  takeReply: applyRegisterReply,
+  handleRequest: handleRegisterRequest,
+  applyReply: applyRegisterReply,
   canRepeatHolderRound: false,
 };
 
@@ -44,9 +44,9 @@
 export interface RegisterCheckOptions {
   readonly rules?: RegisterRules;
   /** Attempts of the holder after its own round. */
-  readonly holderAttempts?: number;
+  readonly holderProposals?: number;
   /** Attempts of the copy. */
-  readonly copyAttempts?: number;
+  readonly copyProposals?: number;
   readonly maximumStates?: number;
 }
 
@@ -153,8 +153,8 @@
   constructor(
     {
       rules = REGISTER_RULES,
-      holderAttempts = 1,
-      copyAttempts = 1,
+      holderProposals: holderAttempts = 1,
+      copyProposals: copyAttempts = 1,
       maximumStates = 2_000_000,
     }: RegisterCheckOptions,
   ) {
@@ -279,7 +279,7 @@
     if (known !== undefined) return known;
     const former = this.#members.get(before);
     const { from, content } = this.#requests.get(number);
-    const { acceptor, reply } = this.#rules.answerRequest(
+    const { acceptor, reply } = this.#rules.handleRequest(
       former.acceptor,
       content,
     );
@@ -332,7 +332,7 @@
     const key = (before * MAX_VALUES + reply) * MEMBERS.length + from;
     const known = this.#taken.get(key);
     if (known !== undefined) return known;
-    const attempt = this.#rules.takeReply(this.#attempts.get(before)!, {
+    const attempt = this.#rules.applyReply(this.#attempts.get(before)!, {
       from: MEMBERS[from]!,
       reply: this.#replies.get(reply).content,
     });
--- a/packages/proof/src/reportPage.ts
+++ b/packages/proof/src/reportPage.ts
@@ -43,7 +43,7 @@
 ${plotWaiting(detailed)}`;
 }
 
-function plotGoodput({ answers }: DetailedResult): string {
+function plotGoodput({ responses: answers }: DetailedResult): string {
   const rows = Object.entries(answers).flatMap(([policy, samples]) =>
     samples.map(({ tier, at }) => ({
       policy,
@@ -86,7 +86,7 @@
   });
 }
 
-function plotWaiting({ answers }: DetailedResult): string {
+function plotWaiting({ responses: answers }: DetailedResult): string {
   const rows = Object.entries(answers).flatMap(([policy, samples]) =>
     samples.map(({ tier, waited }) => ({
       policy,
--- a/packages/proof/src/reportTable.ts
+++ b/packages/proof/src/reportTable.ts
@@ -1,5 +1,5 @@
 import type { ExperimentResult } from "./experimentPolicies.ts";
-import { weightedSum } from "./experimentTally.ts";
+import { weightedSum } from "./experimentStats.ts";
 
 const COLUMNS = [
   "policy",
--- a/packages/proof/src/slopeMeasure.ts
+++ b/packages/proof/src/resourceMeasurement.ts
@@ -28,7 +28,7 @@
 }
 
 /** Processor time of one call in milliseconds: the least of several, which other load disturbs least. */
-export function leastProcessorMs(
+export function minimumProcessorMs(
   call: () => void,
   { rounds = 5 }: { rounds?: number } = {},
 ): number {
--- a/packages/proof/src/scenario.ts
+++ b/packages/proof/src/scenario.ts
@@ -21,7 +21,7 @@
   /** Whether the platform answers from the start. */
   readonly platformAtStart?: PlatformState;
   readonly requests: Readonly<Record<string, ScenarioRequest>>;
-  readonly story: readonly Step[];
+  readonly story: readonly ScenarioStep[];
   /** What the caller of a request must see beyond the promises that hold for all. */
   readonly expect?: Readonly<Record<string, Expectation>>;
 }
@@ -70,7 +70,7 @@
 }
 
 /** When a step happens: at a time from the start of the story, or after an event. */
-export type Moment =
+export type StepTrigger =
   | { readonly at: Milliseconds }
   | {
     readonly once: {
@@ -81,7 +81,7 @@
   };
 
 /** What happens. */
-export type Action =
+export type ScenarioAction =
   | { readonly do: "send"; readonly request: string; readonly via: string }
   | { readonly do: "hang-up"; readonly request: string }
   | { readonly do: "kill"; readonly hosts: readonly string[] }
@@ -128,14 +128,14 @@
   };
 
 /** One step of a story. */
-export type Step = Moment & Action;
+export type ScenarioStep = StepTrigger & ScenarioAction;
 
 /** How a request ended for its caller. */
-export type RequestEnding = "whole" | "not-run" | "unknown";
+export type ObservedOutcome = "whole" | "not-run" | "unknown";
 
 /** What must be true of one request in the end. */
 export interface Expectation {
-  readonly ends?: readonly RequestEnding[];
+  readonly ends?: readonly ObservedOutcome[];
   /** Dispatches that reached upstreams. */
   readonly dispatches?: number;
 }
--- a/packages/proof/src/scenarioCaller.ts
+++ b/packages/proof/src/scenarioCaller.ts
@@ -1,21 +1,25 @@
 import { demoApiKey } from "@wasabivane/bundle";
-import { answerTo, markOfRequest, type RequestMark } from "./fakeUpstreams.ts";
+import {
+  expectedCompletion,
+  formatMarker,
+  type RequestMarker,
+} from "./fakeUpstreams.ts";
 import {
   DEFAULT_DEADLINE_MS,
   DEFAULT_TOKENS,
-  type RequestEnding,
+  type ObservedOutcome,
   type RequestKind,
   type ScenarioRequest,
 } from "./scenario.ts";
-import type { CallerConnection, ScenarioCall } from "./scenarioCall.ts";
+import type { CallerConnection, ScenarioCall } from "./callerConnection.ts";
 
 const DEFAULT_ACCOUNT = "hakata-mediation";
 const BYTES_PER_TOKEN = 4;
 const END_MARK = "data: [DONE]\n\n";
 
 /** How one attempt ended, judged by the bytes that the caller got. */
-export interface AttemptEnding {
-  readonly ending: RequestEnding | "accepted";
+export interface AttemptResult {
+  readonly ending: ObservedOutcome | "accepted";
   readonly detail: string;
   /** What the problem says beyond its kind. */
   readonly reason?: string;
@@ -52,13 +56,13 @@
 }
 
 /** The bytes that a caller sends for a request; the same for every resend. */
-export function callOf(
+export function buildCall(
   name: string,
   { request, key }: { request: ScenarioRequest; key: string | undefined },
 ): ScenarioCall {
   const { kind, account = DEFAULT_ACCOUNT, tier = 2 } = request;
   const { method, isModel, isJob } = SHAPES[kind];
-  const mark = markOfRequest(markFor(name, request));
+  const mark = formatMarker(markFor(name, request));
   return {
     method,
     path: isModel
@@ -79,7 +83,10 @@
 }
 
 /** The call that asks what became of a job. */
-export function jobCallOf(id: string, request: ScenarioRequest): ScenarioCall {
+export function buildJobPoll(
+  id: string,
+  request: ScenarioRequest,
+): ScenarioCall {
   const { account = DEFAULT_ACCOUNT } = request;
   return {
     method: "GET",
@@ -89,10 +96,10 @@
 }
 
 /** Judges what arrived for an attempt. */
-export function endingOf(
+export function evaluateAttempt(
   connection: CallerConnection,
   { name, request }: { name: string; request: ScenarioRequest },
-): AttemptEnding {
+): AttemptResult {
   const { status, headers, text, isFinished } = connection;
   if (!isFinished) return { ending: "unknown", detail: "connection-broken" };
   const type = String(headers["content-type"] ?? "");
@@ -101,21 +108,21 @@
   const own = markFor(name, request);
   if (type.startsWith("text/event-stream")) return streamEnding(text, own);
   return SHAPES[request.kind].isModel
-    ? judge(completionOf(text), answerTo(own))
+    ? judge(completionOf(text), expectedCompletion(own))
     : judge(recordOf(text), name);
 }
 
 /** Judges the answer to a question about a job; undefined while it has not ended. */
-export function jobEndingOf(
+export function evaluateJobPoll(
   connection: CallerConnection,
   options: { name: string; request: ScenarioRequest },
-): AttemptEnding | undefined {
-  const ending = endingOf(connection, options);
+): AttemptResult | undefined {
+  const ending = evaluateAttempt(connection, options);
   if (connection.headers["x-job-ending"] !== undefined) return ending;
   return ending.detail === "unknown-job" ? ending : undefined;
 }
 
-function markFor(name: string, request: ScenarioRequest): RequestMark {
+function markFor(name: string, request: ScenarioRequest): RequestMarker {
   return {
     request: name,
     tokens: request.tokens ?? DEFAULT_TOKENS,
@@ -135,33 +142,33 @@
   });
 }
 
-function problemEnding(text: string): AttemptEnding {
+function problemEnding(text: string): AttemptResult {
   const { type, ending, detail } = JSON.parse(text) as {
     type: string;
-    ending: RequestEnding;
+    ending: ObservedOutcome;
     detail?: string;
   };
   const reason = detail === undefined ? {} : { reason: detail };
   return { ending, detail: type.split(":").at(-1)!, ...reason };
 }
 
-function jobOf(text: string): Omit<AttemptEnding, "ending"> {
+function jobOf(text: string): Omit<AttemptResult, "ending"> {
   const { id, status } = JSON.parse(text) as { id: string; status: string };
   return { detail: status, reason: id, job: id };
 }
 
-function streamEnding(text: string, own: RequestMark): AttemptEnding {
+function streamEnding(text: string, own: RequestMarker): AttemptResult {
   const [events, error] = text.split("event: error\ndata: ");
   if (error !== undefined) return problemEnding(error);
   const tokens = [...events!.matchAll(/"content":"([^"]*)"/g)];
   const content = tokens.map(([, token]) => token).join("");
-  const judged = judge(content, answerTo(own));
+  const judged = judge(content, expectedCompletion(own));
   if (judged.ending !== "whole" || text.endsWith(END_MARK)) return judged;
   return { ending: "unknown", detail: "no end mark", fault: "cut" };
 }
 
 /** A part of the expected answer is cut; anything else is another's. */
-function judge(got: string | undefined, expected: string): AttemptEnding {
+function judge(got: string | undefined, expected: string): AttemptResult {
   if (got === expected) return { ending: "whole", detail: "" };
   const isPart = got === undefined || expected.startsWith(got);
   return {
--- a/packages/proof/src/scenarioFleet.ts
+++ b/packages/proof/src/scenarioFleet.ts
@@ -28,7 +28,7 @@
 import {
   FakeUpstream,
   FakeUpstreamClient,
-  type UpstreamWorld,
+  type UpstreamEnvironment,
 } from "./fakeUpstreams.ts";
 import { type FaultScenario, SCENARIO_UPSTREAMS } from "./scenario.ts";
 import type { ScenarioJournal } from "./scenarioJournal.ts";
@@ -54,11 +54,11 @@
 /** Safeguards that a test turns off to see the fault found. */
 export interface Safeguards {
   /** The client compares the nonce of an answer's head. */
-  readonly checksNonce?: boolean;
+  readonly shouldCheckNonce?: boolean;
   /** Changes the options of every entry host. */
-  readonly alterHost?: (options: EntryHostOptions) => EntryHostOptions;
+  readonly overrideOptions?: (options: EntryHostOptions) => EntryHostOptions;
   /** Runs on every entry host before it starts. */
-  readonly alterEntry?: (entry: EntryHost) => void;
+  readonly beforeStart?: (entry: EntryHost) => void;
 }
 
 /** The entry hosts, upstreams, platform and network of one scenario. */
@@ -73,7 +73,7 @@
   readonly #random: Random;
   readonly #journal: ScenarioJournal;
   readonly #safeguards: Safeguards;
-  readonly #world: UpstreamWorld;
+  readonly #world: UpstreamEnvironment;
   readonly #leaving = new Set<string>();
   #hostListVersion = 0;
   #starts = 0;
@@ -99,8 +99,8 @@
       jitterMs: 1,
       ...scenario.link,
     });
-    const checksNonce = safeguards.checksNonce ?? true;
-    this.#world = { timer, journal, checksNonce };
+    const checksNonce = safeguards.shouldCheckNonce ?? true;
+    this.#world = { timer, journal, shouldCheckNonce: checksNonce };
     for (const { upstream, url } of this.#bundle(1).upstreams) {
       const fake = new FakeUpstream(upstream, this.#world);
       this.upstreams.set(upstream, fake);
@@ -123,7 +123,7 @@
 
   start(): void {
     this.platform.setState(this.#scenario.platformAtStart ?? "up");
-    this.roll(1);
+    this.publishBundle(1);
     for (const host of this.hostNames) this.startHost(host);
     this.#publishHosts();
   }
@@ -151,9 +151,9 @@
       log: this.#logOf(host, incarnation),
     };
     const entry = new EntryHost(
-      this.#safeguards.alterHost?.(options) ?? options,
+      this.#safeguards.overrideOptions?.(options) ?? options,
     );
-    this.#safeguards.alterEntry?.(entry);
+    this.#safeguards.beforeStart?.(entry);
     const callerApi = entry.createCallerApi();
     entry.start();
     this.hosts.set(host, {
@@ -188,23 +188,23 @@
     paused.process.pause();
     paused.link.pause();
     this.#journal.add({ kind: "disturbed", how: "paused", hosts: [host] });
-    this.#timer.after(forMs, () => this.wakeHost(paused));
+    this.#timer.after(forMs, () => this.resumeHost(paused));
   }
 
-  wakeHost(paused: ScenarioHost): void {
+  resumeHost(paused: ScenarioHost): void {
     if (!paused.isPaused || this.hosts.get(paused.host) !== paused) return;
     paused.isPaused = false;
-    paused.process.wake();
+    paused.process.resume();
     paused.link.resume();
     const hosts = [paused.host];
     this.#journal.add({ kind: "disturbed", how: "woken", hosts });
   }
 
-  roll(version: number): void {
+  publishBundle(version: number): void {
     this.platform.publishBundle(this.#signed(version));
   }
 
-  leave(upstreams: readonly string[]): void {
+  markLeaving(upstreams: readonly string[]): void {
     for (const upstream of upstreams) this.#leaving.add(upstream);
     this.#publishHosts();
   }
--- a/packages/proof/src/scenarioJournal.ts
+++ b/packages/proof/src/scenarioJournal.ts
@@ -1,8 +1,8 @@
 import type { Milliseconds, Timer } from "@wasabivane/common";
-import type { RequestEnding } from "./scenario.ts";
+import type { ObservedOutcome } from "./scenario.ts";
 
 /** Something that happened, as an observer who sees everything notes it. */
-export type Fact =
+export type ScenarioEvent =
   | {
     readonly kind: "sent";
     readonly request: string;
@@ -13,7 +13,7 @@
     readonly kind: "ended";
     readonly request: string;
     readonly attempt: number;
-    readonly ending: RequestEnding | "accepted";
+    readonly ending: ObservedOutcome | "accepted";
     /** Problem, or what is wrong with the answer. */
     readonly detail: string;
     readonly reason?: string;
@@ -42,42 +42,45 @@
   };
 
 /** A fact with its time. */
-export type DatedFact = Fact & { readonly at: Milliseconds };
+export type TimedScenarioEvent = ScenarioEvent & { readonly at: Milliseconds };
 
 /** Everything that happened in one scenario, in order. */
 export class ScenarioJournal {
-  readonly facts: DatedFact[] = [];
+  readonly events: TimedScenarioEvent[] = [];
   readonly #timer: Timer;
-  readonly #listeners = new Set<(fact: DatedFact) => void>();
+  readonly #listeners = new Set<(fact: TimedScenarioEvent) => void>();
 
   constructor(timer: Timer) {
     this.#timer = timer;
   }
 
-  add(fact: Fact): void {
+  add(fact: ScenarioEvent): void {
     const dated = { ...fact, at: this.#timer.now() };
-    this.facts.push(dated);
+    this.events.push(dated);
     for (const listener of this.#listeners) listener(dated);
   }
 
   /** Calls back at each fact. */
-  watch(listener: (fact: DatedFact) => void): void {
+  subscribe(listener: (fact: TimedScenarioEvent) => void): void {
     this.#listeners.add(listener);
   }
 
   /** Facts of one kind. */
-  of<Kind extends Fact["kind"]>(
+  ofKind<Kind extends ScenarioEvent["kind"]>(
     kind: Kind,
-  ): Extract<DatedFact, { kind: Kind }>[] {
-    return this.facts.filter((fact) => fact.kind === kind) as Extract<
-      DatedFact,
+  ): Extract<TimedScenarioEvent, { kind: Kind }>[] {
+    return this.events.filter((fact) => fact.kind === kind) as Extract<
+      TimedScenarioEvent,
       { kind: Kind }
     >[];
   }
 }
 
 /** One line of a readable trace; times count from `origin`. */
-export function lineOf(fact: DatedFact, origin: Milliseconds): string {
+export function formatEvent(
+  fact: TimedScenarioEvent,
+  origin: Milliseconds,
+): string {
   const { at, kind, ...rest } = fact;
   const time = (at - origin).toFixed(0).padStart(7);
   const words = Object.entries(rest).map(([name, value]) =>
--- a/packages/proof/src/scenarioProcess.ts
+++ b/packages/proof/src/scenarioProcess.ts
@@ -84,7 +84,7 @@
     this.#isPaused = true;
   }
 
-  wake(): void {
+  resume(): void {
     this.#isPaused = false;
     for (const callback of this.#held.splice(0)) this.run(callback);
   }
--- a/packages/proof/src/scenarioRunner.ts
+++ b/packages/proof/src/scenarioRunner.ts
@@ -7,14 +7,18 @@
 } from "@wasabivane/common";
 import { uuidV7 } from "@wasabivane/load";
 import type { FakeUpstream } from "./fakeUpstreams.ts";
-import type { Action, FaultScenario, Step } from "./scenario.ts";
-import { CallerConnection } from "./scenarioCall.ts";
+import type {
+  FaultScenario,
+  ScenarioAction,
+  ScenarioStep,
+} from "./scenario.ts";
+import { CallerConnection } from "./callerConnection.ts";
 import {
-  type AttemptEnding,
-  callOf,
-  endingOf,
-  jobCallOf,
-  jobEndingOf,
+  type AttemptResult,
+  buildCall,
+  buildJobPoll,
+  evaluateAttempt,
+  evaluateJobPoll,
 } from "./scenarioCaller.ts";
 import {
   type Safeguards,
@@ -22,7 +26,7 @@
   type ScenarioHost,
 } from "./scenarioFleet.ts";
 import { ScenarioJournal } from "./scenarioJournal.ts";
-import { judgeScenario, type Verdict } from "./scenarioJudge.ts";
+import { checkScenario, type ScenarioVerdict } from "./checkScenario.ts";
 
 /** Time for the hosts to find each other and for homes of keys to start their tenure. */
 const START_MS: Milliseconds = 8_000;
@@ -35,7 +39,7 @@
 
 /** A scenario that ran. */
 export interface ScenarioResult {
-  readonly verdict: Verdict;
+  readonly verdict: ScenarioVerdict;
   readonly journal: ScenarioJournal;
   /** When the story began. */
   readonly origin: Milliseconds;
@@ -50,8 +54,8 @@
 }
 
 type Actions = {
-  readonly [Name in Action["do"]]: (
-    action: Extract<Action, { do: Name }>,
+  readonly [Name in ScenarioAction["do"]]: (
+    action: Extract<ScenarioAction, { do: Name }>,
   ) => void;
 };
 
@@ -102,7 +106,7 @@
       process.kill();
       entry.stop();
     }
-    const verdict = judgeScenario(this.#scenario, this.#journal);
+    const verdict = checkScenario(this.#scenario, this.#journal);
     return { verdict, journal: this.#journal, origin };
   }
 
@@ -130,7 +134,7 @@
     network.heal();
     network.setFaults({ dropShare: 0, duplicateShare: 0 });
     platform.setState("up");
-    for (const host of this.#fleet.hosts.values()) this.#fleet.wakeHost(host);
+    for (const host of this.#fleet.hosts.values()) this.#fleet.resumeHost(host);
     const { hosts } = this.#fleet;
     for (const name of this.#fleet.hostNames) {
       if (!hosts.has(name)) this.#fleet.startHost(name);
@@ -148,7 +152,7 @@
     }
   }
 
-  #arm(step: Step): void {
+  #arm(step: ScenarioStep): void {
     const play = (): void => {
       this.#pendingSteps--;
       this.#play(step);
@@ -159,7 +163,7 @@
     }
     const { request, is } = step.once;
     let isSeen = false;
-    this.#journal.watch((fact) => {
+    this.#journal.subscribe((fact) => {
       const name = fact.kind === "ended" && fact.ending === "accepted"
         ? "accepted"
         : fact.kind;
@@ -170,7 +174,7 @@
     });
   }
 
-  #play(step: Step): void {
+  #play(step: ScenarioStep): void {
     const { do: name, ...rest } = step;
     const words = Object.entries(rest).filter(([key]) =>
       key !== "at" && key !== "once" && key !== "after"
@@ -179,8 +183,8 @@
     this.#act(step);
   }
 
-  #act(action: Action): void {
-    const act = this.#actions[action.do] as (action: Action) => void;
+  #act(action: ScenarioAction): void {
+    const act = this.#actions[action.do] as (action: ScenarioAction) => void;
     act(action);
   }
 
@@ -210,9 +214,9 @@
     "slow": ({ upstream, factor }) => this.#upstream(upstream).slowDown(factor),
     "break-streams": ({ upstream }) => this.#upstream(upstream).breakStreams(),
     "cross-answers": ({ upstream, what }) =>
-      this.#upstream(upstream).crossNext(what),
-    "leave": ({ upstreams }) => this.#fleet.leave(upstreams),
-    "roll": ({ version }) => this.#fleet.roll(version),
+      this.#upstream(upstream).misrouteNext(what),
+    "leave": ({ upstreams }) => this.#fleet.markLeaving(upstreams),
+    "roll": ({ version }) => this.#fleet.publishBundle(version),
     "platform": ({ state, hosts }) =>
       this.#fleet.platform.setState(state, hosts),
   };
@@ -244,7 +248,7 @@
     const killed = this.#fleet.hosts.get(host);
     this.#fleet.killHost(host);
     for (const open of [...this.#open]) {
-      if (open.host === killed) open.connection.breakOff();
+      if (open.host === killed) open.connection.disconnect();
     }
   }
 
@@ -259,11 +263,11 @@
       return;
     }
     const connection = new CallerConnection(
-      callOf(name, { request, key: this.#keyOf(name) }),
+      buildCall(name, { request, key: this.#keyOf(name) }),
       {
         onEnd: () => {
           this.#open.delete(open);
-          const ending = endingOf(connection, { name, request });
+          const ending = evaluateAttempt(connection, { name, request });
           this.#end(name, { attempt, ending });
           if (ending.job !== undefined) this.#follow(name, ending.job);
         },
@@ -283,14 +287,14 @@
   #hangUp(name: string): void {
     for (const { request, host, connection } of [...this.#open]) {
       if (request !== name) continue;
-      connection.breakOff();
+      connection.disconnect();
       host.process.run(() => connection.destroy());
     }
   }
 
   #end(
     request: string,
-    { attempt, ending }: { attempt: number; ending: AttemptEnding },
+    { attempt, ending }: { attempt: number; ending: AttemptResult },
   ): void {
     const { ending: kind, detail, reason, fault } = ending;
     this.#journal.add({
@@ -315,10 +319,10 @@
     const running = this.#fleet.running;
     if (running.length === 0) return this.#follow(name, id);
     const host = this.#random.pick(running);
-    const connection = new CallerConnection(jobCallOf(id, request), {
+    const connection = new CallerConnection(buildJobPoll(id, request), {
       onEnd: () => {
         this.#open.delete(open);
-        const ending = jobEndingOf(connection, { name, request });
+        const ending = evaluateJobPoll(connection, { name, request });
         if (ending === undefined || ending.detail === "unknown-job") {
           return this.#follow(name, id);
         }
@@ -342,7 +346,7 @@
 }
 
 /** A connection that no process took: the request did not run. */
-const REFUSED: AttemptEnding = {
+const REFUSED: AttemptResult = {
   ending: "unknown",
   detail: "connection-refused",
 };
--- a/packages/proof/src/dayBound.ts
+++ b/packages/proof/src/serviceUsage.ts
@@ -1,22 +1,22 @@
 import type { EpochMilliseconds } from "@wasabivane/common";
-import type { DayEnding, DayRequest } from "./dayLog.ts";
-import { fillSpans, type SpanJob } from "./spanFill.ts";
+import type { LoggedOutcome, LoggedRequest } from "./loggedRequests.ts";
+import { allocateGreedily, type WindowedJob } from "./allocateGreedily.ts";
 
 /** Windows are widened to whole slots, which keeps the bound a bound. */
 const SLOT_MS = 1_000;
 
 /** One tier of a service: what its callers saw, and how many could have been on time. */
-export interface TierDay {
+export interface TierUsage {
   readonly tier: number;
-  readonly asked: number;
-  readonly endings: ReadonlyMap<DayEnding, number>;
+  readonly requestCount: number;
+  readonly outcomes: ReadonlyMap<LoggedOutcome, number>;
   /** Most requests that any order and placement could have served on time. */
   readonly bound: number;
 }
 
 /** What one service's places were used for. */
-export interface ServiceDay {
-  readonly tiers: readonly TierDay[];
+export interface ServiceUsage {
+  readonly tiers: readonly TierUsage[];
   /** Time in places at the speed of the fastest upstream, in milliseconds. */
   readonly capacity: number;
   readonly used: number;
@@ -41,7 +41,9 @@
  * expected. Work is cut into parts at will and higher tiers go first, each with its
  * shortest requests first: no schedule that keeps the order of tiers does better.
  */
-export function dayOf(requests: readonly DayRequest[]): ServiceDay {
+export function analyzeServiceUsage(
+  requests: readonly LoggedRequest[],
+): ServiceUsage {
   const places = placesOf(requests);
   const start = Math.min(...requests.map(({ at }) => at));
   const jobs = requests
@@ -57,8 +59,8 @@
   );
   const slots = 1 + end;
   const capacity = capacityBySlot(places, { start, slots });
-  const shares = fillSpans(jobs.map(({ job }) => job), capacity);
-  const tiers = new Map<number, { bound: number; requests: DayRequest[] }>();
+  const shares = allocateGreedily(jobs.map(({ job }) => job), capacity);
+  const tiers = new Map<number, { bound: number; requests: LoggedRequest[] }>();
   for (const [index, { request }] of jobs.entries()) {
     const tier = tiers.get(request.tier) ?? { bound: 0, requests: [] };
     tier.bound += shares[index]!;
@@ -68,8 +70,8 @@
   return {
     tiers: [...tiers].map(([tier, { bound, requests }]) => ({
       tier,
-      asked: requests.length,
-      endings: countEndings(requests),
+      requestCount: requests.length,
+      outcomes: countEndings(requests),
       bound,
     })),
     capacity: capacity.reduce((sum, slot) => sum + slot, 0),
@@ -81,7 +83,7 @@
   };
 }
 
-function placesOf(requests: readonly DayRequest[]): Map<string, Place> {
+function placesOf(requests: readonly LoggedRequest[]): Map<string, Place> {
   const paces = new Map<string, number[]>();
   for (const { upstream, pace } of requests) {
     if (upstream === undefined || pace === undefined) continue;
@@ -107,12 +109,12 @@
 }
 
 function jobOf(
-  { at, target, held, upstream }: DayRequest,
+  { at, target, held, upstream }: LoggedRequest,
   { places, start }: {
     places: ReadonlyMap<string, Place>;
     start: EpochMilliseconds;
   },
-): SpanJob {
+): WindowedJob {
   const slowness = upstream === undefined
     ? meanSlowness(places)
     : places.get(upstream)!.slowness;
@@ -147,10 +149,10 @@
 }
 
 function countEndings(
-  requests: readonly DayRequest[],
-): Map<DayEnding, number> {
-  const counts = new Map<DayEnding, number>();
-  for (const { ending } of requests) {
+  requests: readonly LoggedRequest[],
+): Map<LoggedOutcome, number> {
+  const counts = new Map<LoggedOutcome, number>();
+  for (const { outcome: ending } of requests) {
     counts.set(ending, (counts.get(ending) ?? 0) + 1);
   }
   return counts;
--- a/packages/proof/src/slopeBundle.ts
+++ b/packages/proof/src/slopeBundle.ts
@@ -14,7 +14,7 @@
   verifySignedBundle,
 } from "@wasabivane/bundle";
 import { asBundleVersion } from "@wasabivane/common";
-import { leastProcessorMs, retainedBytes } from "./slopeMeasure.ts";
+import { minimumProcessorMs, retainedBytes } from "./resourceMeasurement.ts";
 import type { SlopePoint } from "./slope.ts";
 import { TARGET } from "./slopeTarget.ts";
 
@@ -58,12 +58,12 @@
     bytes: Buffer.byteLength(text),
     compressedBytes: gzipSync(text).length,
     heapBytes: retainedBytes(() => JSON.parse(text)),
-    verifyMs: leastProcessorMs(
+    verifyMs: minimumProcessorMs(
       () => void verified(JSON.parse(text) as SignedBundle),
       { rounds: ROUNDS },
     ),
     differenceBytes: Buffer.byteLength(JSON.stringify(difference)),
-    changeMs: leastProcessorMs(() => {
+    changeMs: minimumProcessorMs(() => {
       const applied = applyBundleDifference(signed, difference)._unsafeUnwrap();
       verified(applied);
     }, { rounds: ROUNDS }),
--- a/packages/proof/src/slopeConfiguration.ts
+++ b/packages/proof/src/slopeConfiguration.ts
@@ -30,12 +30,12 @@
 } from "@wasabivane/coordination";
 import { ok, type Result } from "neverthrow";
 import {
-  costReading,
   costSince,
   type HostCost,
   hostName,
   LINK_DELAY_MS,
   MEASURED_MS,
+  readCostCounters,
   WARM_UP_MS,
 } from "./slopeFleet.ts";
 
@@ -72,7 +72,7 @@
   const fleet = new ConfigurationFleet(size);
   await fleet.advance(WARM_UP_MS);
   const start = { reads: fleet.platform.reads };
-  const reading = costReading(fleet.network);
+  const reading = readCostCounters(fleet.network);
   await fleet.advance(MEASURED_MS);
   const idle = costSince(reading, fleet.network, { size, span: MEASURED_MS });
   return { idle, change: await fleet.measureChanges(idle), start };
--- a/packages/proof/src/slopeFleet.ts
+++ b/packages/proof/src/slopeFleet.ts
@@ -17,7 +17,7 @@
   type MemoryLink,
   MemoryNetwork,
 } from "@wasabivane/coordination";
-import { processorMsSince } from "./slopeMeasure.ts";
+import { processorMsSince } from "./resourceMeasurement.ts";
 import { TARGET } from "./slopeTarget.ts";
 
 /** Virtual time until a fleet that started at once is idle. */
@@ -70,14 +70,14 @@
 }
 
 /** Starts membership on `size` hosts and lets them settle; the fleet keeps their state alive. */
-export function settledMembership(size: number): unknown {
+export function createSettledFleet(size: number): unknown {
   const fleet = new MembershipFleet(size);
   fleet.timer.advance(WARM_UP_MS);
   return fleet;
 }
 
 function idleCost(fleet: MembershipFleet, size: number): HostCost {
-  const start = costReading(fleet.network);
+  const start = readCostCounters(fleet.network);
   fleet.timer.advance(MEASURED_MS);
   return costSince(start, fleet.network, { size, span: MEASURED_MS });
 }
@@ -162,14 +162,14 @@
 }
 
 /** Counters at the start of a measurement. */
-export interface CostReading {
+export interface CostCounters {
   readonly messages: number;
   readonly bytes: number;
   readonly processor: NodeJS.CpuUsage;
 }
 
 /** Reads the counters that {@link costSince} compares with. */
-export function costReading(network: MemoryNetwork): CostReading {
+export function readCostCounters(network: MemoryNetwork): CostCounters {
   return {
     messages: network.sentMessages,
     bytes: network.sentBytes,
@@ -179,7 +179,7 @@
 
 /** What each host spent since a reading. */
 export function costSince(
-  start: CostReading,
+  start: CostCounters,
   network: MemoryNetwork,
   { size, span }: { size: number; span: Milliseconds },
 ): HostCost {
--- a/packages/proof/src/slopeFleetGroups.ts
+++ b/packages/proof/src/slopeFleetGroups.ts
@@ -1,19 +1,19 @@
 import {
-  bytesPerSecond,
-  heap,
-  perHost,
-  processor,
+  BYTES_PER_SECOND,
+  defineSlopeGroup,
+  HEAP_BYTES,
+  PER_HOST,
+  PROCESSOR_MS,
   type SlopeGroup,
-  slopeGroup,
 } from "./slopeGroup.ts";
 import type { SlopePoint } from "./slope.ts";
 import { measureConfiguration } from "./slopeConfiguration.ts";
 import {
+  createSettledFleet,
   measureMemberChanges,
   measureMembership,
-  settledMembership,
 } from "./slopeFleet.ts";
-import { retainedBytes } from "./slopeMeasure.ts";
+import { retainedBytes } from "./resourceMeasurement.ts";
 import { CHANGES_PER_SECOND, TARGET } from "./slopeTarget.ts";
 import { measureViews } from "./slopeViews.ts";
 
@@ -24,14 +24,14 @@
 
 /** What entry hosts tell each other, by the size of the fleet. */
 export const FLEET_GROUPS: readonly SlopeGroup[] = [
-  slopeGroup({
+  defineSlopeGroup({
     "membership-messages": {
-      ...perHost,
+      ...PER_HOST,
       unit: "messages sent per host and second",
       isExact: true,
     },
-    "membership-bytes": { ...perHost, ...bytesPerSecond },
-    "membership-processor": { ...perHost, ...processor },
+    "membership-bytes": { ...PER_HOST, ...BYTES_PER_SECOND },
+    "membership-processor": { ...PER_HOST, ...PROCESSOR_MS },
   }, () => {
     const costs = HOST_COUNTS.map((size) => ({
       size,
@@ -47,14 +47,14 @@
       ) => [size, processorMs]),
     };
   }),
-  slopeGroup({
+  defineSlopeGroup({
     "membership-death-bytes": {
-      ...perHost,
+      ...PER_HOST,
       unit: "bytes that the fleet sends when a host dies",
       isExact: true,
     },
     "membership-start-bytes": {
-      ...perHost,
+      ...PER_HOST,
       unit: "bytes that the fleet sends when an unknown host starts",
       isExact: true,
     },
@@ -72,26 +72,26 @@
       ) => [size, startBytes]),
     };
   }),
-  slopeGroup({
-    "membership-state": { ...heap, ...perHost },
+  defineSlopeGroup({
+    "membership-state": { ...HEAP_BYTES, ...PER_HOST },
   }, () => ({
     "membership-state": STATE_HOST_COUNTS.map((size): SlopePoint => [
       size,
-      retainedBytes(() => settledMembership(size)) / size,
+      retainedBytes(() => createSettledFleet(size)) / size,
     ]),
   })),
-  slopeGroup({
+  defineSlopeGroup({
     "views-messages": {
-      ...perHost,
+      ...PER_HOST,
       unit: "messages sent per holder of a lease and second",
       isExact: true,
     },
     "views-bytes": {
-      ...perHost,
-      ...bytesPerSecond,
+      ...PER_HOST,
+      ...BYTES_PER_SECOND,
       unit: "bytes sent per holder of a lease and second",
     },
-    "views-processor": { ...perHost, ...processor },
+    "views-processor": { ...PER_HOST, ...PROCESSOR_MS },
   }, () => {
     const costs = VIEW_HOST_COUNTS.map((size) => ({
       size,
@@ -105,23 +105,23 @@
       ) => [size, processorMs]),
     };
   }),
-  slopeGroup({
-    "configuration-idle-bytes": { ...perHost, ...bytesPerSecond },
-    "configuration-idle-processor": { ...perHost, ...processor },
+  defineSlopeGroup({
+    "configuration-idle-bytes": { ...PER_HOST, ...BYTES_PER_SECOND },
+    "configuration-idle-processor": { ...PER_HOST, ...PROCESSOR_MS },
     "configuration-change-bytes": {
-      ...perHost,
+      ...PER_HOST,
       unit: "bytes sent per host and change",
       budget: TARGET.controlBytesPerSecond / CHANGES_PER_SECOND,
       isExact: true,
     },
     "configuration-in-force": {
-      ...perHost,
+      ...PER_HOST,
       unit: "ms until a change is in force everywhere",
       budget: TARGET.inForceMs,
       isExact: true,
     },
     "platform-start-reads": {
-      ...perHost,
+      ...PER_HOST,
       unit: "platform reads in 8 s when all hosts start at once",
       isExact: true,
     },
--- a/packages/proof/src/slopeGroup.ts
+++ b/packages/proof/src/slopeGroup.ts
@@ -10,7 +10,7 @@
 }
 
 /** Joins definitions by name with the run that measures them. */
-export function slopeGroup<Name extends string>(
+export function defineSlopeGroup<Name extends string>(
   definitions: Readonly<Record<Name, Omit<SlopeDefinition, "name">>>,
   measure: () => Promise<Points<Name>> | Points<Name>,
 ): SlopeGroup {
@@ -25,30 +25,30 @@
 const SUBSET_HOSTS = 32;
 
 /** Measured over fleets of growing size. */
-export const perHost = {
+export const PER_HOST = {
   per: "hosts of the fleet",
   targetX: TARGET.hosts,
   fromX: SUBSET_HOSTS,
 } as const;
 /** Measured over growing numbers of upstreams. */
-export const perUpstream = {
+export const PER_UPSTREAM = {
   per: "upstreams",
   targetX: TARGET.upstreams,
 } as const;
 /** Counts against the bytes that control may send. */
-export const bytesPerSecond = {
+export const BYTES_PER_SECOND = {
   unit: "bytes sent per host and second",
   budget: TARGET.controlBytesPerSecond,
   isExact: true,
 } as const;
 /** Counts against the processor time of control. */
-export const processor = {
+export const PROCESSOR_MS = {
   unit: "ms of processor time per host and second",
   budget: TARGET.controlMsPerSecond,
   isExact: false,
 } as const;
 /** Counts against the memory of control. */
-export const heap = {
+export const HEAP_BYTES = {
   unit: "bytes of heap",
   budget: TARGET.controlMemoryBytes,
   isExact: false,
--- a/packages/proof/src/slopeHostGroups.ts
+++ b/packages/proof/src/slopeHostGroups.ts
@@ -1,22 +1,22 @@
 import { KEY_LIFETIME_MS, MAX_VIEW_HOSTS } from "@wasabivane/coordination";
 import { measureBundles } from "./slopeBundle.ts";
 import {
-  bytesPerSecond,
-  heap,
-  perUpstream,
-  processor,
+  BYTES_PER_SECOND,
+  defineSlopeGroup,
+  HEAP_BYTES,
+  PER_UPSTREAM,
+  PROCESSOR_MS,
   type SlopeGroup,
-  slopeGroup,
 } from "./slopeGroup.ts";
-import { keyBytes, keyState } from "./slopeKeys.ts";
-import { poolProtocol, poolSync } from "./slopePool.ts";
+import { measureKeyMemory, measureKeyTraffic } from "./slopeKeys.ts";
+import { measurePoolProtocol, measurePoolSync } from "./slopePool.ts";
 import {
-  accountState,
-  decisionTime,
-  policyTime,
-  runningState,
-  upstreamState,
-  waitingState,
+  measureAccountMemory,
+  measureDecisionTime,
+  measurePolicyTime,
+  measureQueueMemory,
+  measureRunningMemory,
+  measureUpstreamMemory,
 } from "./slopeScheduler.ts";
 import { measureStreams } from "./slopeStream.ts";
 import {
@@ -36,32 +36,32 @@
 
 /** What one host holds and does, by what it is given. */
 export const HOST_GROUPS: readonly SlopeGroup[] = [
-  slopeGroup({
+  defineSlopeGroup({
     "bundle-bytes": {
-      ...perUpstream,
+      ...PER_UPSTREAM,
       unit: "bytes of the signed bundle",
       budget: TARGET.platformValueBytes,
       isExact: true,
     },
     "bundle-compressed-bytes": {
-      ...perUpstream,
+      ...PER_UPSTREAM,
       unit: "bytes of the signed bundle after gzip",
       budget: TARGET.platformValueBytes,
       isExact: true,
     },
-    "bundle-state": { ...heap, ...perUpstream },
+    "bundle-state": { ...HEAP_BYTES, ...PER_UPSTREAM },
     "bundle-verify": {
-      ...perUpstream,
+      ...PER_UPSTREAM,
       unit: "ms of processor time to parse and verify a whole bundle",
       isExact: false,
     },
     "bundle-difference-bytes": {
-      ...perUpstream,
+      ...PER_UPSTREAM,
       unit: "bytes of the difference of one change",
       isExact: true,
     },
     "bundle-change": {
-      ...perUpstream,
+      ...PER_UPSTREAM,
       unit: "ms of processor time to take a change",
       budget: TARGET.controlMsPerSecond / CHANGES_PER_SECOND,
       isExact: false,
@@ -77,86 +77,86 @@
       "bundle-change": costs.changeMs,
     };
   }),
-  slopeGroup({
-    "scheduler-upstream-state": { ...heap, ...perUpstream },
+  defineSlopeGroup({
+    "scheduler-upstream-state": { ...HEAP_BYTES, ...PER_UPSTREAM },
     "scheduler-account-state": {
-      ...heap,
+      ...HEAP_BYTES,
       per: "client accounts",
       targetX: TARGET.accounts,
     },
     "scheduler-waiting-state": {
-      ...heap,
+      ...HEAP_BYTES,
       per: "requests that wait",
       targetX: TARGET.requestsPerSecond,
     },
     "scheduler-running-state": {
-      ...heap,
+      ...HEAP_BYTES,
       per: "requests that run",
       targetX: Math.round(STREAMS_PER_HOST),
     },
     "scheduler-decision": {
-      ...perUpstream,
+      ...PER_UPSTREAM,
       unit: "µs of processor time per request",
       budget: TARGET.controlMsPerSecond * MILLISECONDS / REQUESTS_PER_HOST,
       isExact: false,
     },
     "scheduler-policy": {
-      ...perUpstream,
+      ...PER_UPSTREAM,
       unit: "ms of processor time per new policy",
       budget: TARGET.controlMsPerSecond / CHANGES_PER_SECOND,
       isExact: false,
     },
   }, () => ({
-    "scheduler-upstream-state": upstreamState(),
-    "scheduler-account-state": accountState(),
-    "scheduler-waiting-state": waitingState(),
-    "scheduler-running-state": runningState(),
-    "scheduler-decision": decisionTime(),
-    "scheduler-policy": policyTime(),
+    "scheduler-upstream-state": measureUpstreamMemory(),
+    "scheduler-account-state": measureAccountMemory(),
+    "scheduler-waiting-state": measureQueueMemory(),
+    "scheduler-running-state": measureRunningMemory(),
+    "scheduler-decision": measureDecisionTime(),
+    "scheduler-policy": measurePolicyTime(),
   })),
-  slopeGroup({
+  defineSlopeGroup({
     "pool-bytes": {
-      ...bytesPerSecond,
+      ...BYTES_PER_SECOND,
       unit: "bytes between a host and a keeper per second",
       per: "requests of the host per second",
       targetX: REQUESTS_PER_HOST,
     },
     "pool-processor": {
-      ...processor,
+      ...PROCESSOR_MS,
       unit: "ms of processor time of host and keeper per second",
       per: "requests of the host per second",
       targetX: REQUESTS_PER_HOST,
     },
     "pool-sync-bytes": {
-      ...bytesPerSecond,
+      ...BYTES_PER_SECOND,
       per: "pools in use",
       targetX: TARGET.models,
     },
   }, () => {
-    const { bytes, processorMs } = poolProtocol();
+    const { bytes, processorMs } = measurePoolProtocol();
     return {
       "pool-bytes": bytes,
       "pool-processor": processorMs,
-      "pool-sync-bytes": poolSync(),
+      "pool-sync-bytes": measurePoolSync(),
     };
   }),
-  slopeGroup({
+  defineSlopeGroup({
     "key-bytes": {
-      ...bytesPerSecond,
+      ...BYTES_PER_SECOND,
       unit: "bytes between a host and the homes of keys per second",
       per: "requests with a bare key of the host per second",
       targetX: REQUESTS_PER_HOST,
     },
     "key-state": {
-      ...heap,
+      ...HEAP_BYTES,
       per: "bare keys that one home holds",
       targetX: KEYS_PER_HOME,
     },
   }, async () => ({
-    "key-bytes": await keyBytes(),
-    "key-state": await keyState(),
+    "key-bytes": await measureKeyTraffic(),
+    "key-state": await measureKeyMemory(),
   })),
-  slopeGroup({
+  defineSlopeGroup({
     "relay-processor": {
       unit: "ms of processor time of one entry process per second",
       per: "tokens relayed per second",
--- a/packages/proof/src/slopeKeys.ts
+++ b/packages/proof/src/slopeKeys.ts
@@ -20,7 +20,7 @@
   ViewController,
 } from "@wasabivane/coordination";
 import { hostListOf } from "./slopeFleet.ts";
-import { heapBytes } from "./slopeMeasure.ts";
+import { heapBytes } from "./resourceMeasurement.ts";
 import type { SlopePoint } from "./slope.ts";
 
 const HOSTS = 8;
@@ -40,7 +40,7 @@
 };
 
 /** Bytes that keys add to a fleet, by keys claimed through one host in a second. */
-export async function keyBytes(): Promise<SlopePoint[]> {
+export async function measureKeyTraffic(): Promise<SlopePoint[]> {
   const idle = await sentBytesAt(0);
   const points: SlopePoint[] = [];
   for (const rate of RATES) {
@@ -51,7 +51,7 @@
 }
 
 /** Heap of owner and home together, by keys that are held. */
-export async function keyState(): Promise<SlopePoint[]> {
+export async function measureKeyMemory(): Promise<SlopePoint[]> {
   const points: SlopePoint[] = [];
   for (const count of HELD_COUNTS) {
     const fleet = new KeyFleet();
--- a/packages/proof/src/slopePool.ts
+++ b/packages/proof/src/slopePool.ts
@@ -18,9 +18,9 @@
   type PoolMember,
 } from "@wasabivane/coordination";
 import { type PlacementRequest, PoolScheduler } from "@wasabivane/decisions";
-import { processorMsSince } from "./slopeMeasure.ts";
+import { processorMsSince } from "./resourceMeasurement.ts";
 import type { SlopePoint } from "./slope.ts";
-import { slopeAsk, slopePolicy } from "./slopeScheduler.ts";
+import { createTargetPolicy, createTargetRequest } from "./slopeScheduler.ts";
 import { TARGET } from "./slopeTarget.ts";
 
 const RATES = [10, 20, 40, 80];
@@ -39,7 +39,7 @@
 const HOSTS = ["entry-1", "entry-2"].map((host) => asId<HostId>(host));
 
 /** Bytes and processor time of the pool protocol by requests of one host in a second. */
-export function poolProtocol(): {
+export function measurePoolProtocol(): {
   bytes: SlopePoint[];
   processorMs: SlopePoint[];
 } {
@@ -52,12 +52,12 @@
 }
 
 /** Bytes that one host sends each second to keep pools in step, by pools in which something runs. */
-export function poolSync(): SlopePoint[] {
+export function measurePoolSync(): SlopePoint[] {
   return POOL_COUNTS.map((pools) => {
     const pair = new PoolPair();
     for (let number = 0; number < pools; number++) {
       pair.run(pair.services[number]!, {
-        ask: slopeAsk(number),
+        ask: createTargetRequest(number),
         lengthMs: MEASURED_MS * 2,
       });
     }
@@ -72,7 +72,7 @@
   const pair = new PoolPair();
   const asks = Array.from(
     { length: rate * MEASURED_MS / SECOND },
-    (_, number) => slopeAsk(number),
+    (_, number) => createTargetRequest(number),
   );
   const start = process.cpuUsage();
   for (const [number, ask] of asks.entries()) {
@@ -160,7 +160,7 @@
     const keeper = new PoolCoordinator({
       ...shared,
       reachableShare: FLEET_SHARE,
-      policyOf: () => slopePolicy(857, { accounts: TARGET.accounts }),
+      policyOf: () => createTargetPolicy(857, { accounts: TARGET.accounts }),
       createScheduler: (_service, policy) =>
         new PoolScheduler(policy, { random: new SeededRandom(2) }),
       onLocalDecision: (service, decision) =>
--- a/packages/proof/src/slopeScheduler.ts
+++ b/packages/proof/src/slopeScheduler.ts
@@ -17,7 +17,7 @@
   type PoolPolicy,
   PoolScheduler,
 } from "@wasabivane/decisions";
-import { leastProcessorMs, retainedBytes } from "./slopeMeasure.ts";
+import { minimumProcessorMs, retainedBytes } from "./resourceMeasurement.ts";
 import type { SlopePoint } from "./slope.ts";
 import { TARGET } from "./slopeTarget.ts";
 
@@ -43,7 +43,7 @@
 const HOUR_MS = 3_600_000;
 
 /** A pool of the target's shape with so many upstreams. */
-export function slopePolicy(
+export function createTargetPolicy(
   upstreams: number,
   { accounts = 0, ...rest }:
     & { accounts?: number }
@@ -79,7 +79,7 @@
 }
 
 /** A request of the target's shape; its strings are its own, as on arrival. */
-export function slopeAsk(
+export function createTargetRequest(
   number: number,
   { accounts = TARGET.accounts, origin = "entry-1" }: {
     accounts?: number;
@@ -108,17 +108,17 @@
 }
 
 /** Heap of a scheduler by its upstreams. */
-export function upstreamState(): SlopePoint[] {
+export function measureUpstreamMemory(): SlopePoint[] {
   return UPSTREAM_COUNTS.map((count) => {
-    const policy = slopePolicy(count);
+    const policy = createTargetPolicy(count);
     return [count, retainedBytes(() => schedulerOf(policy))];
   });
 }
 
 /** Heap of a scheduler by client accounts that each sent a request. */
-export function accountState(): SlopePoint[] {
+export function measureAccountMemory(): SlopePoint[] {
   return ACCOUNT_COUNTS.map((count) => {
-    const policy = slopePolicy(16, {
+    const policy = createTargetPolicy(16, {
       accounts: count,
       initialConcurrency: 1_000,
       maximumConcurrency: 1_000,
@@ -135,15 +135,15 @@
 }
 
 /** Heap of a scheduler by requests that wait. */
-export function waitingState(): SlopePoint[] {
+export function measureQueueMemory(): SlopePoint[] {
   return WAITING_COUNTS.map((count) => [
     count,
     retainedBytes(() => {
       const scheduler = schedulerOf(
-        slopePolicy(1, { initialConcurrency: 1, maximumConcurrency: 1 }),
+        createTargetPolicy(1, { initialConcurrency: 1, maximumConcurrency: 1 }),
       );
       for (let number = 0; number <= count; number++) {
-        scheduler.submit(slopeAsk(number), number / 100);
+        scheduler.submit(createTargetRequest(number), number / 100);
       }
       return scheduler;
     }),
@@ -151,11 +151,11 @@
 }
 
 /** Heap of a scheduler by requests that run. */
-export function runningState(): SlopePoint[] {
+export function measureRunningMemory(): SlopePoint[] {
   return RUNNING_COUNTS.map((count) => [
     count,
     retainedBytes(() => {
-      const scheduler = schedulerOf(slopePolicy(857));
+      const scheduler = schedulerOf(createTargetPolicy(857));
       start(scheduler, { from: 0, count });
       return scheduler;
     }),
@@ -163,10 +163,10 @@
 }
 
 /** Processor time of one request at the keeper: ask, grant, first token, end. */
-export function decisionTime(): SlopePoint[] {
+export function measureDecisionTime(): SlopePoint[] {
   return UPSTREAM_COUNTS.map((count) => {
     const scheduler = schedulerOf(
-      slopePolicy(count, { accounts: TARGET.accounts }),
+      createTargetPolicy(count, { accounts: TARGET.accounts }),
     );
     const running = RUNNING_PER_UPSTREAM * count;
     start(scheduler, { from: 0, count: running });
@@ -176,7 +176,7 @@
         asksFrom(running + round * TIMED_DECISIONS, TIMED_DECISIONS),
     );
     let now = 0;
-    const least = leastProcessorMs(() => {
+    const least = minimumProcessorMs(() => {
       now = serve(scheduler, rounds.pop()!, { from: now });
     }, { rounds: TIMED_ROUNDS });
     return [count, least / TIMED_DECISIONS * MICROSECONDS];
@@ -184,11 +184,11 @@
 }
 
 /** Processor time of a new policy at the keeper, by upstreams of the pool. */
-export function policyTime(): SlopePoint[] {
+export function measurePolicyTime(): SlopePoint[] {
   return UPSTREAM_COUNTS.map((count) => {
-    const scheduler = schedulerOf(slopePolicy(count));
-    const next = slopePolicy(count);
-    return [count, leastProcessorMs(() => void scheduler.setPolicy(next, 1))];
+    const scheduler = schedulerOf(createTargetPolicy(count));
+    const next = createTargetPolicy(count);
+    return [count, minimumProcessorMs(() => void scheduler.setPolicy(next, 1))];
   });
 }
 
@@ -203,7 +203,7 @@
 ): PlacementRequest[] {
   return Array.from(
     { length: count },
-    (_, index) => slopeAsk(from + index, options),
+    (_, index) => createTargetRequest(from + index, options),
   );
 }
 
--- a/packages/proof/src/slopeStream.ts
+++ b/packages/proof/src/slopeStream.ts
@@ -4,7 +4,11 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { Agent } from "undici";
 import { endProgram, residentMib, startProgram } from "./childProgram.ts";
-import { benchCall, startBenchEntry, urlOf } from "./entryBench.ts";
+import {
+  createBenchRequest,
+  loopbackUrl,
+  startBenchEntry,
+} from "./entryBench.ts";
 import type { SlopePoint } from "./slope.ts";
 
 const STREAM_COUNTS = [100, 200, 400, 600];
@@ -27,11 +31,13 @@
 /** Holds streams open through one entry process and reads what the kernel charges it. */
 export async function measureStreams(): Promise<StreamCosts> {
   const upstream = await startProgram("./slopeUpstreamMain.js");
-  const entry = await startBenchEntry(urlOf(upstream.announcement.port), {
+  const entry = await startBenchEntry(loopbackUrl(upstream.announcement.port), {
     copies: 16,
   });
   const pid = entry.program.child.pid!;
-  const load = new StreamLoad(urlOf(entry.program.announcement.callerPort));
+  const load = new StreamLoad(
+    loopbackUrl(entry.program.announcement.callerPort),
+  );
   const residentBytes: SlopePoint[] = [];
   const processorMs: SlopePoint[] = [];
   try {
@@ -93,7 +99,7 @@
     try {
       const answer = await this.#agent.request({
         origin: this.#url,
-        ...benchCall({ stream: true, tokens: 4_096 }),
+        ...createBenchRequest({ stream: true, tokens: 4_096 }),
         signal: this.#ending.signal,
       });
       let last = "";
--- a/packages/proof/src/slopeViews.ts
+++ b/packages/proof/src/slopeViews.ts
@@ -15,7 +15,7 @@
   ViewController,
 } from "@wasabivane/coordination";
 import { hostListOf } from "./slopeFleet.ts";
-import { processorMsSince } from "./slopeMeasure.ts";
+import { processorMsSince } from "./resourceMeasurement.ts";
 
 const WARM_UP_MS: Milliseconds = 6_000;
 const MEASURED_MS: Milliseconds = 3_000;
--- a/packages/proof/tests/experiment.test.ts
+++ b/packages/proof/tests/experiment.test.ts
@@ -1,20 +1,20 @@
 import test from "ava";
 import {
   type Deployment,
-  type Pattern,
+  type LoadPattern,
   type PolicyResult,
   runExperiment,
 } from "@wasabivane/proof";
 
 const SEED = 11;
 /** Those with faults; the others are cheap to run by hand and take long in CI. */
-const PATTERNS_WITH_FAULTS: readonly Pattern[] = [
+const PATTERNS_WITH_FAULTS: readonly LoadPattern[] = [
   "upstream-loss",
   "leaving",
   "mixed",
 ];
 
-function runOne(pattern: Pattern, deployment: Deployment): PolicyResult {
+function runOne(pattern: LoadPattern, deployment: Deployment): PolicyResult {
   const { result } = runExperiment({
     pattern,
     deployment,
--- a/packages/proof/tests/experimentLoad.test.ts
+++ b/packages/proof/tests/experimentLoad.test.ts
@@ -1,13 +1,16 @@
 import test from "ava";
 import {
   type ExperimentResult,
-  type Pattern,
+  type LoadPattern,
   runExperiment,
 } from "@wasabivane/proof";
 
 const SEED = 12;
 
-function run(pattern: Pattern, policies: readonly string[]): ExperimentResult {
+function run(
+  pattern: LoadPattern,
+  policies: readonly string[],
+): ExperimentResult {
   return runExperiment({ pattern, deployment: "cairo", seed: SEED, policies })
     .result;
 }
--- a/packages/proof/tests/modelCheck.test.ts
+++ b/packages/proof/tests/modelCheck.test.ts
@@ -2,9 +2,9 @@
 import { KeyTable, ViewLease } from "@wasabivane/coordination";
 import {
   checkModel,
-  type ModelMachines,
+  type ModelComponents,
   type ModelScopeName,
-  SHIPPED_MACHINES,
+  PRODUCTION_COMPONENTS,
   SMALL_SCOPES,
 } from "@wasabivane/proof";
 
@@ -44,7 +44,7 @@
 const weakened: readonly {
   safeguard: string;
   scope: ModelScopeName;
-  machines: Partial<ModelMachines>;
+  machines: Partial<ModelComponents>;
 }[] = [
   {
     safeguard: "the wait for former leases",
@@ -61,12 +61,12 @@
   {
     safeguard: "the start of a tenure",
     scope: "homeChange",
-    machines: { createHome: (options) => new HomeWithoutTenure(options) },
+    machines: { createKeyTable: (options) => new HomeWithoutTenure(options) },
   },
   {
     safeguard: "the expiry of keys",
     scope: "keyExpiry",
-    machines: { createHome: (options) => new HomeWithoutExpiry(options) },
+    machines: { createKeyTable: (options) => new HomeWithoutExpiry(options) },
   },
 ];
 
@@ -74,7 +74,7 @@
   test(`without ${safeguard} a broken promise is found`, (t) => {
     const { violation } = checkModel({
       ...SMALL_SCOPES[scope],
-      machines: { ...SHIPPED_MACHINES, ...machines },
+      components: { ...PRODUCTION_COMPONENTS, ...machines },
     });
     t.truthy(violation);
     t.log(violation!.what, violation!.trace);
--- a/packages/proof/tests/registerCheck.test.ts
+++ b/packages/proof/tests/registerCheck.test.ts
@@ -8,8 +8,8 @@
 test("no run of the register chooses two values", (t) => {
   for (
     const attempts of [
-      { holderAttempts: 1, copyAttempts: 1 },
-      { holderAttempts: 0, copyAttempts: 2 },
+      { holderProposals: 1, copyProposals: 1 },
+      { holderProposals: 0, copyProposals: 2 },
     ]
   ) {
     const report = checkRegister(attempts);
@@ -27,7 +27,7 @@
   const report = checkRegister({
     rules: {
       ...REGISTER_RULES,
-      answerRequest: ({ accepted }, request) =>
+      handleRequest: ({ accepted }, request) =>
         handleRegisterRequest(accepted ? { accepted } : {}, request),
     },
   });
@@ -40,7 +40,7 @@
   const report = checkRegister({
     rules: {
       ...REGISTER_RULES,
-      takeReply: (attempt, { from, reply }) => {
+      applyReply: (attempt, { from, reply }) => {
         if (reply.kind !== "promised") {
           return applyRegisterReply(attempt, { from, reply });
         }
--- a/packages/proof/tests/safeguards.test.ts
+++ b/packages/proof/tests/safeguards.test.ts
@@ -1,20 +1,20 @@
 import type { HostListSource } from "@wasabivane/bundle";
 import { JobController, KeyService } from "@wasabivane/coordination";
 import {
-  type BrokenPromises,
+  checkScenario,
   emptyVerdict,
   type FaultScenario,
-  judgeScenario,
-  PROMISES,
+  INVARIANTS,
+  type InvariantViolations,
   runScenario,
   type Safeguards,
   ScenarioJournal,
-  type Verdict,
+  type ScenarioVerdict,
 } from "@wasabivane/proof";
 import { VirtualTimer } from "@wasabivane/common";
 import test from "ava";
 import { ok } from "neverthrow";
-import { CROSSED_ANSWERS } from "../scenarios/crossedAnswers.ts";
+import { MISROUTED_RESPONSES } from "../scenarios/misroutedResponses.ts";
 import { JOB_HOLDER_CUT_FROM_COPIES } from "../scenarios/jobHolderCutFromCopies.ts";
 import { RESEND_TO_ANOTHER_HOST_WHILE_FIRST_RUNS } from "../scenarios/resendToAnotherHostWhileFirstRuns.ts";
 import { UPSTREAM_LEAVING } from "../scenarios/upstreamLeaving.ts";
@@ -24,7 +24,9 @@
 // zeros that the fault schedules report would say nothing.
 
 test.serial("without the nonce check a caller gets another's answer", async (t) => {
-  const verdict = await judged(CROSSED_ANSWERS, { checksNonce: false });
+  const verdict = await judged(MISROUTED_RESPONSES, {
+    shouldCheckNonce: false,
+  });
   t.true(verdict.crossed > 0);
 });
 
@@ -59,7 +61,7 @@
 
 test.serial("without word of leaving upstreams they get new work", async (t) => {
   const verdict = await judged(UPSTREAM_LEAVING, {
-    alterHost: (options) => ({
+    overrideOptions: (options) => ({
       ...options,
       hostListSource: deafToLeaving(options.hostListSource),
     }),
@@ -68,7 +70,7 @@
 });
 
 test("the judge finds each broken promise that no safeguard test reaches", (t) => {
-  const verdict = judgeScenario(HAND_WRITTEN, handWrittenJournal());
+  const verdict = checkScenario(HAND_WRITTEN, handWrittenJournal());
   t.like(verdict, {
     cut: 1,
     falseNotRun: 1,
@@ -79,20 +81,20 @@
 });
 
 test("a scenario with every safeguard breaks no promise", async (t) => {
-  const verdict = await judged(CROSSED_ANSWERS);
+  const verdict = await judged(MISROUTED_RESPONSES);
   t.deepEqual(brokenOf(verdict), brokenOf(emptyVerdict()));
 });
 
 async function judged(
   scenario: FaultScenario,
   safeguards: Safeguards = {},
-): Promise<Verdict> {
+): Promise<ScenarioVerdict> {
   return (await runScenario(scenario, safeguards)).verdict;
 }
 
-function brokenOf(verdict: Verdict): Partial<BrokenPromises> {
+function brokenOf(verdict: ScenarioVerdict): Partial<InvariantViolations> {
   return Object.fromEntries(
-    PROMISES.map((promise) => [promise, verdict[promise]]),
+    INVARIANTS.map((promise) => [promise, verdict[promise]]),
   );
 }
 
--- a/packages/proof/tests/dayBound.test.ts
+++ b/packages/proof/tests/serviceUsage.test.ts
@@ -1,6 +1,10 @@
 import test from "ava";
 import type { LogLine } from "@wasabivane/ctl";
-import { dayOf, type DayRequest, readDay } from "@wasabivane/proof";
+import {
+  analyzeServiceUsage,
+  type LoggedRequest,
+  readLoggedRequests,
+} from "@wasabivane/proof";
 
 function lineOf(
   event: LogLine["event"],
@@ -28,7 +32,7 @@
     took: 800,
     parts: 11,
   };
-  const day = readDay([
+  const day = readLoggedRequests([
     lineOf("request_sent", 1_000, { ...SENT, id: "a" }),
     lineOf("request_sent", 1_000, { ...SENT, id: "b" }),
     lineOf("request_sent", 1_000, { ...SENT, id: "c" }),
@@ -46,7 +50,7 @@
     }),
   ]);
   const requests = day.get("plans")!;
-  t.deepEqual(requests.map(({ ending }) => ending), [
+  t.deepEqual(requests.map(({ outcome: ending }) => ending), [
     "on time",
     "late by a pause",
     "broken off",
@@ -56,7 +60,7 @@
   t.like(requests[3], { at: 1_600, held: 900, tier: 2 });
 });
 
-function request(changes: Partial<DayRequest>): DayRequest {
+function request(changes: Partial<LoggedRequest>): LoggedRequest {
   return {
     tier: 1,
     at: 0,
@@ -65,7 +69,7 @@
     slots: 1,
     held: 1_000,
     pace: 10,
-    ending: "on time",
+    outcome: "on time",
     ...changes,
   };
 }
@@ -80,7 +84,7 @@
     request({ tier: 2 }),
     request({ tier: 2, at: 3_000 }),
   ];
-  const { tiers, used } = dayOf(requests);
+  const { tiers, used } = analyzeServiceUsage(requests);
   t.is(used, 4_000);
   t.deepEqual(tiers.map(({ tier, bound }) => [tier, Math.round(bound)]), [
     [1, 2],
@@ -89,7 +93,7 @@
 });
 
 test("time at a slow upstream counts for less", (t) => {
-  const { capacity, used } = dayOf([
+  const { capacity, used } = analyzeServiceUsage([
     request({}),
     request({ upstream: "u1", held: 4_000, pace: 40 }),
   ]);
