--- a/packages/engine-model/src/cacheEventLog.ts
+++ b/packages/engine-model/src/cacheEventLog.ts
@@ -1,7 +1,7 @@
 import type { Digest, Milliseconds, Random, Timer } from "@wasabivane/common";
 import type { EngineCacheEvent } from "./types.ts";
 
-const MAXIMUM_KEPT_EVENTS = 4_096;
+const MAXIMUM_RETAINED_EVENTS = 4_096;
 
 /** Options of a {@link CacheEventLog}. */
 export interface CacheEventLogOptions {
@@ -11,34 +11,36 @@
   lossRate: number;
 }
 
-/** Publishes cache events late and with gaps. */
+/** Log of cache events that are published after a delay, with some lost. */
 export class CacheEventLog {
   readonly #options: CacheEventLogOptions;
-  readonly #events: { at: Milliseconds; event: EngineCacheEvent }[] = [];
+  readonly #events: { recordedAt: Milliseconds; event: EngineCacheEvent }[] =
+    [];
   #sequence = 0;
 
   constructor(options: CacheEventLogOptions) {
     this.#options = options;
   }
 
+  /** Appends an event, or only consumes a sequence number if it is lost. */
   record(kind: EngineCacheEvent["kind"], digests: readonly Digest[]): void {
     const { timer, random, lossRate } = this.#options;
     this.#sequence++;
     if (lossRate > 0 && random.float() < lossRate) return;
     const event = { sequence: this.#sequence, kind, digests };
-    this.#events.push({ at: timer.now(), event });
-    if (this.#events.length <= 2 * MAXIMUM_KEPT_EVENTS) return;
-    this.#events.splice(0, this.#events.length - MAXIMUM_KEPT_EVENTS);
+    this.#events.push({ recordedAt: timer.now(), event });
+    if (this.#events.length <= 2 * MAXIMUM_RETAINED_EVENTS) return;
+    this.#events.splice(0, this.#events.length - MAXIMUM_RETAINED_EVENTS);
   }
 
-  /** The published events with a greater sequence number. */
+  /** Returns the published events with a greater sequence number. */
   eventsAfter(sequence: number): EngineCacheEvent[] {
-    const published = this.#options.timer.now() - this.#options.lagMs;
+    const publishedUntil = this.#options.timer.now() - this.#options.lagMs;
     const found: EngineCacheEvent[] = [];
     for (let index = this.#events.length - 1; index >= 0; index--) {
-      const { at, event } = this.#events[index]!;
+      const { recordedAt, event } = this.#events[index]!;
       if (event.sequence <= sequence) break;
-      if (at <= published) found.push(event);
+      if (recordedAt <= publishedUntil) found.push(event);
     }
     return found.reverse();
   }
--- a/packages/engine-model/src/engineModel.ts
+++ b/packages/engine-model/src/engineModel.ts
@@ -5,9 +5,9 @@
   TimerSubscription,
 } from "@wasabivane/common";
 import { CacheEventLog } from "./cacheEventLog.ts";
-import { RequestExecution } from "./requestExecution.ts";
 import { KvMemory } from "./kvMemory.ts";
 import { LoadHistory } from "./loadHistory.ts";
+import { RequestExecution } from "./requestExecution.ts";
 import { planSteps } from "./stepPlan.ts";
 import type {
   EngineCacheEvent,
@@ -20,11 +20,11 @@
   EngineRequest,
 } from "./types.ts";
 
-/** Guards whole steps against rounding of times. */
+/** Absorbs floating-point errors when completed steps are counted. */
 const STEP_TOLERANCE = 1e-6;
 
-/** Equal steps of an unchanged batch, so that one timer call stands for all. */
-interface Span {
+/** Consecutive equal steps of an unchanged batch, run on a single timer. */
+interface StepSequence {
   startedAt: Milliseconds;
   readonly stepMs: Milliseconds;
   steps: number;
@@ -32,20 +32,22 @@
 }
 
 /**
- * An engine that batches continuously. It admits in order of arrival as far as
- * batch and KV memory go; it reserves the whole length, so nothing is preempted.
- * Each step computes one token of every decoding request and a chunk of prompts,
- * the earliest first. An idle engine sets no timer.
+ * Simulates an inference engine with continuous batching.
+ *
+ * Requests are admitted in arrival order while the batch and the KV memory have
+ * capacity. They reserve memory for prompt and output on admission, so that none
+ * is preempted. Each step decodes one token per decoding request and prefills a
+ * chunk of prompt tokens, oldest request first.
  */
 export class EngineModel {
   readonly #timer: Timer;
-  readonly #speed: EngineProfile;
-  readonly #maximumSteps: number;
+  readonly #profile: EngineProfile;
+  readonly #maximumStepsPerEvent: number;
   readonly #waiting = new Map<string, RequestExecution>();
   readonly #running = new Map<string, RequestExecution>();
   readonly #memory: KvMemory;
   readonly #cacheEvents: CacheEventLog;
-  readonly #load: LoadHistory;
+  readonly #loadHistory: LoadHistory;
   readonly #counters = {
     prefillTokens: 0,
     wastedPrefillTokens: 0,
@@ -55,17 +57,17 @@
     cancelled: 0,
     lost: 0,
   };
-  #slowness = 1;
-  #span: Span | undefined;
+  #slowdownFactor = 1;
+  #stepSequence: StepSequence | undefined;
   #isUp = true;
   #isPaused = false;
-  #isTelling = false;
+  #isNotifying = false;
 
   constructor(options: EngineModelOptions) {
     this.#timer = options.timer;
-    this.#speed = options.profile;
-    this.#maximumSteps = options.maximumStepsPerEvent ?? Infinity;
-    this.#load = new LoadHistory(options.reportLagMs ?? 0);
+    this.#profile = options.profile;
+    this.#maximumStepsPerEvent = options.maximumStepsPerEvent ?? Infinity;
+    this.#loadHistory = new LoadHistory(options.reportLagMs ?? 0);
     this.#cacheEvents = new CacheEventLog({
       timer: options.timer,
       random: options.random,
@@ -78,6 +80,7 @@
     );
   }
 
+  /** Whether the engine is running, that is, not crashed. */
   get isUp(): boolean {
     return this.#isUp;
   }
@@ -86,209 +89,228 @@
     return this.#isPaused;
   }
 
+  /** A copy of the counters. */
   get counters(): EngineCounters {
     return { ...this.#counters };
   }
 
-  /** Queues a request; false when the engine is down. */
+  /** Queues a request; returns false if the engine is down. */
   submit(request: EngineRequest, listener: EngineListener): boolean {
     if (!this.#isUp) return false;
     if (this.#waiting.has(request.id) || this.#running.has(request.id)) {
-      throw new Error(`Request ${request.id} is in the engine already`);
+      throw new Error(`Request "${request.id}" is already queued or running`);
     }
-    const run = new RequestExecution(request, listener);
-    this.#waiting.set(request.id, run);
+    const execution = new RequestExecution(request, listener);
+    this.#waiting.set(request.id, execution);
     this.#recordLoad();
-    if (this.#canAdmit(run)) this.#interrupt();
-    this.#plan();
+    if (this.#canAdmit(execution)) this.#truncateStepSequence();
+    this.#scheduleNextSteps();
     return true;
   }
 
-  /** Drops a request; the prompt tokens wasted on it, `undefined` when it is not here. */
+  /**
+   * Cancels a request. Returns the prompt tokens already computed for it, or
+   * `undefined` if it is unknown or has just finished.
+   */
   cancel(id: string): number | undefined {
-    const run = this.#waiting.get(id) ?? this.#running.get(id);
-    if (run === undefined) return undefined;
-    if (this.#running.has(id)) this.#interrupt();
-    if (run.isEnded) return undefined;
-    this.#drop(run);
+    const execution = this.#waiting.get(id) ?? this.#running.get(id);
+    if (execution === undefined) return undefined;
+    if (this.#running.has(id)) this.#truncateStepSequence();
+    if (execution.isEnded) return undefined;
+    this.#remove(execution);
     this.#counters.cancelled++;
-    this.#counters.wastedPrefillTokens += run.prefilledTokens;
+    this.#counters.wastedPrefillTokens += execution.prefilledTokens;
     this.#recordLoad();
-    return run.prefilledTokens;
+    return execution.prefilledTokens;
   }
 
-  /** Makes every later step so many times as long; 1 is the usual speed. */
+  /** Multiplies the duration of all later steps; 1 is normal speed. */
   slowDown(factor: number): void {
-    this.#slowness = factor;
-    this.#interrupt();
+    this.#slowdownFactor = factor;
+    this.#truncateStepSequence();
   }
 
-  /** Stops all work after the completed steps; requests still queue. */
+  /** Suspends execution; requests can still be queued. */
   pause(): void {
     if (this.#isPaused) return;
-    this.#interrupt();
+    this.#truncateStepSequence();
     this.#isPaused = true;
-    this.#span?.end.cancel();
-    this.#span = undefined;
+    this.#stepSequence?.end.cancel();
+    this.#stepSequence = undefined;
   }
 
-  /** Goes on after a pause; the interrupted step is done again. */
+  /** Continues after a pause; the interrupted step runs again. */
   resume(): void {
     this.#isPaused = false;
-    this.#plan();
+    this.#scheduleNextSteps();
   }
 
-  /** Loses all requests and the cache; nothing is taken in until a restart. */
+  /** Drops all requests and the cache; rejects requests until a restart. */
   crash(): void {
     if (!this.#isUp) return;
-    this.#interrupt();
+    this.#truncateStepSequence();
     this.#isUp = false;
-    this.#span?.end.cancel();
-    this.#span = undefined;
+    this.#stepSequence?.end.cancel();
+    this.#stepSequence = undefined;
     this.#memory.clearCache();
     const lost = [...this.#running.values(), ...this.#waiting.values()];
-    for (const run of lost) this.#drop(run);
+    for (const execution of lost) this.#remove(execution);
     this.#recordLoad();
-    for (const { prefilledTokens: prefilled, listener } of lost) {
+    for (const { prefilledTokens, listener } of lost) {
       this.#counters.lost++;
-      this.#counters.wastedPrefillTokens += prefilled;
-      listener({ kind: "lost", prefilledTokens: prefilled });
+      this.#counters.wastedPrefillTokens += prefilledTokens;
+      listener({ kind: "lost", prefilledTokens });
     }
   }
 
-  /** Takes requests again after a crash, empty, at the usual speed. */
+  /** Accepts requests again after a crash, at normal speed. */
   restart(): void {
     this.#isUp = true;
     this.#isPaused = false;
-    this.#slowness = 1;
+    this.#slowdownFactor = 1;
   }
 
-  /** The load one report lag ago; `undefined` while the engine is down. */
+  /** Returns the load one report lag ago, or `undefined` while down. */
   loadReport(): EngineLoad | undefined {
-    return this.#isUp ? this.#load.delayedLoad(this.#timer.now()) : undefined;
+    return this.#isUp
+      ? this.#loadHistory.delayedLoad(this.#timer.now())
+      : undefined;
   }
 
-  /** Published cache events past a sequence number. */
+  /** Returns the published cache events after a sequence number. */
   cacheEvents(after: number): EngineCacheEvent[] {
     return this.#cacheEvents.eventsAfter(after);
   }
 
-  /** Those of the blocks that the cache holds. */
+  /** Returns the digests whose blocks are in the prefix cache. */
   exportBlocks(digests: readonly Digest[]): Digest[] {
     return this.#memory.cachedBlocks(digests);
   }
 
-  /** Takes in blocks of a prompt, the first block first. */
+  /** Adds the blocks of a prompt, in prompt order, to the prefix cache. */
   importBlocks(digests: readonly Digest[]): void {
     if (this.#isUp) this.#memory.store(digests);
   }
 
-  #plan(): void {
-    if (this.#span || !this.#isUp || this.#isPaused || this.#isTelling) return;
+  #scheduleNextSteps(): void {
+    if (
+      this.#stepSequence || !this.#isUp || this.#isPaused || this.#isNotifying
+    ) return;
     this.#admit();
     if (this.#running.size === 0) return;
-    const plan = planSteps(this.#running.values(), this.#speed);
-    const steps = Math.min(plan.steps, this.#maximumSteps);
-    this.#startSpan(plan.stepMs * this.#slowness, steps);
+    const plan = planSteps(this.#running.values(), this.#profile);
+    const steps = Math.min(plan.steps, this.#maximumStepsPerEvent);
+    this.#startSteps(plan.stepMs * this.#slowdownFactor, steps);
   }
 
-  #startSpan(stepMs: Milliseconds, steps: number): void {
-    const end = this.#timer.after(stepMs * steps, () => this.#endSpan());
-    this.#span = { startedAt: this.#timer.now(), stepMs, steps, end };
+  #startSteps(stepMs: Milliseconds, steps: number): void {
+    const end = this.#timer.after(stepMs * steps, () => this.#completeSteps());
+    this.#stepSequence = { startedAt: this.#timer.now(), stepMs, steps, end };
   }
 
-  #endSpan(): void {
-    const { steps } = this.#span!;
-    this.#span = undefined;
-    this.#apply(steps);
-    this.#plan();
+  #completeSteps(): void {
+    const { steps } = this.#stepSequence!;
+    this.#stepSequence = undefined;
+    this.#applySteps(steps);
+    this.#scheduleNextSteps();
   }
 
-  /** Counts the completed steps of the span and lets only the current one finish. */
-  #interrupt(): void {
-    const span = this.#span;
-    if (span === undefined || span.steps === 1) return;
-    const elapsed = this.#timer.now() - span.startedAt;
+  /** Applies the completed steps and cuts the sequence to the current step. */
+  #truncateStepSequence(): void {
+    const sequence = this.#stepSequence;
+    if (sequence === undefined || sequence.steps === 1) return;
+    const elapsed = this.#timer.now() - sequence.startedAt;
     const completed = Math.min(
-      Math.floor(elapsed / span.stepMs + STEP_TOLERANCE),
-      span.steps - 1,
+      Math.floor(elapsed / sequence.stepMs + STEP_TOLERANCE),
+      sequence.steps - 1,
     );
-    span.end.cancel();
-    span.startedAt += completed * span.stepMs;
-    span.steps = 1;
-    const rest = span.startedAt + span.stepMs - this.#timer.now();
-    span.end = this.#timer.after(Math.max(0, rest), () => this.#endSpan());
-    if (completed > 0) this.#apply(completed);
+    sequence.end.cancel();
+    sequence.startedAt += completed * sequence.stepMs;
+    sequence.steps = 1;
+    const remainingMs = sequence.startedAt + sequence.stepMs -
+      this.#timer.now();
+    sequence.end = this.#timer.after(
+      Math.max(0, remainingMs),
+      () => this.#completeSteps(),
+    );
+    if (completed > 0) this.#applySteps(completed);
   }
 
-  #apply(steps: number): void {
-    const told = [];
-    for (const run of this.#running.values()) {
-      const event = this.#advance(run, steps);
-      if (event !== undefined) told.push({ run, event });
+  #applySteps(steps: number): void {
+    const notifications = [];
+    for (const execution of this.#running.values()) {
+      const event = this.#advance(execution, steps);
+      if (event !== undefined) notifications.push({ execution, event });
     }
-    this.#isTelling = true;
-    for (const { run, event } of told) {
-      if (!run.isEnded) run.listener(event);
-      if (run.isComplete) this.#finish(run);
+    this.#isNotifying = true;
+    for (const { execution, event } of notifications) {
+      if (!execution.isEnded) execution.listener(event);
+      if (execution.isComplete) this.#finish(execution);
     }
-    this.#isTelling = false;
+    this.#isNotifying = false;
   }
 
-  #advance(run: RequestExecution, steps: number): EngineEvent | undefined {
-    const { prefilledTokens: prefilled, generatedTokens: generated } = run;
-    const event = run.advance(steps);
-    this.#counters.prefillTokens += run.prefilledTokens - prefilled;
-    this.#counters.outputTokens += run.generatedTokens - generated;
+  #advance(
+    execution: RequestExecution,
+    steps: number,
+  ): EngineEvent | undefined {
+    const { prefilledTokens, generatedTokens } = execution;
+    const event = execution.advance(steps);
+    this.#counters.prefillTokens += execution.prefilledTokens - prefilledTokens;
+    this.#counters.outputTokens += execution.generatedTokens - generatedTokens;
     if (event?.kind === "firstToken") {
-      this.#memory.store(run.request.prefixDigests);
+      this.#memory.store(execution.request.prefixDigests);
     }
     return event;
   }
 
-  #finish(run: RequestExecution): void {
-    if (run.isEnded) return;
-    this.#drop(run);
+  #finish(execution: RequestExecution): void {
+    if (execution.isEnded) return;
+    this.#remove(execution);
     this.#counters.finished++;
     this.#recordLoad();
-    run.listener({ kind: "finished", cachedTokens: run.cachedTokens });
+    execution.listener({
+      kind: "finished",
+      cachedTokens: execution.cachedTokens,
+    });
   }
 
-  #drop(run: RequestExecution): void {
-    run.isEnded = true;
-    this.#waiting.delete(run.request.id);
-    if (!this.#running.delete(run.request.id)) return;
-    this.#memory.release(run.totalTokens);
+  #remove(execution: RequestExecution): void {
+    execution.isEnded = true;
+    this.#waiting.delete(execution.request.id);
+    if (!this.#running.delete(execution.request.id)) return;
+    this.#memory.release(execution.totalTokens);
   }
 
   #admit(): void {
-    for (const run of this.#waiting.values()) {
-      if (!this.#canAdmit(run)) break;
-      this.#waiting.delete(run.request.id);
-      this.#start(run);
+    for (const execution of this.#waiting.values()) {
+      if (!this.#canAdmit(execution)) break;
+      this.#waiting.delete(execution.request.id);
+      this.#startExecution(execution);
     }
     this.#recordLoad();
   }
 
-  #canAdmit(run: RequestExecution): boolean {
+  #canAdmit(execution: RequestExecution): boolean {
     if (this.#running.size === 0) return true;
-    return this.#running.size < this.#speed.maximumBatch &&
-      this.#memory.hasCapacity(run.totalTokens);
+    return this.#running.size < this.#profile.maximumBatch &&
+      this.#memory.hasCapacity(execution.totalTokens);
   }
 
-  #start(run: RequestExecution): void {
-    const { request } = run;
+  #startExecution(execution: RequestExecution): void {
+    const { request } = execution;
     const matchedTokens = this.#memory.matchPrefix(request.prefixDigests);
-    // The last prompt token is always computed; it gives the first answer token.
-    run.cachedTokens = Math.min(matchedTokens, request.promptTokens - 1);
-    run.remainingPrefillTokens = request.promptTokens - run.cachedTokens;
-    this.#counters.cachedTokens += run.cachedTokens;
-    this.#memory.reserve(run.totalTokens);
-    this.#running.set(request.id, run);
+    // The last prompt token is never cached: it yields the first output token.
+    execution.cachedTokens = Math.min(matchedTokens, request.promptTokens - 1);
+    execution.remainingPrefillTokens = request.promptTokens -
+      execution.cachedTokens;
+    this.#counters.cachedTokens += execution.cachedTokens;
+    this.#memory.reserve(execution.totalTokens);
+    this.#running.set(request.id, execution);
   }
 
   #recordLoad(): void {
-    this.#load.record({
+    this.#loadHistory.record({
       takenAt: this.#timer.now(),
       running: this.#running.size,
       waiting: this.#waiting.size,
--- a/packages/engine-model/src/expectedResponse.ts
+++ b/packages/engine-model/src/expectedResponse.ts
@@ -1,6 +1,6 @@
 import { createHash } from "node:crypto";
 
-/** One message of a chat; only its text matters to an engine. */
+/** Chat message, reduced to the text that engines use. */
 export interface ChatMessage {
   readonly content?:
     | string
@@ -8,59 +8,62 @@
     | null;
 }
 
-const MARKED_TOKENS = /\[\[tokens=(\d{1,6})\]\]/;
-const SHORTEST_ANSWER = 8;
-const ANSWER_LENGTHS = 120;
+const TOKEN_COUNT_MARKER = /\[\[tokens=(\d{1,6})\]\]/;
+const MINIMUM_RESPONSE_TOKENS = 8;
+const RESPONSE_TOKENS_RANGE = 120;
 const TOKEN_CHARACTERS = 5;
 const TOKEN_BASE = 36;
 const TOKEN_VALUES = TOKEN_BASE ** TOKEN_CHARACTERS;
-/** Odd constants of the murmur3 finalizer. */
-const MIX_FIRST = 0x85ebca6b;
-const MIX_SECOND = 0xc2b2ae35;
+/** Multipliers of the MurmurHash3 finalizer. */
+const MURMUR_MULTIPLIER_1 = 0x85ebca6b;
+const MURMUR_MULTIPLIER_2 = 0xc2b2ae35;
 
-/** The text of all messages, as the entry hosts and the engines digest it. */
+/** Joins the text of all messages; prefix digests are computed from it. */
 export function promptText(messages: readonly ChatMessage[]): string {
-  return messages.map(({ content }) => textOf(content)).join("\n");
+  return messages.map(({ content }) => textOfContent(content)).join("\n");
 }
 
-/** What the answer to a prompt depends on. */
+/** Returns the seed that determines the response to a prompt. */
 export function responseSeed(prompt: string): number {
   return createHash("sha256").update(prompt).digest().readUInt32BE();
 }
 
-/** The text of one token of an answer; it needs no escaping in JSON. */
+/** Returns the text of one response token, which needs no JSON escaping. */
 export function responseToken(seed: number, index: number): string {
-  let mixed = Math.imul(seed ^ Math.imul(index + 1, MIX_FIRST), MIX_SECOND);
-  mixed = Math.imul(mixed ^ (mixed >>> 15), MIX_FIRST);
+  let mixed = Math.imul(
+    seed ^ Math.imul(index + 1, MURMUR_MULTIPLIER_1),
+    MURMUR_MULTIPLIER_2,
+  );
+  mixed = Math.imul(mixed ^ (mixed >>> 15), MURMUR_MULTIPLIER_1);
   const value = ((mixed ^ (mixed >>> 13)) >>> 0) % TOKEN_VALUES;
   return ` ${value.toString(TOKEN_BASE).padStart(TOKEN_CHARACTERS, "0")}`;
 }
 
-/** The first `tokens` tokens of the answer to a prompt, so that receivers can check theirs. */
+/** Returns the first `tokens` tokens of the response to a prompt. */
 export function expectedResponse(prompt: string, tokens: number): string {
   const seed = responseSeed(prompt);
-  let answer = "";
+  let text = "";
   for (let index = 0; index < tokens; index++) {
-    answer += responseToken(seed, index);
+    text += responseToken(seed, index);
   }
-  return answer;
+  return text;
 }
 
-/** Asks the stand-in engine for an answer of so many tokens. */
+/** Returns a prompt marker that sets the response length in tokens. */
 export function tokenCountMarker(tokens: number): string {
   return `[[tokens=${tokens}]]`;
 }
 
-/** How long the stand-in engine's answer to a prompt is, at most `maximum`. */
+/** Returns the response length for a prompt in tokens, at most `maximum`. */
 export function responseLength(prompt: string, maximum = Infinity): number {
-  const marked = MARKED_TOKENS.exec(prompt)?.[1];
-  const wanted = marked === undefined
-    ? SHORTEST_ANSWER + responseSeed(prompt) % ANSWER_LENGTHS
-    : Number(marked);
-  return Math.max(1, Math.min(wanted, maximum));
+  const markedCount = TOKEN_COUNT_MARKER.exec(prompt)?.[1];
+  const length = markedCount === undefined
+    ? MINIMUM_RESPONSE_TOKENS + responseSeed(prompt) % RESPONSE_TOKENS_RANGE
+    : Number(markedCount);
+  return Math.max(1, Math.min(length, maximum));
 }
 
-function textOf(content: ChatMessage["content"]): string {
+function textOfContent(content: ChatMessage["content"]): string {
   if (typeof content === "string") return content;
   return (content ?? []).map(({ text }) => text ?? "").join("");
 }
--- a/packages/engine-model/src/hardwareGenerations.ts
+++ b/packages/engine-model/src/hardwareGenerations.ts
@@ -1,12 +1,11 @@
 import type { EngineProfile } from "./types.ts";
 
 /**
- * Three hardware generations (like L4, A100 and H100 accelerators) serving a model of eight billion
- * parameters in 16 bits. A decode step reads the weights (16 GB) once and each
- * request's KV cache (2,000 tokens of 128 KiB), so its times follow from memory
- * bandwidth (0.3, 1.5 and 3.3 TB/s); the capacity is the memory that the weights
- * leave free (of 24, 40 and 80 GB, less a tenth); prefill is bounded by
- * arithmetic at about two fifths of the published peak.
+ * Profiles of three accelerator generations (like L4, A100 and H100) that serve
+ * an 8B-parameter model in 16 bits.
+ *
+ * Decoding is bound by memory bandwidth, prefill by compute. The KV capacity is
+ * the memory that the weights leave free.
  */
 export const HARDWARE_GENERATIONS = {
   g1: {
@@ -35,5 +34,5 @@
   },
 } as const satisfies Record<string, EngineProfile>;
 
-/** Name of one entry of {@link HARDWARE_GENERATIONS}. */
+/** Name of a hardware generation. */
 export type HardwareGeneration = keyof typeof HARDWARE_GENERATIONS;
--- a/packages/engine-model/src/kvMemory.ts
+++ b/packages/engine-model/src/kvMemory.ts
@@ -6,10 +6,10 @@
 import type { CacheEventLog } from "./cacheEventLog.ts";
 import { PrefixCache } from "./prefixCache.ts";
 
-/** Tokens of prompt that one cached block saves. */
+/** Prompt tokens in one block of the prefix cache. */
 export const TOKENS_PER_BLOCK = PREFIX_BLOCK_BYTES / BYTES_PER_TOKEN;
 
-/** KV memory: what running requests hold comes first, cached prefixes have the rest. */
+/** KV memory; the prefix cache uses what running requests leave free. */
 export class KvMemory {
   readonly #capacityTokens: number;
   readonly #events: CacheEventLog;
@@ -21,7 +21,7 @@
     this.#events = events;
   }
 
-  /** Share of the memory that running requests hold, 0 to 1. */
+  /** Share of the memory reserved by running requests, 0 to 1. */
   get reservedShare(): number {
     return Math.min(1, this.#reservedTokens / this.#capacityTokens);
   }
@@ -30,28 +30,31 @@
     return this.#reservedTokens + tokens <= this.#capacityTokens;
   }
 
+  /** Reserves memory, evicting cached blocks that no longer fit. */
   reserve(tokens: number): void {
     this.#reservedTokens += tokens;
-    this.#shrinkCache();
+    this.#evictExcessBlocks();
   }
 
   release(tokens: number): void {
     this.#reservedTokens -= tokens;
   }
 
-  /** Tokens of a prompt's longest cached prefix. */
+  /** Returns the tokens of a prompt's longest cached prefix. */
   matchPrefix(digests: readonly Digest[]): number {
     return this.#cache.matchPrefix(digests) * TOKENS_PER_BLOCK;
   }
 
+  /** Returns the digests whose blocks are cached. */
   cachedBlocks(digests: readonly Digest[]): Digest[] {
     return digests.filter((digest) => this.#cache.has(digest));
   }
 
+  /** Caches the blocks of a prompt as far as memory allows. */
   store(digests: readonly Digest[]): void {
     const added = this.#cache.store(digests);
     if (added.length > 0) this.#events.record("stored", added);
-    this.#shrinkCache();
+    this.#evictExcessBlocks();
   }
 
   clearCache(): void {
@@ -59,10 +62,13 @@
     this.#events.record("cleared", []);
   }
 
-  #shrinkCache(): void {
-    const free = this.#capacityTokens - this.#reservedTokens;
-    const bound = Math.max(0, Math.floor(free / TOKENS_PER_BLOCK));
-    if (this.#cache.size <= bound) return;
-    this.#events.record("evicted", this.#cache.evictTo(bound));
+  #evictExcessBlocks(): void {
+    const freeTokens = this.#capacityTokens - this.#reservedTokens;
+    const maximumBlocks = Math.max(
+      0,
+      Math.floor(freeTokens / TOKENS_PER_BLOCK),
+    );
+    if (this.#cache.size <= maximumBlocks) return;
+    this.#events.record("evicted", this.#cache.evictTo(maximumBlocks));
   }
 }
--- a/packages/engine-model/src/loadHistory.ts
+++ b/packages/engine-model/src/loadHistory.ts
@@ -1,27 +1,27 @@
 import type { Milliseconds } from "@wasabivane/common";
 import type { EngineLoad } from "./types.ts";
 
-/** Remembers readings of load just long enough to report them with a lag. */
+/** Retains load samples for as long as the report lag needs them. */
 export class LoadHistory {
   readonly #lagMs: Milliseconds;
-  readonly #readings: EngineLoad[] = [];
+  readonly #samples: EngineLoad[] = [];
 
   constructor(lagMs: Milliseconds) {
     this.#lagMs = lagMs;
   }
 
-  record(reading: EngineLoad): void {
-    if (this.#readings.at(-1)?.takenAt === reading.takenAt) {
-      this.#readings.pop();
+  record(sample: EngineLoad): void {
+    if (this.#samples.at(-1)?.takenAt === sample.takenAt) {
+      this.#samples.pop();
     }
-    this.#readings.push(reading);
-    this.#forget(reading.takenAt);
+    this.#samples.push(sample);
+    this.#removeOutdated(sample.takenAt);
   }
 
-  /** The load as it stood one lag before `now`. */
+  /** Returns the load one lag before `now`. */
   delayedLoad(now: Milliseconds): EngineLoad {
-    this.#forget(now);
-    const oldest = this.#readings[0];
+    this.#removeOutdated(now);
+    const oldest = this.#samples[0];
     const takenAt = now - this.#lagMs;
     if (oldest === undefined || oldest.takenAt > takenAt) {
       return { takenAt, running: 0, waiting: 0, memoryShare: 0 };
@@ -29,10 +29,10 @@
     return { ...oldest, takenAt };
   }
 
-  #forget(now: Milliseconds): void {
-    const needed = now - this.#lagMs;
-    while ((this.#readings[1]?.takenAt ?? Infinity) <= needed) {
-      this.#readings.shift();
+  #removeOutdated(now: Milliseconds): void {
+    const neededFrom = now - this.#lagMs;
+    while ((this.#samples[1]?.takenAt ?? Infinity) <= neededFrom) {
+      this.#samples.shift();
     }
   }
 }
--- a/packages/engine-model/src/prefixCache.ts
+++ b/packages/engine-model/src/prefixCache.ts
@@ -1,9 +1,8 @@
 import type { Digest } from "@wasabivane/common";
 
 /**
- * Blocks of computed prompt prefixes, the least recently used evicted first. A
- * prompt's later blocks count as used before its earlier ones, since a block
- * without the ones before it is of no use.
+ * LRU cache of prompt prefix blocks. A prompt's earlier blocks count as more
+ * recently used than its later ones, which are useless without them.
  */
 export class PrefixCache {
   readonly #blocks = new Set<Digest>();
@@ -16,28 +15,30 @@
     return this.#blocks.has(digest);
   }
 
-  /** How many leading blocks of a prompt are held; marks them as used. */
+  /** Returns how many leading blocks are cached, and marks them as used. */
   matchPrefix(digests: readonly Digest[]): number {
     let count = 0;
     while (count < digests.length && this.#blocks.has(digests[count]!)) count++;
-    for (let index = count - 1; index >= 0; index--) this.#use(digests[index]!);
+    for (let index = count - 1; index >= 0; index--) {
+      this.#markUsed(digests[index]!);
+    }
     return count;
   }
 
-  /** Holds all blocks of a prompt; returns those that are new. */
+  /** Adds the blocks of a prompt and returns those that were not cached. */
   store(digests: readonly Digest[]): Digest[] {
     const added = digests.filter((digest) => !this.#blocks.has(digest));
     for (let index = digests.length - 1; index >= 0; index--) {
-      this.#use(digests[index]!);
+      this.#markUsed(digests[index]!);
     }
     return added;
   }
 
-  /** Drops blocks until at most `bound` are left; returns the dropped ones. */
-  evictTo(bound: number): Digest[] {
+  /** Evicts blocks until at most `maximum` are left, and returns them. */
+  evictTo(maximum: number): Digest[] {
     const evicted: Digest[] = [];
     for (const digest of this.#blocks) {
-      if (this.#blocks.size <= bound) break;
+      if (this.#blocks.size <= maximum) break;
       this.#blocks.delete(digest);
       evicted.push(digest);
     }
@@ -48,7 +49,7 @@
     this.#blocks.clear();
   }
 
-  #use(digest: Digest): void {
+  #markUsed(digest: Digest): void {
     this.#blocks.delete(digest);
     this.#blocks.add(digest);
   }
--- a/packages/engine-model/src/requestExecution.ts
+++ b/packages/engine-model/src/requestExecution.ts
@@ -1,18 +1,17 @@
 import type { EngineEvent, EngineListener, EngineRequest } from "./types.ts";
 
-/** One request inside an engine. */
+/** Progress of one request in an engine. */
 export class RequestExecution {
   readonly request: EngineRequest;
   readonly listener: EngineListener;
   cachedTokens = 0;
-  /** Prompt tokens still to compute. */
   remainingPrefillTokens = 0;
-  /** Prompt tokens computed so far. */
+  /** Prompt tokens computed so far, without the cached ones. */
   prefilledTokens = 0;
-  /** Prompt tokens to compute in each step of the current span. */
+  /** Prompt tokens to compute in each scheduled step. */
   prefillChunkTokens = 0;
   generatedTokens = 0;
-  /** Finished, cancelled or lost; nothing more is told about it. */
+  /** Whether it has finished, or was cancelled or lost; no events follow. */
   isEnded = false;
 
   constructor(request: EngineRequest, listener: EngineListener) {
@@ -20,7 +19,7 @@
     this.listener = listener;
   }
 
-  /** KV memory that the whole request takes. */
+  /** KV memory in tokens that prompt and output need. */
   get totalTokens(): number {
     return this.request.promptTokens + this.request.outputTokens;
   }
@@ -29,7 +28,7 @@
     return this.generatedTokens >= this.request.outputTokens;
   }
 
-  /** Does `steps` equal steps; the event that they give. */
+  /** Runs `steps` equal steps and returns the resulting event. */
   advance(steps: number): EngineEvent | undefined {
     if (this.remainingPrefillTokens === 0) {
       this.generatedTokens += steps;
--- a/packages/engine-model/src/stepPlan.ts
+++ b/packages/engine-model/src/stepPlan.ts
@@ -2,36 +2,45 @@
 import type { RequestExecution } from "./requestExecution.ts";
 import type { EngineProfile } from "./types.ts";
 
-/** Equal steps that a batch can do before it changes. */
+/** Number and duration of equal steps until the batch changes. */
 export interface StepPlan {
   readonly stepMs: Milliseconds;
   readonly steps: number;
 }
 
 /**
- * Gives each prefilling run its chunk, the earliest first, and says how long a
- * step then takes and how often it repeats until a run ends or leaves prefill.
+ * Splits the prefill budget of a step between the requests, oldest first, and
+ * plans equal steps until a request finishes its prefill or its output.
  */
 export function planSteps(
-  runs: Iterable<RequestExecution>,
-  speed: EngineProfile,
+  executions: Iterable<RequestExecution>,
+  profile: EngineProfile,
 ): StepPlan {
-  let budget = speed.maximumBatchPrefillTokens;
-  let stepMs = speed.decodeStepMs;
+  let prefillBudget = profile.maximumBatchPrefillTokens;
+  let stepMs = profile.decodeStepMs;
   let steps = Infinity;
-  for (const run of runs) {
-    if (run.remainingPrefillTokens === 0) {
-      stepMs += speed.decodeStepPerRequestMs;
-      steps = Math.min(steps, run.request.outputTokens - run.generatedTokens);
+  for (const execution of executions) {
+    if (execution.remainingPrefillTokens === 0) {
+      stepMs += profile.decodeStepPerRequestMs;
+      steps = Math.min(
+        steps,
+        execution.request.outputTokens - execution.generatedTokens,
+      );
       continue;
     }
-    run.prefillChunkTokens = Math.min(budget, run.remainingPrefillTokens);
-    budget -= run.prefillChunkTokens;
-    if (run.prefillChunkTokens === 0) continue;
-    stepMs += (run.prefillChunkTokens / speed.prefillTokensPerSecond) * 1_000;
+    execution.prefillChunkTokens = Math.min(
+      prefillBudget,
+      execution.remainingPrefillTokens,
+    );
+    prefillBudget -= execution.prefillChunkTokens;
+    if (execution.prefillChunkTokens === 0) continue;
+    stepMs += (execution.prefillChunkTokens / profile.prefillTokensPerSecond) *
+      1_000;
     steps = Math.min(
       steps,
-      Math.floor(run.remainingPrefillTokens / run.prefillChunkTokens),
+      Math.floor(
+        execution.remainingPrefillTokens / execution.prefillChunkTokens,
+      ),
     );
   }
   return { stepMs, steps };
--- a/packages/engine-model/src/types.ts
+++ b/packages/engine-model/src/types.ts
@@ -1,86 +1,86 @@
 import type { Digest, Milliseconds, Random, Timer } from "@wasabivane/common";
 
-/** How fast one engine works and how much it holds. */
+/** Speed and capacity of one engine. */
 export interface EngineProfile {
   readonly prefillTokensPerSecond: number;
-  /** Time of one batch step before any request adds to it. */
+  /** Base duration of a batch step. */
   readonly decodeStepMs: Milliseconds;
-  /** Time that each decoding request adds to a step. */
+  /** Duration that each decoding request adds to a step. */
   readonly decodeStepPerRequestMs: Milliseconds;
-  /** Requests that run at once. */
+  /** Requests that run concurrently. */
   readonly maximumBatch: number;
-  /** Prompt tokens computed in one step, over all requests. */
+  /** Prompt tokens computed in one step across all requests. */
   readonly maximumBatchPrefillTokens: number;
-  /** Tokens of running requests and of cached prefixes together. */
+  /** Capacity shared by running requests and the prefix cache. */
   readonly kvCapacityTokens: number;
 }
 
 /** Options of an `EngineModel`. */
 export interface EngineModelOptions {
   timer: Timer;
-  /** Decides which cache events are lost. */
+  /** Selects the cache events that are lost. */
   random: Random;
   profile: EngineProfile;
-  /** Age of a load report when it is read. */
+  /** Age of load reports. */
   reportLagMs?: Milliseconds;
-  /** Time until a cache event can be read. */
+  /** Delay before a cache event is published. */
   cacheEventLagMs?: Milliseconds;
-  /** Share of cache events that are never published. */
+  /** Share of cache events that are never published, 0 to 1. */
   cacheEventLossRate?: number;
   /**
-   * Steps that may be told as one `tokens` event. One gives each token its own
-   * event; the default joins all steps between two changes of the batch.
+   * Steps combined into one `tokens` event at most; 1 emits an event per token.
+   * By default all steps between two changes of the batch are combined.
    */
   maximumStepsPerEvent?: number;
 }
 
-/** One request as an engine sees it. */
+/** Request to an engine. */
 export interface EngineRequest {
-  /** Unique among the requests that wait or run. */
+  /** Unique among the queued and running requests. */
   readonly id: string;
   /** At least one. */
   readonly promptTokens: number;
-  /** Digests as `prefixDigests` gives them, the first block first. */
+  /** Digests of the prompt's blocks, from `prefixDigests`. */
   readonly prefixDigests: readonly Digest[];
-  /** Tokens that the answer will have, at least one. */
+  /** Length of the response, at least one. */
   readonly outputTokens: number;
 }
 
-/** What happens to a submitted request; nothing comes after `finished`, `lost` or a cancel. */
+/** Event of a request; none follows `finished`, `lost` or a cancellation. */
 export type EngineEvent =
   | { readonly kind: "firstToken"; readonly cachedTokens: number }
-  /** Tokens after those told before. */
+  /** Further output tokens. */
   | { readonly kind: "tokens"; readonly count: number }
   | { readonly kind: "finished"; readonly cachedTokens: number }
-  /** The engine crashed; `prefilledTokens` were computed for nothing. */
+  /** The engine crashed; the `prefilledTokens` are wasted. */
   | { readonly kind: "lost"; readonly prefilledTokens: number };
 
-/** Called for each event of one request. */
+/** Callback for the events of one request. */
 export type EngineListener = (event: EngineEvent) => void;
 
-/** A reading of an engine's load. */
+/** Load of an engine at one time. */
 export interface EngineLoad {
-  /** On the engine's timer. */
+  /** Time on the engine's timer. */
   readonly takenAt: Milliseconds;
   readonly running: number;
   readonly waiting: number;
-  /** Share of KV memory that running requests hold, 0 to 1. */
+  /** Share of KV memory reserved by running requests, 0 to 1. */
   readonly memoryShare: number;
 }
 
-/** A change of the prefix cache; a missing sequence number is a lost event. */
+/** Change of the prefix cache; a sequence gap means a lost event. */
 export interface EngineCacheEvent {
   readonly sequence: number;
   readonly kind: "stored" | "evicted" | "cleared";
   readonly digests: readonly Digest[];
 }
 
-/** What an engine has done since it was made; a restart keeps the counts. */
+/** Totals since an engine was created; restarts do not reset them. */
 export interface EngineCounters {
   readonly prefillTokens: number;
   /** Prompt tokens computed for requests that were cancelled or lost. */
   readonly wastedPrefillTokens: number;
-  /** Prompt tokens found in the cache. */
+  /** Prompt tokens served from the prefix cache. */
   readonly cachedTokens: number;
   readonly outputTokens: number;
   readonly finished: number;
--- a/packages/engine-model/tests/engineModel.test.ts
+++ b/packages/engine-model/tests/engineModel.test.ts
@@ -6,51 +6,51 @@
   PROFILE,
 } from "./helpers/engineFixture.ts";
 
-test("requests of one batch share its steps", (t) => {
-  const alone = createEngineFixture();
-  const single = alone.submit("a", { prompt: 100, output: 50 });
-  alone.timer.advance(60_000);
-  const shared = createEngineFixture();
-  const both = ["a", "b"].map((id) =>
-    shared.submit(id, { prompt: 100, output: 50 })
+test("batched requests share decode steps", (t) => {
+  const singleFixture = createEngineFixture();
+  const single = singleFixture.submit("a", { prompt: 100, output: 50 });
+  singleFixture.timer.advance(60_000);
+  const sharedFixture = createEngineFixture();
+  const batched = ["a", "b"].map((id) =>
+    sharedFixture.submit(id, { prompt: 100, output: 50 })
   );
-  shared.timer.advance(60_000);
+  sharedFixture.timer.advance(60_000);
   t.is(single.finishedAt, 110 + 49 * 11);
-  t.true(both.every(({ finishedAt }) => finishedAt < 2 * single.finishedAt));
-  t.true(both.every(({ tokens }) => tokens === 50));
+  t.true(batched.every(({ finishedAt }) => finishedAt < 2 * single.finishedAt));
+  t.true(batched.every(({ tokens }) => tokens === 50));
 });
 
-test("a full batch makes the next request wait, in order of arrival", (t) => {
-  const { timer, engine, submit: run } = createEngineFixture();
-  const seen = [1, 2, 3, 4, 5, 6].map((index) =>
-    run(`r${index}`, { prompt: 50, output: 20 })
+test("requests queue in arrival order while the batch is full", (t) => {
+  const { timer, engine, submit } = createEngineFixture();
+  const observed = [1, 2, 3, 4, 5, 6].map((index) =>
+    submit(`r${index}`, { prompt: 50, output: 20 })
   );
   timer.advance(60_000);
-  t.true(seen[4]!.firstTokenAt > seen[0]!.finishedAt);
-  t.true(seen[5]!.firstTokenAt >= seen[4]!.firstTokenAt);
+  t.true(observed[4]!.firstTokenAt > observed[0]!.finishedAt);
+  t.true(observed[5]!.firstTokenAt >= observed[4]!.firstTokenAt);
   t.is(engine.counters.finished, 6);
 });
 
-test("KV memory bounds admission below the batch size", (t) => {
-  const { timer, submit: run } = createEngineFixture();
-  const first = run("first", { prompt: 6_000, output: 10 });
-  const second = run("second", { prompt: 6_000, output: 10 });
+test("admission is limited by KV memory below the batch size", (t) => {
+  const { timer, submit } = createEngineFixture();
+  const first = submit("first", { prompt: 6_000, output: 10 });
+  const second = submit("second", { prompt: 6_000, output: 10 });
   timer.advance(600_000);
   t.true(second.firstTokenAt >= first.finishedAt + 6_000);
 });
 
-test("a cached prefix saves its prefill, and not another salt's", (t) => {
-  const { timer, engine, submit: run } = createEngineFixture();
+test("a cached prefix skips its prefill only under the same salt", (t) => {
+  const { timer, engine, submit } = createEngineFixture();
   const request = { prompt: 700, output: 1 };
-  run("cold", { ...request, digests: createDigests("firm-a", 10) });
+  submit("cold", { ...request, digests: createDigests("firm-a", 10) });
   timer.advance(60_000);
   const start = timer.now();
-  const warm = run("warm", {
+  const warm = submit("warm", {
     ...request,
     digests: createDigests("firm-a", 10),
   });
   timer.advance(60_000);
-  const other = run("other", {
+  const other = submit("other", {
     ...request,
     digests: createDigests("firm-b", 10),
   });
@@ -61,12 +61,12 @@
   t.is(engine.counters.prefillTokens, 700 + 60 + 700);
 });
 
-test("the cache evicts the least recently used prompt under memory pressure", (t) => {
-  const { timer, engine, submit: run } = createEngineFixture();
+test("memory pressure evicts the least recently used prompt", (t) => {
+  const { timer, engine, submit } = createEngineFixture();
   const digests = createDigests("old", 60);
-  run("old", { prompt: 3_840, output: 1, digests });
+  submit("old", { prompt: 3_840, output: 1, digests });
   timer.advance(60_000);
-  run("large", {
+  submit("large", {
     prompt: 9_000,
     output: 1,
     digests: createDigests("new", 140),
@@ -77,82 +77,86 @@
   t.true(kinds.includes("evicted"));
 });
 
-test("a long prompt slows the answers beside it", (t) => {
-  const quiet = createEngineFixture();
-  const undisturbed = quiet.submit("short", { prompt: 10, output: 100 });
-  quiet.timer.advance(60_000);
-  const loud = createEngineFixture();
-  const disturbed = loud.submit("short", { prompt: 10, output: 100 });
-  loud.submit("long", { prompt: 4_000, output: 10 });
-  loud.timer.advance(60_000);
+test("prefill of a long prompt slows concurrent responses", (t) => {
+  const undisturbedFixture = createEngineFixture();
+  const undisturbed = undisturbedFixture.submit("short", {
+    prompt: 10,
+    output: 100,
+  });
+  undisturbedFixture.timer.advance(60_000);
+  const disturbedFixture = createEngineFixture();
+  const disturbed = disturbedFixture.submit("short", {
+    prompt: 10,
+    output: 100,
+  });
+  disturbedFixture.submit("long", { prompt: 4_000, output: 10 });
+  disturbedFixture.timer.advance(60_000);
   t.true(disturbed.finishedAt > 3 * undisturbed.finishedAt);
   t.is(disturbed.tokens, 100);
 });
 
-test("a cancel frees its place and counts the computed prompt as wasted", (t) => {
-  const { timer, engine, submit: run } = createEngineFixture();
-  const cancelled = run("a", { prompt: 1_000, output: 10 });
+test("cancelling frees the slot and counts computed prompt tokens as wasted", (t) => {
+  const { timer, engine, submit } = createEngineFixture();
+  const cancelled = submit("a", { prompt: 1_000, output: 10 });
   timer.advance(555);
   t.is(engine.cancel("a"), 500);
   t.is(engine.cancel("a"), undefined);
-  const next = run("b", { prompt: 100, output: 1 });
+  const next = submit("b", { prompt: 100, output: 1 });
   timer.advance(60_000);
   t.is(cancelled.tokens, 0);
   t.is(next.finishedAt, 660 + 110);
   t.is(engine.counters.wastedPrefillTokens, 500);
 });
 
-test("a crash loses everything in flight and the cache", (t) => {
-  const { timer, engine, submit: run } = createEngineFixture();
+test("a crash drops all requests and the cache", (t) => {
+  const { timer, engine, submit } = createEngineFixture();
   const digests = createDigests("firm", 2);
-  run("done", { prompt: 130, output: 1, digests });
+  submit("done", { prompt: 130, output: 1, digests });
   timer.advance(1_000);
   const lost = [1, 2, 3, 4, 5].map((index) =>
-    run(`r${index}`, { prompt: 130, output: 1_000 })
+    submit(`r${index}`, { prompt: 130, output: 1_000 })
   );
   timer.advance(5_000);
   engine.crash();
   t.true(
-    lost.every(({ lostPrefillTokens: lostPrefill }) =>
-      lostPrefill !== undefined
-    ),
+    lost.every(({ lostPrefillTokens }) => lostPrefillTokens !== undefined),
   );
   t.is(engine.loadReport(), undefined);
   t.deepEqual(engine.exportBlocks(digests), []);
-  t.true(Number.isNaN(run("down", { prompt: 1, output: 1 }).finishedAt));
+  t.true(Number.isNaN(submit("down", { prompt: 1, output: 1 }).finishedAt));
   engine.restart();
-  const after = run("after", { prompt: 130, output: 1, digests });
+  const after = submit("after", { prompt: 130, output: 1, digests });
   timer.advance(1_000);
   t.is(after.cachedTokens, 0);
   t.is(engine.counters.lost, 5);
 });
 
-test("a pause stops the work and a slow-down stretches the steps", (t) => {
-  const { timer, engine, submit: run } = createEngineFixture();
-  const seen = run("a", { prompt: 100, output: 11 });
+test("pausing suspends execution and slowing down lengthens steps", (t) => {
+  const { timer, engine, submit } = createEngineFixture();
+  const observed = submit("a", { prompt: 100, output: 11 });
   timer.advance(110);
   engine.pause();
   timer.advance(1_000);
-  t.is(seen.tokens, 1);
+  t.is(observed.tokens, 1);
   engine.slowDown(10);
   engine.resume();
   timer.advance(10_000);
-  t.is(seen.finishedAt, 1_110 + 10 * 110);
+  t.is(observed.finishedAt, 1_110 + 10 * 110);
 });
 
-test("load reports lag, cache events come late and with gaps", (t) => {
-  const { timer, engine, submit: run } = createEngineFixture({
+test("load reports and cache events are delayed, and some events are lost", (t) => {
+  const { timer, engine, submit } = createEngineFixture({
     reportLagMs: 500,
     cacheEventLagMs: 2_000,
     cacheEventLossRate: 0.5,
   });
-  run("a", { prompt: 100, output: 1_000 });
+  submit("a", { prompt: 100, output: 1_000 });
   timer.advance(499);
   t.is(engine.loadReport()?.running, 0);
   timer.advance(1);
   t.like(engine.loadReport(), { takenAt: 0, running: 1 });
   for (let index = 0; index < 20; index++) {
-    run(`c${index}`, {
+    submit(`c${index}`, {
       prompt: 70,
       output: 1,
       digests: createDigests(`salt-${index}`, 1),
@@ -166,22 +170,24 @@
   t.true(sequences.at(-1)! > sequences.length);
 });
 
-test("joined steps end every request at the same moment as single steps", (t) => {
+test("combining steps does not change when requests finish", (t) => {
   const ends = [1, Infinity].map((maximumStepsPerEvent) => {
-    const { timer, engine, submit: run } = createEngineFixture({
+    const { timer, engine, submit } = createEngineFixture({
       maximumStepsPerEvent,
     });
     const random = new SeededRandom(7);
-    const seen = [];
+    const observed = [];
     for (let index = 0; index < 200; index++) {
       const prompt = 1 + random.int(600);
-      seen.push(run(`r${index}`, { prompt, output: 1 + random.int(60) }));
+      observed.push(
+        submit(`r${index}`, { prompt, output: 1 + random.int(60) }),
+      );
       timer.advance(random.exponential(400));
       if (random.int(10) === 0) engine.cancel(`r${index}`);
     }
     timer.advance(600_000);
-    const times = seen.map(({ finishedAt }) => finishedAt.toFixed(3));
-    return { times, counters: engine.counters, speed: PROFILE };
+    const times = observed.map(({ finishedAt }) => finishedAt.toFixed(3));
+    return { times, counters: engine.counters, profile: PROFILE };
   });
   t.deepEqual(ends[0], ends[1]);
 });
--- a/packages/engine-model/tests/helpers/engineFixture.ts
+++ b/packages/engine-model/tests/helpers/engineFixture.ts
@@ -10,6 +10,7 @@
   type EngineProfile,
 } from "@wasabivane/engine-model";
 
+/** Profile with small, round values. */
 export const PROFILE: EngineProfile = {
   prefillTokensPerSecond: 1_000,
   decodeStepMs: 10,
@@ -19,7 +20,7 @@
   kvCapacityTokens: 10_000,
 };
 
-/** What a test saw of one request. */
+/** Events observed for one request. */
 export interface ObservedRequest {
   firstTokenAt: number;
   finishedAt: number;
@@ -28,16 +29,18 @@
   lostPrefillTokens: number | undefined;
 }
 
+/** Engine model on a virtual timer. */
 export interface EngineFixture {
   timer: VirtualTimer;
   engine: EngineModel;
-  /** Submits a request and notes what happens to it. */
+  /** Submits a request and records its events. */
   submit(
     id: string,
     length: { prompt: number; output: number; digests?: Digest[] },
   ): ObservedRequest;
 }
 
+/** Creates an engine model on a virtual timer. */
 export function createEngineFixture(
   options: Partial<EngineModelOptions> = {},
 ): EngineFixture {
@@ -53,7 +56,7 @@
     timer,
     engine,
     submit(id, { prompt, output, digests = [] }): ObservedRequest {
-      const seen: ObservedRequest = {
+      const observed: ObservedRequest = {
         firstTokenAt: NaN,
         finishedAt: NaN,
         tokens: 0,
@@ -68,22 +71,22 @@
       };
       engine.submit(request, (event) => {
         if (event.kind === "firstToken") {
-          seen.firstTokenAt = timer.now();
-          seen.cachedTokens = event.cachedTokens;
-          seen.tokens = 1;
+          observed.firstTokenAt = timer.now();
+          observed.cachedTokens = event.cachedTokens;
+          observed.tokens = 1;
         }
-        if (event.kind === "tokens") seen.tokens += event.count;
-        if (event.kind === "finished") seen.finishedAt = timer.now();
+        if (event.kind === "tokens") observed.tokens += event.count;
+        if (event.kind === "finished") observed.finishedAt = timer.now();
         if (event.kind === "lost") {
-          seen.lostPrefillTokens = event.prefilledTokens;
+          observed.lostPrefillTokens = event.prefilledTokens;
         }
       });
-      return seen;
+      return observed;
     },
   };
 }
 
-/** Digests of a prompt of so many whole blocks. */
+/** Creates the digests of a prompt with the given number of full blocks. */
 export function createDigests(salt: string, blocks: number): Digest[] {
   return prefixDigests(salt, "x".repeat(blocks * 256));
 }
--- a/packages/stand-ins/src/chatCompletionFormat.ts
+++ b/packages/stand-ins/src/chatCompletionFormat.ts
@@ -1,97 +1,97 @@
 import type { EngineResponse } from "./engineResponse.ts";
 
-/** What is the same in every part of one answer as it is shown. */
+/** Response of an engine with the metadata that each of its events repeats. */
 export interface SentResponse {
-  readonly response: EngineResponse;
-  /** Nonce in ids and header; a fault may show another than the request's. */
+  readonly engineResponse: EngineResponse;
+  /** Nonce in ids and header; the `wrong-nonce` fault changes it. */
   readonly nonce: string;
   readonly createdSeconds: number;
 }
 
-/** The event that ends a stream. */
+/** Event that ends a stream. */
 export const DONE_EVENT = "data: [DONE]\n\n";
 
-/** The first chunk of a stream; it holds no token. */
-export function createRoleEvent(shown: SentResponse): string {
-  return chunkEvent(shown, { role: "assistant", content: "" });
+/** Creates the first event of a stream, which holds no token. */
+export function createRoleEvent(response: SentResponse): string {
+  return createChunkEvent(response, { role: "assistant", content: "" });
 }
 
-/** The chunks of the tokens from `start` up to `end`, one for each token. */
+/** Creates one event for each token from `start` (inclusive) to `end`. */
 export function createTokenEvents(
-  shown: SentResponse,
+  response: SentResponse,
   { start, end }: { start: number; end: number },
 ): string {
-  // Serialized once: fast streams need most of their time for this.
-  const [before, after] = chunkEvent(shown, { content: "\0" }).split("\\u0000");
+  // Serializes the chunk only once, since this dominates the cost of a stream.
+  const [prefix, suffix] = createChunkEvent(response, { content: "\0" }).split(
+    "\\u0000",
+  );
   let events = "";
   for (let index = start; index < end; index++) {
-    events += before + shown.response.tokenAt(index) + after;
+    events += prefix + response.engineResponse.tokenAt(index) + suffix;
   }
   return events;
 }
 
-/** The last chunk of a stream, with the reason and the usage. */
-export function createFinishEvent(shown: SentResponse): string {
-  const finishReason = finishReasonOf(shown.response);
-  return eventOf({
-    ...envelope(shown, "chat.completion.chunk"),
+/** Creates the last chunk of a stream, with finish reason and usage. */
+export function createFinishEvent(response: SentResponse): string {
+  const finishReason = finishReasonOf(response.engineResponse);
+  return serializeEvent({
+    ...createEnvelope(response, "chat.completion.chunk"),
     choices: [{ index: 0, delta: {}, finish_reason: finishReason }],
-    usage: usageOf(shown.response),
+    usage: usageOf(response.engineResponse),
   });
 }
 
-/** The body of an answer that is not streamed. */
-export function createResponseBody(shown: SentResponse): string {
-  const { response: answer } = shown;
+/** Creates the body of a response that is not streamed. */
+export function createResponseBody(response: SentResponse): string {
+  const { engineResponse } = response;
   let content = "";
-  for (let index = 0; index < answer.generatedTokens; index++) {
-    content += answer.tokenAt(index);
+  for (let index = 0; index < engineResponse.generatedTokens; index++) {
+    content += engineResponse.tokenAt(index);
   }
   return JSON.stringify({
-    ...envelope(shown, "chat.completion"),
+    ...createEnvelope(response, "chat.completion"),
     choices: [{
       index: 0,
       message: { role: "assistant", content },
-      finish_reason: finishReasonOf(answer),
+      finish_reason: finishReasonOf(engineResponse),
     }],
-    usage: usageOf(answer),
+    usage: usageOf(engineResponse),
   });
 }
 
-function chunkEvent(
-  shown: SentResponse,
+function createChunkEvent(
+  response: SentResponse,
   delta: { role?: string; content: string },
 ): string {
-  return eventOf({
-    ...envelope(shown, "chat.completion.chunk"),
+  return serializeEvent({
+    ...createEnvelope(response, "chat.completion.chunk"),
     choices: [{ index: 0, delta, finish_reason: null }],
   });
 }
 
-function envelope(
-  { nonce, createdSeconds, response: answer }: SentResponse,
+function createEnvelope(
+  { nonce, createdSeconds, engineResponse }: SentResponse,
   object: string,
 ): Record<string, unknown> {
-  const { model } = answer.request;
+  const { model } = engineResponse.request;
   return { id: `chatcmpl-${nonce}`, object, created: createdSeconds, model };
 }
 
-function usageOf(answer: EngineResponse): Record<string, unknown> {
-  const { promptTokens } = answer.request;
+function usageOf(engineResponse: EngineResponse): Record<string, unknown> {
+  const { promptTokens } = engineResponse.request;
   return {
     prompt_tokens: promptTokens,
-    completion_tokens: answer.generatedTokens,
-    total_tokens: promptTokens + answer.generatedTokens,
-    prompt_tokens_details: { cached_tokens: answer.cachedTokens },
+    completion_tokens: engineResponse.generatedTokens,
+    total_tokens: promptTokens + engineResponse.generatedTokens,
+    prompt_tokens_details: { cached_tokens: engineResponse.cachedTokens },
   };
 }
 
-function finishReasonOf(
-  { isLengthLimited: isBounded }: EngineResponse,
-): string {
-  return isBounded ? "length" : "stop";
+function finishReasonOf({ isLengthLimited }: EngineResponse): string {
+  return isLengthLimited ? "length" : "stop";
 }
 
-function eventOf(chunk: Record<string, unknown>): string {
+function serializeEvent(chunk: Record<string, unknown>): string {
   return `data: ${JSON.stringify(chunk)}\n\n`;
 }
--- a/packages/stand-ins/src/deployment.ts
+++ b/packages/stand-ins/src/deployment.ts
@@ -15,60 +15,60 @@
 /** Options of {@link startDeployment}. */
 export interface DeploymentOptions {
   deployment: ExampleDeployment;
-  /** How many times as fast as real time the engines work. */
+  /** Factor by which engines run faster than real time. */
   timeScale?: number;
   hostListLagMs?: Milliseconds;
   readsPerSecond?: number;
-  /** Options of every engine that the example bundle says nothing about. */
+  /** Further options of every engine. */
   engineOptions?: Omit<
     EngineStandInOptions,
     "port" | "generation" | "fencing" | "timeScale"
   >;
 }
 
-/** The running stand-ins of one deployment. */
+/** Running stand-ins of one deployment. */
 export interface RunningDeployment {
-  /** Urls by upstream id, such as `drafter-01` or `casefile-1`. */
+  /** URLs by upstream id, such as `drafter-01` or `casefile-1`. */
   readonly urls: Readonly<Record<string, string>>;
   readonly engines: ReadonlyMap<string, EngineStandIn>;
   readonly plainServices: ReadonlyMap<string, PlainStandIn>;
   readonly platform: PlatformStandIn;
   readonly platformUrl: string;
-  /** Stops all of them. */
+  /** Stops all stand-ins. */
   stop(): Promise<void>;
 }
 
-/** Starts a stand-in for each upstream of an example bundle, and the platform, on free ports. */
+/** Starts stand-ins for the platform and each upstream of an example bundle. */
 export async function startDeployment(
   options: DeploymentOptions,
 ): Promise<RunningDeployment> {
   const { services, upstreams } = exampleBundle(options.deployment);
   const engines = new Map<string, EngineStandIn>();
-  const plains = new Map<string, PlainStandIn>();
+  const plainServices = new Map<string, PlainStandIn>();
   for (const upstream of upstreams) {
     const service = services.find(({ service }) =>
       service === upstream.service
     );
     if (service?.kind === "plain") {
-      plains.set(upstream.upstream, new PlainStandIn());
+      plainServices.set(upstream.upstream, new PlainStandIn());
     } else engines.set(upstream.upstream, createEngine(upstream, options));
   }
   const { hostListLagMs, readsPerSecond } = options;
   const platform = new PlatformStandIn({ hostListLagMs, readsPerSecond });
   const urls: Record<string, string> = {};
-  for (const [upstream, standIn] of [...engines, ...plains]) {
+  for (const [upstream, standIn] of [...engines, ...plainServices]) {
     urls[upstream] = (await standIn.start()).url;
   }
   const { url: platformUrl } = await platform.start();
-  const all = [...engines.values(), ...plains.values(), platform];
+  const standIns = [...engines.values(), ...plainServices.values(), platform];
   return {
     urls,
     engines,
-    plainServices: plains,
+    plainServices,
     platform,
     platformUrl,
     async stop(): Promise<void> {
-      await Promise.all(all.map((standIn) => standIn.stop()));
+      await Promise.all(standIns.map((standIn) => standIn.stop()));
     },
   };
 }
--- a/packages/stand-ins/src/engineResponse.ts
+++ b/packages/stand-ins/src/engineResponse.ts
@@ -6,10 +6,10 @@
   responseToken,
 } from "@wasabivane/engine-model";
 
-/** How far an answer has come; nothing changes after any but `running`. */
+/** State of a response; every state but `running` is final. */
 export type ResponseState = "running" | "finished" | "cancelled" | "lost";
 
-/** A chat completions call as the engine takes it. */
+/** Completion request to an engine. */
 export interface CompletionRequest {
   readonly nonce: string;
   readonly model: string;
@@ -19,18 +19,18 @@
   readonly maximumTokens: number;
 }
 
-/** One answer of the engine; it grows whether or not a connection reads it. */
+/** Response of an engine; generation does not depend on a connected client. */
 export class EngineResponse {
-  /** Its id in the engine model. */
+  /** Id in the engine model. */
   readonly id: string;
   readonly request: CompletionRequest;
   readonly outputTokens: number;
-  /** Whether the caller's maximum cut the answer. */
+  /** Whether the request's token limit shortens the response. */
   readonly isLengthLimited: boolean;
   readonly #seed: number;
-  readonly #readers = new Set<() => void>();
+  readonly #subscribers = new Set<() => void>();
   #state: ResponseState = "running";
-  #generated = 0;
+  #generatedTokens = 0;
   #cachedTokens = 0;
 
   constructor(id: string, request: CompletionRequest) {
@@ -46,45 +46,46 @@
   }
 
   get generatedTokens(): number {
-    return this.#generated;
+    return this.#generatedTokens;
   }
 
   get cachedTokens(): number {
     return this.#cachedTokens;
   }
 
-  get hasReaders(): boolean {
-    return this.#readers.size > 0;
+  /** Whether anything is subscribed. */
+  get hasSubscribers(): boolean {
+    return this.#subscribers.size > 0;
   }
 
   tokenAt(index: number): string {
     return responseToken(this.#seed, index);
   }
 
-  /** Calls back after each change; the returned function ends that. */
+  /** Calls `onChange` after each change; returns a function to unsubscribe. */
   subscribe(onChange: () => void): () => void {
-    this.#readers.add(onChange);
-    return () => this.#readers.delete(onChange);
+    this.#subscribers.add(onChange);
+    return () => this.#subscribers.delete(onChange);
   }
 
-  /** Takes in what the engine did. */
+  /** Updates the response with an engine event. */
   applyEvent(event: EngineEvent): void {
     if (event.kind === "firstToken") {
       this.#cachedTokens = event.cachedTokens;
-      this.#generated = 1;
+      this.#generatedTokens = 1;
     }
-    if (event.kind === "tokens") this.#generated += event.count;
+    if (event.kind === "tokens") this.#generatedTokens += event.count;
     if (event.kind === "finished") this.#state = "finished";
     if (event.kind === "lost") this.#state = "lost";
-    this.#tell();
+    this.#notifySubscribers();
   }
 
   cancel(): void {
     this.#state = "cancelled";
-    this.#tell();
+    this.#notifySubscribers();
   }
 
-  #tell(): void {
-    for (const onChange of [...this.#readers]) onChange();
+  #notifySubscribers(): void {
+    for (const onChange of [...this.#subscribers]) onChange();
   }
 }
--- a/packages/stand-ins/src/engineRuntime.ts
+++ b/packages/stand-ins/src/engineRuntime.ts
@@ -19,33 +19,33 @@
 import { RunLog } from "./runLog.ts";
 import { ScaledTimer } from "./scaledTimer.ts";
 
-/** A prompt with this text crashes the engine that runs it. */
+/** Marker in a prompt that crashes the engine at the first token. */
 export const POISON_MARKER = "[[poison]]";
 
-/** Real time that the steps of one event should at least take. */
-const SHORTEST_EVENT_MS = 4;
+/** Real time that one token event may cover, which limits the event rate. */
+const TOKEN_EVENT_INTERVAL_MS = 4;
 
-/** Options of an engine that runs in scaled real time; lags are in model time. */
+/** Options of an {@link EngineRuntime}; lags are in engine time. */
 export interface EngineRuntimeOptions {
   timer?: Timer;
   random?: Random;
   generation?: HardwareGeneration;
-  /** Overrides the generation's. */
+  /** Overrides the profile of `generation`. */
   profile?: EngineProfile;
-  /** How many times as fast as real time the engine works. */
+  /** Factor by which the engine runs faster than real time. */
   timeScale?: number;
   reportLagMs?: Milliseconds;
   cacheEventLagMs?: Milliseconds;
   cacheEventLossRate?: number;
-  /** Real time that a request is kept while no connection reads its answer. */
+  /** Real time after which a request without a client is cancelled. */
   resumeWindowMs?: Milliseconds;
-  /** Real time from a crash to the restart; without it a crashed engine stays down. */
+  /** Real time from a crash to the restart; by default there is no restart. */
   restartAfterMs?: Milliseconds;
   /** Called after each crash. */
   onCrash?: () => void;
 }
 
-/** The engine model in scaled real time with the answers of its requests, without HTTP. */
+/** Runs an engine model in scaled real time and holds its responses. */
 export class EngineRuntime {
   readonly model: EngineModel;
   readonly runs = new RunLog();
@@ -54,14 +54,14 @@
   readonly #timeScale: number;
   readonly #resumeWindowMs: Milliseconds;
   readonly #restartAfterMs: Milliseconds | undefined;
-  readonly #answers = new Map<string, EngineResponse>();
-  readonly #pending = new Set<TimerSubscription>();
+  readonly #responses = new Map<string, EngineResponse>();
+  readonly #scheduledCalls = new Set<TimerSubscription>();
   readonly #gate = new Gate();
   readonly #onCrash: () => void;
-  #submitted = 0;
+  #submittedCount = 0;
 
   constructor(options: EngineRuntimeOptions = {}) {
-    const speed = options.profile ??
+    const profile = options.profile ??
       HARDWARE_GENERATIONS[options.generation ?? "g2"];
     this.#timeScale = options.timeScale ?? 1;
     this.#timer = options.timer ?? new SystemTimer();
@@ -69,71 +69,71 @@
     this.#resumeWindowMs = options.resumeWindowMs ?? 10_000;
     this.#restartAfterMs = options.restartAfterMs;
     this.#onCrash = options.onCrash ?? ((): void => {});
-    const eventMs = SHORTEST_EVENT_MS * this.#timeScale;
+    const eventIntervalMs = TOKEN_EVENT_INTERVAL_MS * this.#timeScale;
     this.model = new EngineModel({
       timer: this.#scaledTimer,
       random: options.random ?? new SystemRandom(),
-      profile: speed,
+      profile,
       reportLagMs: options.reportLagMs ?? 1_000,
       cacheEventLagMs: options.cacheEventLagMs ?? 2_000,
       cacheEventLossRate: options.cacheEventLossRate ?? 0.05,
       maximumStepsPerEvent: Math.max(
         1,
-        Math.floor(eventMs / speed.decodeStepMs),
+        Math.floor(eventIntervalMs / profile.decodeStepMs),
       ),
     });
   }
 
-  /** Starts a request; `undefined` when the engine is down. */
+  /** Submits a request; returns `undefined` if the engine is down. */
   submit(request: CompletionRequest): EngineResponse | undefined {
     const { nonce, promptTokens, prefixDigests } = request;
-    // A nonce that comes twice runs twice, so that a test can see the fault.
-    const id = `${nonce}#${this.#submitted++}`;
-    const answer = new EngineResponse(id, request);
-    const { outputTokens } = answer;
-    const isTaken = this.model.submit(
+    // Duplicate nonces run twice, so that tests can detect double dispatches.
+    const id = `${nonce}#${this.#submittedCount++}`;
+    const response = new EngineResponse(id, request);
+    const { outputTokens } = response;
+    const isAccepted = this.model.submit(
       { id, promptTokens, prefixDigests, outputTokens },
-      (event) => this.#apply(answer, event),
+      (event) => this.#applyEvent(response, event),
     );
-    if (!isTaken) return undefined;
-    this.#answers.set(nonce, answer);
-    this.runs.recordStart(answer);
-    return answer;
+    if (!isAccepted) return undefined;
+    this.#responses.set(nonce, response);
+    this.runs.recordStart(response);
+    return response;
   }
 
   findResponse(nonce: string): EngineResponse | undefined {
-    return this.#answers.get(nonce);
+    return this.#responses.get(nonce);
   }
 
-  /** Ends a request and forgets its answer; false when it is not known. */
+  /** Cancels a request and drops its response; returns false if unknown. */
   cancel(nonce: string): boolean {
-    const answer = this.#answers.get(nonce);
-    if (answer === undefined) return false;
-    this.#answers.delete(nonce);
-    if (answer.state !== "running") return true;
-    this.model.cancel(answer.id);
-    answer.cancel();
+    const response = this.#responses.get(nonce);
+    if (response === undefined) return false;
+    this.#responses.delete(nonce);
+    if (response.state !== "running") return true;
+    this.model.cancel(response.id);
+    response.cancel();
     return true;
   }
 
-  /** Forgets a request when nothing reads its answer within the resume window. */
-  scheduleExpiry(answer: EngineResponse): void {
-    if (answer.hasReaders) return;
-    const { nonce } = answer.request;
-    this.#later(this.#resumeWindowMs, () => {
-      if (!answer.hasReaders && this.findResponse(nonce) === answer) {
+  /** Cancels a request unless a client reconnects within the resume window. */
+  scheduleExpiry(response: EngineResponse): void {
+    if (response.hasSubscribers) return;
+    const { nonce } = response.request;
+    this.#schedule(this.#resumeWindowMs, () => {
+      if (!response.hasSubscribers && this.findResponse(nonce) === response) {
         this.cancel(nonce);
       }
     });
   }
 
-  /** Loses everything; `restartAfterMs` in real time goes before the option. */
+  /** Drops requests and cache; `restartAfterMs` overrides the option. */
   crash(restartAfterMs = this.#restartAfterMs): void {
     this.model.crash();
-    this.#answers.clear();
+    this.#responses.clear();
     this.#onCrash();
     if (restartAfterMs === undefined) return;
-    this.#later(restartAfterMs, () => this.restart());
+    this.#schedule(restartAfterMs, () => this.restart());
   }
 
   restart(): void {
@@ -141,11 +141,11 @@
     this.#gate.open();
   }
 
-  /** Stops everything, as a stopped process would; `forMs` in real time. */
+  /** Suspends the engine like a stopped process, for `forMs` of real time. */
   pause(forMs?: Milliseconds): void {
     this.model.pause();
     this.#gate.close();
-    if (forMs !== undefined) this.#later(forMs, () => this.resume());
+    if (forMs !== undefined) this.#schedule(forMs, () => this.resume());
   }
 
   resume(): void {
@@ -153,42 +153,43 @@
     this.#gate.open();
   }
 
-  /** Resolves once the engine is not paused. */
+  /** Resolves when the engine is not paused. */
   whenResumed(): Promise<void> {
     return this.#gate.whenOpen();
   }
 
-  /** The lagging load report; `undefined` while the engine is down. */
+  /** Returns the lagging load in wall-clock time, or `undefined` while down. */
   loadReport(): EngineLoad | undefined {
     const load = this.model.loadReport();
     if (load === undefined) return undefined;
-    const age = (this.#scaledTimer.now() - load.takenAt) / this.#timeScale;
-    return { ...load, takenAt: Math.round(this.#timer.wallNow() - age) };
+    const ageMs = (this.#scaledTimer.now() - load.takenAt) / this.#timeScale;
+    return { ...load, takenAt: Math.round(this.#timer.wallNow() - ageMs) };
   }
 
+  /** Returns the wall-clock time in seconds. */
   epochSeconds(): number {
     return Math.floor(this.#timer.wallNow() / 1_000);
   }
 
-  /** Drops all work and pending calls; {@link restart} makes it usable again. */
+  /** Drops all requests and timers; {@link restart} makes it usable again. */
   stop(): void {
-    for (const subscription of this.#pending) subscription.cancel();
-    this.#pending.clear();
+    for (const subscription of this.#scheduledCalls) subscription.cancel();
+    this.#scheduledCalls.clear();
     this.model.crash();
-    this.#answers.clear();
+    this.#responses.clear();
   }
 
-  #later(delay: Milliseconds, callback: () => void): void {
+  #schedule(delay: Milliseconds, callback: () => void): void {
     const subscription = this.#timer.after(delay, () => {
-      this.#pending.delete(subscription);
+      this.#scheduledCalls.delete(subscription);
       callback();
     });
-    this.#pending.add(subscription);
+    this.#scheduledCalls.add(subscription);
   }
 
-  #apply(answer: EngineResponse, event: EngineEvent): void {
-    const isPoison = answer.request.prompt.includes(POISON_MARKER);
+  #applyEvent(response: EngineResponse, event: EngineEvent): void {
+    const isPoison = response.request.prompt.includes(POISON_MARKER);
     if (isPoison && event.kind === "firstToken") this.crash();
-    else answer.applyEvent(event);
+    else response.applyEvent(event);
   }
 }
--- a/packages/stand-ins/src/engineStandIn.ts
+++ b/packages/stand-ins/src/engineStandIn.ts
@@ -2,12 +2,12 @@
 import { RESPONSE_ALREADY_SENT } from "@hono/node-server/utils/response";
 import { SystemRandom } from "@wasabivane/common";
 import type { EngineCounters } from "@wasabivane/engine-model";
-import { type ResponseInterruption, streamResponse } from "./responseStream.ts";
-import { FaultInjector, numberOrDefault } from "./faultInjector.ts";
-import { parseChatRequest } from "./chatRequest.ts";
 import type { SentResponse } from "./chatCompletionFormat.ts";
+import { parseChatRequest } from "./chatRequest.ts";
 import type { EngineResponse } from "./engineResponse.ts";
 import { EngineRuntime, type EngineRuntimeOptions } from "./engineRuntime.ts";
+import { FaultInjector, numberOrDefault } from "./faultInjector.ts";
+import { type AcceptedOrder, FencedOrders } from "./fencedOrders.ts";
 import {
   closeConnection,
   createErrorResponse,
@@ -24,16 +24,17 @@
   parseBlocks,
   parseDigests,
 } from "./kvBlocks.ts";
-import { type AcceptedOrder, FencedOrders } from "./fencedOrders.ts";
-import type { LoggedRun } from "./runLog.ts";
 import { sendNonStreamedResponse } from "./nonStreamedResponse.ts";
+import { type ResponseInterruption, streamResponse } from "./responseStream.ts";
+import type { LoggedRun } from "./runLog.ts";
 
 const NONCE = /^[A-Za-z0-9_-]{1,128}$/;
 const NONCE_BYTES = 16;
 
 /**
- * Faults of the next answers; they take `{"count", "afterTokens"}`. An empty
- * body makes `break-streams` break the open connections instead.
+ * Control actions that inject a fault into the next responses, with a body of
+ * `{"count", "afterTokens"}`. Without a body, `break-streams` closes the open
+ * connections instead.
  */
 export const RESPONSE_FAULTS = [
   "break-streams",
@@ -42,17 +43,17 @@
   "second-answer",
   "refuse",
 ] as const;
-/** See {@link RESPONSE_FAULTS}. */
+/** One of {@link RESPONSE_FAULTS}. */
 export type ResponseFault = typeof RESPONSE_FAULTS[number];
 
 /** Options of an {@link EngineStandIn}. */
 export interface EngineStandInOptions
   extends HttpStandInOptions, Omit<EngineRuntimeOptions, "onCrash"> {
-  /** Whether orders with an old fencing number are refused. */
+  /** Whether orders with an outdated fencing token are rejected. */
   fencing?: "checked" | "ignored";
 }
 
-/** What `GET /control/state` tells. */
+/** Engine state, as returned by `GET /control/state`. */
 export interface EngineStandInState {
   readonly isUp: boolean;
   readonly isPaused: boolean;
@@ -64,21 +65,21 @@
 type ControlBody = Record<string, unknown>;
 type ControlAction = (body: ControlBody) => void;
 
-/** A model engine over HTTP, as `docs/ARCHITECTURE.md` describes the upstream protocol. */
+/** Inference engine with the upstream protocol of `docs/ARCHITECTURE.md`. */
 export class EngineStandIn extends HttpStandIn {
-  readonly #host: EngineRuntime;
+  readonly #runtime: EngineRuntime;
   readonly #orders: FencedOrders;
   readonly #faults = new FaultInjector<ResponseFault>();
   readonly #random = new SystemRandom();
   readonly #actions: ReadonlyMap<string, ControlAction>;
-  /** The control request that causes a crash keeps its connection. */
-  #spared: IncomingMessage | undefined;
+  /** Control request whose connection stays open during a crash. */
+  #activeControlRequest: IncomingMessage | undefined;
 
   constructor(options: EngineStandInOptions = {}) {
     super(options);
-    this.#host = new EngineRuntime({
+    this.#runtime = new EngineRuntime({
       ...options,
-      onCrash: () => this.closeConnections(this.#spared),
+      onCrash: () => this.closeConnections(this.#activeControlRequest),
     });
     this.#orders = new FencedOrders(options.fencing ?? "ignored");
     this.#actions = this.#createActions();
@@ -86,51 +87,52 @@
     this.#addEngineRoutes();
   }
 
+  /** The state that `GET /control/state` returns. */
   get state(): EngineStandInState {
     return {
-      isUp: this.#host.model.isUp,
-      isPaused: this.#host.model.isPaused,
-      counters: this.#host.model.counters,
-      runs: this.#host.runs.runsByNonce(),
+      isUp: this.#runtime.model.isUp,
+      isPaused: this.#runtime.model.isPaused,
+      counters: this.#runtime.model.counters,
+      runs: this.#runtime.runs.runsByNonce(),
       orders: this.#orders.accepted,
     };
   }
 
   override start(): Promise<StandInAddress> {
-    this.#host.restart();
+    this.#runtime.restart();
     return super.start();
   }
 
   override stop(): Promise<void> {
-    this.#host.stop();
+    this.#runtime.stop();
     return super.stop();
   }
 
-  /** Does what `POST /control/ACTION` does; false when there is no such action. */
+  /** Runs the action of `POST /control/ACTION`; returns false if unknown. */
   control(action: string, body: ControlBody = {}): boolean {
-    const run = this.#actions.get(action);
-    run?.(body);
-    return run !== undefined;
+    const runAction = this.#actions.get(action);
+    runAction?.(body);
+    return runAction !== undefined;
   }
 
   #createActions(): Map<string, ControlAction> {
-    const host = this.#host;
+    const runtime = this.#runtime;
     const actions = new Map<string, ControlAction>([
       [
         "crash",
         (body) =>
-          host.crash(numberOrDefault(body["restartAfterMs"], undefined)),
+          runtime.crash(numberOrDefault(body["restartAfterMs"], undefined)),
       ],
-      ["restart", () => host.restart()],
+      ["restart", () => runtime.restart()],
       [
         "slow-down",
-        (body) => host.model.slowDown(numberOrDefault(body["factor"], 1)),
+        (body) => runtime.model.slowDown(numberOrDefault(body["factor"], 1)),
       ],
       [
         "pause",
-        (body) => host.pause(numberOrDefault(body["forMs"], undefined)),
+        (body) => runtime.pause(numberOrDefault(body["forMs"], undefined)),
       ],
-      ["resume", () => host.resume()],
+      ["resume", () => runtime.resume()],
       ["clear", () => this.#faults.disarmAll()],
     ]);
     for (const fault of RESPONSE_FAULTS) {
@@ -141,174 +143,183 @@
   }
 
   #breakStreams(body: ControlBody): void {
-    if (Object.keys(body).length === 0) this.closeConnections(this.#spared);
-    else this.#faults.arm("break-streams", body);
+    if (Object.keys(body).length === 0) {
+      this.closeConnections(this.#activeControlRequest);
+    } else this.#faults.arm("break-streams", body);
   }
 
   #addControlRoutes(): void {
     this.app.get("/control/state", (context) => context.json(this.state));
     this.app.post("/control/:action", async (context) => {
       const body = await readJsonObject(context);
-      if (body === undefined) return malformed(context);
-      this.#spared = context.env.incoming;
+      if (body === undefined) return malformedRequestError(context);
+      this.#activeControlRequest = context.env.incoming;
       const isKnown = this.control(context.req.param("action"), body);
-      this.#spared = undefined;
-      return isKnown ? context.json({}) : unknown(context);
+      this.#activeControlRequest = undefined;
+      return isKnown ? context.json({}) : unknownRequestError(context);
     });
   }
 
   #addEngineRoutes(): void {
     this.app.use("/v1/*", async (context, next) => {
-      await this.#host.whenResumed();
-      if (!this.#host.model.isUp) return closeConnection(context);
+      await this.#runtime.whenResumed();
+      if (!this.#runtime.model.isUp) return closeConnection(context);
       await next();
     });
-    this.app.post("/v1/chat/completions", (context) => this.#chat(context));
+    this.app.post(
+      "/v1/chat/completions",
+      (context) => this.#handleChat(context),
+    );
     this.app.post(
       "/v1/requests/:nonce/resume",
-      (context) => this.#resume(context, context.req.param("nonce")),
+      (context) => this.#handleResume(context, context.req.param("nonce")),
     );
     this.app.delete("/v1/requests/:nonce", (context) => {
-      const isKnown = this.#host.cancel(context.req.param("nonce"));
-      return isKnown ? context.body(null, 204) : unknown(context);
+      const isKnown = this.#runtime.cancel(context.req.param("nonce"));
+      return isKnown ? context.body(null, 204) : unknownRequestError(context);
     });
     this.app.get(
       "/v1/load",
-      (context) => context.json(this.#host.loadReport()),
+      (context) => context.json(this.#runtime.loadReport()),
     );
     this.app.get("/v1/cache-events", (context) => {
       const after = Number(context.req.query("after") ?? 0);
-      if (!Number.isSafeInteger(after)) return malformed(context);
-      return context.json({ events: this.#host.model.cacheEvents(after) });
+      if (!Number.isSafeInteger(after)) return malformedRequestError(context);
+      return context.json({ events: this.#runtime.model.cacheEvents(after) });
     });
-    this.app.post("/v1/kv/export", (context) => this.#export(context));
-    this.app.post("/v1/kv/import", (context) => this.#import(context));
-    this.app.post("/v1/orders", (context) => this.#order(context));
+    this.app.post("/v1/kv/export", (context) => this.#handleExport(context));
+    this.app.post("/v1/kv/import", (context) => this.#handleImport(context));
+    this.app.post("/v1/orders", (context) => this.#handleOrder(context));
   }
 
-  async #chat(context: StandInContext): Promise<Response> {
+  async #handleChat(context: StandInContext): Promise<Response> {
     const nonce = context.req.header(NONCE_HEADER) ??
       this.#random.hex(NONCE_BYTES);
     const body = await readJsonObject(context);
     const request = NONCE.test(nonce) && body !== undefined
       ? parseChatRequest(body, nonce)
       : undefined;
-    if (request === undefined) return malformed(context);
+    if (request === undefined) return malformedRequestError(context);
     if (this.#faults.consume("refuse") !== undefined) {
       return createErrorResponse(context, {
         status: 503,
         message: "Engine refuses",
       });
     }
-    const answer = this.#host.submit(request);
-    if (answer === undefined) return closeConnection(context);
-    const shown = this.#show(answer);
+    const engineResponse = this.#runtime.submit(request);
+    if (engineResponse === undefined) return closeConnection(context);
+    const response = this.#prepareResponse(engineResponse);
     const { outgoing } = context.env;
-    outgoing.on("close", () => this.#host.scheduleExpiry(answer));
-    if (request.shouldStream) this.#stream(shown, { outgoing, offset: 0 });
-    else {sendNonStreamedResponse({
-        response: shown,
+    outgoing.on("close", () => this.#runtime.scheduleExpiry(engineResponse));
+    if (request.shouldStream) this.#stream(response, { outgoing, offset: 0 });
+    else {
+      sendNonStreamedResponse({
+        response,
         outgoing,
-        ...this.#takeFaults(shown),
-      });}
+        ...this.#consumeFaults(response),
+      });
+    }
     return RESPONSE_ALREADY_SENT;
   }
 
-  async #resume(context: StandInContext, nonce: string): Promise<Response> {
+  async #handleResume(
+    context: StandInContext,
+    nonce: string,
+  ): Promise<Response> {
     const body = await readJsonObject(context);
     const offset = body?.["offset"];
     if (!Number.isSafeInteger(offset) || Number(offset) < 0) {
-      return malformed(context);
+      return malformedRequestError(context);
     }
-    const answer = this.#host.findResponse(nonce);
-    if (answer === undefined) return unknown(context);
+    const engineResponse = this.#runtime.findResponse(nonce);
+    if (engineResponse === undefined) return unknownRequestError(context);
     const { outgoing } = context.env;
-    outgoing.on("close", () => this.#host.scheduleExpiry(answer));
-    const shown = this.#show(answer);
-    this.#stream(shown, { outgoing, offset: Number(offset) });
+    outgoing.on("close", () => this.#runtime.scheduleExpiry(engineResponse));
+    const response = this.#prepareResponse(engineResponse);
+    this.#stream(response, { outgoing, offset: Number(offset) });
     return RESPONSE_ALREADY_SENT;
   }
 
   #stream(
-    shown: SentResponse,
+    response: SentResponse,
     { outgoing, offset }: { outgoing: ServerResponse; offset: number },
   ): void {
     streamResponse({
-      response: shown,
+      response,
       outgoing,
       offset,
-      ...this.#takeFaults(shown),
+      ...this.#consumeFaults(response),
     });
   }
 
-  #takeFaults(
-    shown: SentResponse,
+  #consumeFaults(
+    response: SentResponse,
   ): {
     interruption: ResponseInterruption | undefined;
     extraResponse: SentResponse | undefined;
   } {
-    const cut = this.#takeCut();
+    const interruption = this.#consumeInterruption();
     if (this.#faults.consume("second-answer") === undefined) {
-      return { interruption: cut, extraResponse: undefined };
+      return { interruption, extraResponse: undefined };
     }
     const nonce = this.#random.hex(NONCE_BYTES);
-    return { interruption: cut, extraResponse: { ...shown, nonce } };
+    return { interruption, extraResponse: { ...response, nonce } };
   }
 
-  #show(answer: EngineResponse): SentResponse {
+  #prepareResponse(engineResponse: EngineResponse): SentResponse {
     const isWrong = this.#faults.consume("wrong-nonce") !== undefined;
     const nonce = isWrong
       ? this.#random.hex(NONCE_BYTES)
-      : answer.request.nonce;
+      : engineResponse.request.nonce;
     return {
-      response: answer,
+      engineResponse,
       nonce,
-      createdSeconds: this.#host.epochSeconds(),
+      createdSeconds: this.#runtime.epochSeconds(),
     };
   }
 
-  #takeCut(): ResponseInterruption | undefined {
-    const broken = this.#faults.consume("break-streams");
-    if (broken !== undefined) return { kind: "break", ...broken };
-    const truncated = this.#faults.consume("truncate");
-    return truncated && { kind: "truncate", ...truncated };
+  #consumeInterruption(): ResponseInterruption | undefined {
+    const breakFault = this.#faults.consume("break-streams");
+    if (breakFault !== undefined) return { kind: "break", ...breakFault };
+    const truncateFault = this.#faults.consume("truncate");
+    return truncateFault && { kind: "truncate", ...truncateFault };
   }
 
-  async #export(context: StandInContext): Promise<Response> {
+  async #handleExport(context: StandInContext): Promise<Response> {
     const digests = parseDigests((await readJsonObject(context))?.["digests"]);
-    if (digests === undefined) return malformed(context);
-    return context.json({ blocks: exportBlocks(this.#host.model, digests) });
+    if (digests === undefined) return malformedRequestError(context);
+    return context.json({ blocks: exportBlocks(this.#runtime.model, digests) });
   }
 
-  async #import(context: StandInContext): Promise<Response> {
+  async #handleImport(context: StandInContext): Promise<Response> {
     const blocks = parseBlocks((await readJsonObject(context))?.["blocks"]);
-    if (blocks === undefined || !importBlocks(this.#host.model, blocks)) {
-      return malformed(context);
+    if (blocks === undefined || !importBlocks(this.#runtime.model, blocks)) {
+      return malformedRequestError(context);
     }
     return context.json({ imported: blocks.length });
   }
 
-  async #order(context: StandInContext): Promise<Response> {
+  async #handleOrder(context: StandInContext): Promise<Response> {
     const body = await readJsonObject(context);
     const fencing = body?.["fencing"];
-    if (typeof fencing !== "number") return malformed(context);
-    const isTaken = this.#orders.accept({ order: body?.["order"], fencing });
-    if (isTaken) return context.json({});
+    if (typeof fencing !== "number") return malformedRequestError(context);
+    const isAccepted = this.#orders.accept({ order: body?.["order"], fencing });
+    if (isAccepted) return context.json({});
     return createErrorResponse(context, {
       status: 409,
-      message: "Old fencing number",
+      message: "Outdated fencing token",
     });
   }
 }
 
-function malformed(context: StandInContext): Response {
+function malformedRequestError(context: StandInContext): Response {
   return createErrorResponse(context, {
     status: 400,
     message: "Malformed request",
   });
 }
 
-function unknown(context: StandInContext): Response {
+function unknownRequestError(context: StandInContext): Response {
   return createErrorResponse(context, {
     status: 404,
     message: "Unknown request",
--- a/packages/stand-ins/src/faultInjector.ts
+++ b/packages/stand-ins/src/faultInjector.ts
@@ -1,8 +1,8 @@
-/** How a fault that was armed strikes. */
+/** Parameters of an armed fault. */
 export interface FaultDetails {
-  /** Answer tokens that still go out before the fault. */
+  /** Response tokens sent before the fault. */
   readonly afterTokens: number;
-  /** For faults that delay. */
+  /** Delay of the response, for faults that delay it. */
   readonly delayMs: number;
 }
 
@@ -10,11 +10,11 @@
   remaining: number;
 }
 
-/** Faults that strike a number of coming requests, by name. */
+/** Injects armed faults into the next requests. */
 export class FaultInjector<Name extends string> {
   readonly #armed = new Map<Name, ArmedFault>();
 
-  /** Arms a fault for the next `count` requests; zero disarms it. */
+  /** Arms a fault for the next `count` requests (default 1); 0 disarms it. */
   arm(name: Name, body: Record<string, unknown>): void {
     this.#armed.set(name, {
       remaining: numberOrDefault(body["count"], 1),
@@ -23,7 +23,7 @@
     });
   }
 
-  /** Uses up one strike of a fault, if it is armed. */
+  /** Consumes one use of a fault; returns `undefined` if it is not armed. */
   consume(name: Name): FaultDetails | undefined {
     const fault = this.#armed.get(name);
     if (fault === undefined || fault.remaining <= 0) return undefined;
@@ -36,10 +36,10 @@
   }
 }
 
-/** A number from a control body, or what it is when the body says none. */
-export function numberOrDefault<Other>(
+/** Returns a non-negative number from a control body, or the default. */
+export function numberOrDefault<Default>(
   value: unknown,
-  other: Other,
-): number | Other {
-  return typeof value === "number" && value >= 0 ? value : other;
+  defaultValue: Default,
+): number | Default {
+  return typeof value === "number" && value >= 0 ? value : defaultValue;
 }
--- a/packages/stand-ins/src/fencedOrders.ts
+++ b/packages/stand-ins/src/fencedOrders.ts
@@ -1,23 +1,25 @@
-/** An order as it was taken. */
+/** Order accepted by an engine, with its fencing token. */
 export interface AcceptedOrder {
   readonly order: unknown;
   readonly fencing: number;
 }
 
-/** The orders that an engine took; with fencing checked, an old number is refused. */
+/** Orders accepted by an engine; can reject outdated fencing tokens. */
 export class FencedOrders {
   readonly accepted: AcceptedOrder[] = [];
-  readonly #isChecked: boolean;
-  #highest = -Infinity;
+  readonly #shouldCheckFencing: boolean;
+  #highestFencing = -Infinity;
 
   constructor(fencing: "checked" | "ignored") {
-    this.#isChecked = fencing === "checked";
+    this.#shouldCheckFencing = fencing === "checked";
   }
 
-  /** False when the number is older than one taken before. */
+  /** Accepts an order; returns false if its fencing token is outdated. */
   accept(order: AcceptedOrder): boolean {
-    if (this.#isChecked && order.fencing < this.#highest) return false;
-    this.#highest = Math.max(this.#highest, order.fencing);
+    if (this.#shouldCheckFencing && order.fencing < this.#highestFencing) {
+      return false;
+    }
+    this.#highestFencing = Math.max(this.#highestFencing, order.fencing);
     this.accepted.push(order);
     return true;
   }
--- a/packages/stand-ins/src/gate.ts
+++ b/packages/stand-ins/src/gate.ts
@@ -1,22 +1,22 @@
-/** Holds callers back while it is closed, as a paused process does. */
+/** Blocks asynchronous callers while it is closed. */
 export class Gate {
-  #passed: Promise<void> = Promise.resolve();
-  #open: () => void = () => {};
+  #whenOpen: Promise<void> = Promise.resolve();
+  #resolve: () => void = () => {};
   #isClosed = false;
 
   close(): void {
     if (this.#isClosed) return;
     this.#isClosed = true;
-    this.#passed = new Promise((resolve) => (this.#open = resolve));
+    this.#whenOpen = new Promise((resolve) => (this.#resolve = resolve));
   }
 
   open(): void {
     this.#isClosed = false;
-    this.#open();
+    this.#resolve();
   }
 
-  /** Resolves once the gate is open. */
+  /** Resolves when the gate is open. */
   whenOpen(): Promise<void> {
-    return this.#passed;
+    return this.#whenOpen;
   }
 }
--- a/packages/stand-ins/src/httpStandIn.ts
+++ b/packages/stand-ins/src/httpStandIn.ts
@@ -4,33 +4,33 @@
 import { RESPONSE_ALREADY_SENT } from "@hono/node-server/utils/response";
 import { type Context, Hono } from "hono";
 
-/** Header that every answer repeats, errors too. */
+/** Header that every response echoes, including errors. */
 export const NONCE_HEADER = "x-request-nonce";
 
-/** Longer than any client keeps an idle connection, so that closes are deliberate. */
+/** Exceeds the clients' idle timeouts, so that the server never closes first. */
 const KEEP_ALIVE_MS = 120_000;
 
-/** Options that every stand-in takes. */
+/** Options of an {@link HttpStandIn}. */
 export interface HttpStandInOptions {
-  /** Zero takes any free port and keeps it over a stop and a start. */
+  /** 0 selects a free port, which is reused after a stop and start. */
   port?: number;
   hostname?: string;
 }
 
-/** Where a started stand-in answers. */
+/** Address of a started stand-in. */
 export interface StandInAddress {
   readonly url: string;
 }
 
-/** What the stand-ins' routes get from the server. */
+/** Hono environment of the stand-ins' routes. */
 export interface StandInEnvironment {
   Bindings: HttpBindings;
 }
 
-/** One request at a stand-in. */
+/** Hono context of a request to a stand-in. */
 export type StandInContext = Context<StandInEnvironment>;
 
-/** A small HTTP server that tests and demos embed. */
+/** Base of the HTTP servers that replace real systems in tests and demos. */
 export abstract class HttpStandIn {
   protected readonly app = new Hono<StandInEnvironment>();
   readonly #hostname: string;
@@ -43,7 +43,7 @@
     this.#hostname = hostname;
   }
 
-  /** Rejects when the port is taken. */
+  /** Starts listening; rejects if the port is in use. */
   async start(): Promise<StandInAddress> {
     const server = createAdaptorServer({
       fetch: this.app.fetch,
@@ -73,28 +73,28 @@
     await closed;
   }
 
-  /** Closes every connection at once, but for that of one request. */
-  protected closeConnections(spared?: IncomingMessage): void {
+  /** Closes all connections immediately, except that of one request. */
+  protected closeConnections(exceptRequest?: IncomingMessage): void {
     for (const socket of this.#sockets) {
-      if (socket !== spared?.socket) socket.destroy();
+      if (socket !== exceptRequest?.socket) socket.destroy();
     }
   }
 }
 
-/** Closes the request's connection without an answer. */
+/** Closes the request's connection without a response. */
 export function closeConnection(context: StandInContext): Response {
   context.env.incoming.socket.destroy();
   return RESPONSE_ALREADY_SENT;
 }
 
-/** Aborted once the answer has left or its connection has closed. */
+/** Creates a signal that aborts once the response is sent or disconnected. */
 export function createCloseSignal(context: StandInContext): AbortSignal {
   const controller = new AbortController();
   context.env.outgoing.on("close", () => controller.abort());
   return controller.signal;
 }
 
-/** The request's body as a JSON object, empty when there is no body; `undefined` when it is no object. */
+/** Parses the body as a JSON object, `{}` if empty; `undefined` if invalid. */
 export async function readJsonObject(
   context: StandInContext,
 ): Promise<Record<string, unknown> | undefined> {
@@ -110,7 +110,7 @@
   }
 }
 
-/** An error answer in the shape of the model engines. */
+/** Creates an error response in the format of inference engines. */
 export function createErrorResponse(
   context: StandInContext,
   { status, message }: {
--- a/packages/stand-ins/src/main.ts
+++ b/packages/stand-ins/src/main.ts
@@ -16,7 +16,7 @@
 
 function readSettings({ settings: file }: Flags): StandInSettings {
   if (file === undefined) {
-    exitWith(EXIT_USAGE, ["Name a settings file with --settings FILE"]);
+    exitWith(EXIT_USAGE, ["Specify a settings file with --settings FILE"]);
   }
   const settings = readDocument(file, standInSettingsSchema);
   if (settings.isOk()) return settings.value;
--- a/packages/stand-ins/src/nonStreamedResponse.ts
+++ b/packages/stand-ins/src/nonStreamedResponse.ts
@@ -1,54 +1,57 @@
 import { Buffer } from "node:buffer";
 import type { ServerResponse } from "node:http";
-import type { ResponseInterruption } from "./responseStream.ts";
 import {
   createResponseBody,
   type SentResponse,
 } from "./chatCompletionFormat.ts";
+import type { ResponseInterruption } from "./responseStream.ts";
 
 /** Options of {@link sendNonStreamedResponse}. */
 export interface NonStreamedResponseOptions {
   readonly response: SentResponse;
   readonly outgoing: ServerResponse;
   readonly interruption?: ResponseInterruption | undefined;
-  /** An answer sent once more behind the first, which the connection's next reader may take. */
+  /** Fault: sends this unrequested response next on the same connection. */
   readonly extraResponse?: SentResponse | undefined;
 }
 
-/** Sends an answer in one piece once it is finished; a lost one breaks the connection. */
+/** Sends a response when complete, or closes the connection if it failed. */
 export function sendNonStreamedResponse(
-  { response: shown, outgoing, interruption: cut, extraResponse: second }:
+  { response, outgoing, interruption, extraResponse }:
     NonStreamedResponseOptions,
 ): void {
-  const { response: answer, nonce } = shown;
-  const stop = answer.subscribe(() => {
-    if (answer.state === "running") return;
-    stop();
-    if (answer.state !== "finished") return void outgoing.destroy();
-    const body = createResponseBody(shown);
+  const { engineResponse, nonce } = response;
+  const unsubscribe = engineResponse.subscribe(() => {
+    if (engineResponse.state === "running") return;
+    unsubscribe();
+    if (engineResponse.state !== "finished") return void outgoing.destroy();
+    const body = createResponseBody(response);
     outgoing.writeHead(200, {
       "content-type": "application/json",
       "x-request-nonce": nonce,
     });
     const { socket } = outgoing;
-    if (cut === undefined) {
-      outgoing.end(body, () => second && socket?.write(rawAnswer(second)));
+    if (interruption === undefined) {
+      outgoing.end(
+        body,
+        () => extraResponse && socket?.write(createRawResponse(extraResponse)),
+      );
       return;
     }
-    const part = body.slice(0, Math.floor(body.length / 2));
-    if (cut.kind === "truncate") outgoing.end(part);
-    else outgoing.write(part, () => outgoing.destroy());
+    const partialBody = body.slice(0, Math.floor(body.length / 2));
+    if (interruption.kind === "truncate") outgoing.end(partialBody);
+    else outgoing.write(partialBody, () => outgoing.destroy());
   });
-  outgoing.on("close", stop);
+  outgoing.on("close", unsubscribe);
 }
 
-function rawAnswer(shown: SentResponse): string {
-  const body = createResponseBody(shown);
+function createRawResponse(response: SentResponse): string {
+  const body = createResponseBody(response);
   return [
     "HTTP/1.1 200 OK",
     "content-type: application/json",
     `content-length: ${Buffer.byteLength(body)}`,
-    `x-request-nonce: ${shown.nonce}`,
+    `x-request-nonce: ${response.nonce}`,
     "",
     body,
   ].join("\r\n");
--- a/packages/stand-ins/src/plainStandIn.ts
+++ b/packages/stand-ins/src/plainStandIn.ts
@@ -16,38 +16,38 @@
   type StandInContext,
 } from "./httpStandIn.ts";
 
-const KEY_HEADER = "idempotency-key";
+const IDEMPOTENCY_KEY_HEADER = "idempotency-key";
 const NONCE_BYTES = 16;
 
-/** Faults of the next calls; they take `{"count", "delayMs"}`. */
+/** Control actions that inject a fault into the next requests. */
 export const REQUEST_FAULTS = [
-  /** Answers only after `delayMs`. */
+  /** Responds after `delayMs`. */
   "slow",
-  /** Runs the call, then breaks the connection. */
+  /** Runs the request, then closes the connection. */
   "reset-after-run",
-  /** Answers 503 without a run. */
+  /** Responds with 503 without running the request. */
   "refuse",
-  /** Runs the call and answers with another nonce. */
+  /** Runs the request and responds with another nonce. */
   "wrong-nonce",
 ] as const;
-/** See {@link REQUEST_FAULTS}. */
+/** One of {@link REQUEST_FAULTS}. */
 export type RequestFault = typeof REQUEST_FAULTS[number];
 
 /** Options of a {@link PlainStandIn}. */
 export interface PlainStandInOptions extends HttpStandInOptions {
   timer?: Timer;
-  /** Time that each run takes. */
+  /** Duration of each run. */
   runMs?: Milliseconds;
 }
 
-/** How often calls ran; `GET /control/runs` tells it. */
+/** Run counts, as returned by `GET /control/runs`. */
 export interface PlainRunCounts {
   readonly total: number;
   readonly byKey: Readonly<Record<string, number>>;
   readonly byNonce: Readonly<Record<string, number>>;
 }
 
-/** What the service echoes of a call. */
+/** Request as echoed by the service. */
 export interface PlainEcho {
   readonly method: string;
   /** Path and query. */
@@ -55,36 +55,43 @@
   readonly body: string;
 }
 
-/** A plain service that echoes each call and counts its runs. */
+/** Plain service that echoes each request and counts its runs. */
 export class PlainStandIn extends HttpStandIn {
   readonly #timer: Timer;
   readonly #runMs: Milliseconds;
   readonly #faults = new FaultInjector<RequestFault>();
   readonly #random = new SystemRandom();
-  readonly #byKey = new Map<string, number>();
-  readonly #byNonce = new Map<string, number>();
-  #total = 0;
-  #running = 0;
+  readonly #runsByKey = new Map<string, number>();
+  readonly #runsByNonce = new Map<string, number>();
+  #totalRuns = 0;
+  #runningCount = 0;
 
   constructor(options: PlainStandInOptions = {}) {
     super(options);
     this.#timer = options.timer ?? new SystemTimer();
     this.#runMs = options.runMs ?? 0;
-    this.app.get("/v1/load", (context) => context.json(this.#load()));
+    this.app.get(
+      "/v1/load",
+      (context) => context.json(this.#createLoadReport()),
+    );
     this.app.get("/control/runs", (context) => context.json(this.runs));
-    this.app.post("/control/:action", (context) => this.#control(context));
-    this.app.all("*", (context) => this.#call(context));
+    this.app.post(
+      "/control/:action",
+      (context) => this.#handleControl(context),
+    );
+    this.app.all("*", (context) => this.#handleRequest(context));
   }
 
+  /** The counts that `GET /control/runs` returns. */
   get runs(): PlainRunCounts {
     return {
-      total: this.#total,
-      byKey: Object.fromEntries(this.#byKey),
-      byNonce: Object.fromEntries(this.#byNonce),
+      total: this.#totalRuns,
+      byKey: Object.fromEntries(this.#runsByKey),
+      byNonce: Object.fromEntries(this.#runsByNonce),
     };
   }
 
-  /** Does what `POST /control/ACTION` does; false when there is no such action. */
+  /** Runs the action of `POST /control/ACTION`; returns false if unknown. */
   control(action: string, body: Record<string, unknown> = {}): boolean {
     if (action === "clear") {
       this.#faults.disarmAll();
@@ -96,13 +103,13 @@
     return true;
   }
 
-  /** Plain services report load as engines do; a report is no run. */
-  #load(): Record<string, number> {
+  /** Creates a load report in the format of engines. */
+  #createLoadReport(): Record<string, number> {
     const takenAt = this.#timer.wallNow();
-    return { takenAt, running: this.#running, waiting: 0, memoryShare: 0 };
+    return { takenAt, running: this.#runningCount, waiting: 0, memoryShare: 0 };
   }
 
-  async #control(context: StandInContext): Promise<Response> {
+  async #handleControl(context: StandInContext): Promise<Response> {
     const body = await readJsonObject(context);
     if (body === undefined) {
       return createErrorResponse(context, {
@@ -118,7 +125,7 @@
     });
   }
 
-  async #call(context: StandInContext): Promise<Response> {
+  async #handleRequest(context: StandInContext): Promise<Response> {
     const body = await context.req.text();
     if (this.#faults.consume("refuse") !== undefined) {
       return createErrorResponse(context, {
@@ -128,9 +135,9 @@
     }
     this.#countRun(context);
     const delay = this.#faults.consume("slow")?.delayMs ?? this.#runMs;
-    this.#running++;
+    this.#runningCount++;
     if (delay > 0) await this.#delay(context, delay);
-    this.#running--;
+    this.#runningCount--;
     if (this.#faults.consume("reset-after-run") !== undefined) {
       return closeConnection(context);
     }
@@ -148,9 +155,9 @@
   }
 
   #countRun(context: StandInContext): void {
-    this.#total++;
-    increment(this.#byKey, context.req.header(KEY_HEADER));
-    increment(this.#byNonce, context.req.header(NONCE_HEADER));
+    this.#totalRuns++;
+    increment(this.#runsByKey, context.req.header(IDEMPOTENCY_KEY_HEADER));
+    increment(this.#runsByNonce, context.req.header(NONCE_HEADER));
   }
 
   #echo(context: StandInContext, body: string): Response {
--- a/packages/stand-ins/src/platformStandIn.ts
+++ b/packages/stand-ins/src/platformStandIn.ts
@@ -12,24 +12,23 @@
 import { type PublicationMode, PublishedValue } from "./publishedValue.ts";
 import { ReadRateLimiter } from "./readRateLimiter.ts";
 
-/** The largest value that the platform holds. */
 const MAXIMUM_VALUE_BYTES = 1_000_000;
-const LONGEST_WAIT_MS = 60_000;
+const MAXIMUM_WAIT_MS = 60_000;
 const RETRY_AFTER_SECONDS = "1";
 const MODES: readonly unknown[] = ["up", "down", "stale"];
 
-/** What can be read at the platform. */
+/** Name of a value that the platform publishes. */
 export type PlatformValueName = "bundle" | "hosts";
 
 /** Options of a {@link PlatformStandIn}. */
 export interface PlatformStandInOptions extends HttpStandInOptions {
   timer?: Timer;
-  /** Reads of all readers together; a waiting watch counts as one. */
+  /** Rate limit across all readers; a long poll counts as one read. */
   readsPerSecond?: number;
   hostListLagMs?: Milliseconds;
 }
 
-/** How reads ended; `GET /control/reads` tells it. */
+/** Read counts by result, as returned by `GET /control/reads`. */
 export interface PlatformReadCounts {
   readonly answered: number;
   readonly nothingNewer: number;
@@ -37,16 +36,24 @@
   readonly down: number;
 }
 
-/** The platform's configuration service and host list, read and watch only. */
+/** Platform that serves the bundle and the host list to readers. */
 export class PlatformStandIn extends HttpStandIn {
-  readonly #budget: ReadRateLimiter;
+  readonly #rateLimiter: ReadRateLimiter;
   readonly #values: Readonly<Record<PlatformValueName, PublishedValue>>;
-  readonly #reads = { answered: 0, nothingNewer: 0, overBudget: 0, down: 0 };
+  readonly #readCounts = {
+    answered: 0,
+    nothingNewer: 0,
+    overBudget: 0,
+    down: 0,
+  };
 
   constructor(options: PlatformStandInOptions = {}) {
     super(options);
     const timer = options.timer ?? new SystemTimer();
-    this.#budget = new ReadRateLimiter(timer, options.readsPerSecond ?? 2_000);
+    this.#rateLimiter = new ReadRateLimiter(
+      timer,
+      options.readsPerSecond ?? 2_000,
+    );
     const lagMs = options.hostListLagMs ?? 0;
     this.#values = {
       bundle: new PublishedValue({ timer, lagMs: 0 }),
@@ -56,20 +63,22 @@
     this.#addControlRoutes();
   }
 
+  /** The counts that `GET /control/reads` returns. */
   get reads(): PlatformReadCounts {
-    return { ...this.#reads };
+    return { ...this.#readCounts };
   }
 
-  /** Publishes a bundle; returns its revision. */
+  /** Publishes a bundle and returns its revision. */
   setBundle(bundle: SignedBundle): number {
     return this.#values.bundle.set(bundle);
   }
 
-  /** Publishes a host list, seen by readers after the lag; returns its revision. */
+  /** Publishes a host list, visible after the lag, and returns its revision. */
   setHosts(hosts: HostList): number {
     return this.#values.hosts.set(hosts);
   }
 
+  /** Sets whether a value can be read and whether it is current. */
   setMode(name: PlatformValueName, mode: PublicationMode): void {
     this.#values[name].setMode(mode);
   }
@@ -82,26 +91,26 @@
   #addReadRoutes(): void {
     this.app.get(
       "/v1/values/bundle",
-      (context) => this.#read(context, this.#values.bundle),
+      (context) => this.#handleRead(context, this.#values.bundle),
     );
     this.app.get(
       "/v1/hosts",
-      (context) => this.#read(context, this.#values.hosts),
+      (context) => this.#handleRead(context, this.#values.hosts),
     );
   }
 
   #addControlRoutes(): void {
     this.app.get("/control/reads", (context) => context.json(this.reads));
-    this.app.put("/control/mode", (context) => this.#putMode(context));
+    this.app.put("/control/mode", (context) => this.#handlePutMode(context));
     for (const name of ["bundle", "hosts"] as const) {
       this.app.put(
         `/control/${name}`,
-        (context) => this.#putValue(context, name),
+        (context) => this.#handlePutValue(context, name),
       );
     }
   }
 
-  async #read(
+  async #handleRead(
     context: StandInContext,
     value: PublishedValue,
   ): Promise<Response> {
@@ -113,35 +122,35 @@
         message: "Malformed query",
       });
     }
-    if (value.mode === "down") return this.#hangUp(context);
-    if (!this.#budget.tryAcquire()) {
-      this.#reads.overBudget++;
+    if (value.mode === "down") return this.#failRead(context);
+    if (!this.#rateLimiter.tryAcquire()) {
+      this.#readCounts.overBudget++;
       context.header("retry-after", RETRY_AFTER_SECONDS);
       return createErrorResponse(context, {
         status: 429,
-        message: "Over the budget",
+        message: "Rate limit exceeded",
       });
     }
     const read = await value.read({
       after,
-      waitMs: Math.min(waitMs, LONGEST_WAIT_MS),
+      waitMs: Math.min(waitMs, MAXIMUM_WAIT_MS),
       signal: createCloseSignal(context),
     });
-    if (read.kind === "down") return this.#hangUp(context);
+    if (read.kind === "down") return this.#failRead(context);
     if (read.kind === "nothing-newer") {
-      this.#reads.nothingNewer++;
+      this.#readCounts.nothingNewer++;
       return context.body(null, 304);
     }
-    this.#reads.answered++;
+    this.#readCounts.answered++;
     return context.json(read.published);
   }
 
-  #hangUp(context: StandInContext): Response {
-    this.#reads.down++;
+  #failRead(context: StandInContext): Response {
+    this.#readCounts.down++;
     return closeConnection(context);
   }
 
-  async #putValue(
+  async #handlePutValue(
     context: StandInContext,
     name: PlatformValueName,
   ): Promise<Response> {
@@ -162,13 +171,13 @@
     return context.json({ revision: this.#values[name].set(value) });
   }
 
-  async #putMode(context: StandInContext): Promise<Response> {
+  async #handlePutMode(context: StandInContext): Promise<Response> {
     const modes = Object.entries(await readJsonObject(context) ?? {});
-    const areValid = modes.length > 0 &&
+    const isValid = modes.length > 0 &&
       modes.every(([name, mode]) =>
         name in this.#values && MODES.includes(mode)
       );
-    if (!areValid) {
+    if (!isValid) {
       return createErrorResponse(context, {
         status: 400,
         message: "Malformed modes",
--- a/packages/stand-ins/src/publishedValue.ts
+++ b/packages/stand-ins/src/publishedValue.ts
@@ -4,16 +4,16 @@
   TimerSubscription,
 } from "@wasabivane/common";
 
-/** Whether a value can be read, and whether what is read is the newest. */
+/** Whether a value is served (`up`), unavailable or frozen (`stale`). */
 export type PublicationMode = "up" | "down" | "stale";
 
-/** A value with its revision, as readers get it. */
+/** Value with its revision. */
 export interface PublishedRevision {
   readonly revision: number;
   readonly value: unknown;
 }
 
-/** What became of one read. */
+/** Result of a read. */
 export type PublishedReadResult =
   | { readonly kind: "value"; readonly published: PublishedRevision }
   | { readonly kind: "nothing-newer" }
@@ -22,30 +22,30 @@
 /** Options of a {@link PublishedValue}. */
 export interface PublishedValueOptions {
   timer: Timer;
-  /** Time from a set to the moment when readers see it. */
+  /** Delay before a new value becomes visible to readers. */
   lagMs: Milliseconds;
 }
 
 /** Options of one read. */
 export interface PublishedReadOptions {
-  /** Revision that the reader has. */
+  /** Revision that the reader already has. */
   readonly after: number;
   readonly waitMs: Milliseconds;
-  /** Ends the waiting when the reader is gone. */
+  /** Ends the wait when the reader disconnects. */
   readonly signal?: AbortSignal;
 }
 
-/** A value that readers read and watch. */
+/** Versioned value that is read by long polling. */
 export class PublishedValue {
   readonly #timer: Timer;
   readonly #lagMs: Milliseconds;
-  readonly #wakers = new Set<() => void>();
-  readonly #lagging = new Map<PublishedRevision, TimerSubscription>();
+  readonly #waitingReads = new Set<() => void>();
+  readonly #pending = new Map<PublishedRevision, TimerSubscription>();
   #mode: PublicationMode = "up";
   #revision = 0;
-  /** What readers would see if the mode were up. */
+  /** Revision served in mode `up`. */
   #newest: PublishedRevision | undefined;
-  #shown: PublishedRevision | undefined;
+  #visible: PublishedRevision | undefined;
 
   constructor({ timer, lagMs }: PublishedValueOptions) {
     this.#timer = timer;
@@ -56,7 +56,7 @@
     return this.#mode;
   }
 
-  /** Sets the value; returns its revision. */
+  /** Sets the value and returns its revision. */
   set(value: unknown): number {
     const published = { revision: ++this.#revision, value };
     if (this.#lagMs === 0) this.#publish(published);
@@ -64,48 +64,48 @@
     return published.revision;
   }
 
-  /** Publishes at once what still lags, and leaves no timer behind. */
+  /** Publishes all pending values immediately and cancels their timers. */
   publishPending(): void {
-    for (const [published, subscription] of this.#lagging) {
+    for (const [published, subscription] of this.#pending) {
       subscription.cancel();
       this.#publish(published);
     }
-    this.#lagging.clear();
+    this.#pending.clear();
   }
 
   setMode(mode: PublicationMode): void {
     this.#mode = mode;
-    if (mode === "up") this.#shown = this.#newest;
-    this.#wake();
+    if (mode === "up") this.#visible = this.#newest;
+    this.#checkWaitingReads();
   }
 
-  /** The value past a revision, waiting for it at most `waitMs`. */
+  /** Returns a revision newer than `after`, waiting up to `waitMs` for it. */
   read(
     { after, waitMs, signal }: PublishedReadOptions,
   ): Promise<PublishedReadResult> {
     return new Promise((resolve) => {
-      const giveUp = (): void => finish({ kind: "nothing-newer" });
+      const endWait = (): void => finish({ kind: "nothing-newer" });
       const finish = (read: PublishedReadResult): void => {
-        signal?.removeEventListener("abort", giveUp);
-        this.#wakers.delete(check);
+        signal?.removeEventListener("abort", endWait);
+        this.#waitingReads.delete(check);
         timeout.cancel();
         resolve(read);
       };
       const check = (): void => {
-        const read = this.#readNow(after);
+        const read = this.#readVisible(after);
         if (read.kind !== "nothing-newer") finish(read);
       };
-      const timeout = this.#timer.after(waitMs, giveUp);
-      signal?.addEventListener("abort", giveUp);
-      this.#wakers.add(check);
+      const timeout = this.#timer.after(waitMs, endWait);
+      signal?.addEventListener("abort", endWait);
+      this.#waitingReads.add(check);
       check();
-      if (waitMs === 0 || signal?.aborted) giveUp();
+      if (waitMs === 0 || signal?.aborted) endWait();
     });
   }
 
-  #readNow(after: number): PublishedReadResult {
+  #readVisible(after: number): PublishedReadResult {
     if (this.#mode === "down") return { kind: "down" };
-    const published = this.#shown;
+    const published = this.#visible;
     if (published === undefined || published.revision <= after) {
       return { kind: "nothing-newer" };
     }
@@ -114,20 +114,20 @@
 
   #publishLater(published: PublishedRevision): void {
     const subscription = this.#timer.after(this.#lagMs, () => {
-      this.#lagging.delete(published);
+      this.#pending.delete(published);
       this.#publish(published);
     });
-    this.#lagging.set(published, subscription);
+    this.#pending.set(published, subscription);
   }
 
   #publish(published: PublishedRevision): void {
     this.#newest = published;
     if (this.#mode === "stale") return;
-    this.#shown = published;
-    this.#wake();
+    this.#visible = published;
+    this.#checkWaitingReads();
   }
 
-  #wake(): void {
-    for (const check of [...this.#wakers]) check();
+  #checkWaitingReads(): void {
+    for (const check of [...this.#waitingReads]) check();
   }
 }
--- a/packages/stand-ins/src/readRateLimiter.ts
+++ b/packages/stand-ins/src/readRateLimiter.ts
@@ -1,29 +1,32 @@
 import type { Milliseconds, Timer } from "@wasabivane/common";
 
-const SECOND = 1_000;
+const SECOND_MS = 1_000;
 
-/** Reads that all readers together may make; a second's worth may come at once. */
+/** Token bucket shared by all readers, with a burst of one second's reads. */
 export class ReadRateLimiter {
   readonly #timer: Timer;
   readonly #readsPerSecond: number;
-  #left: number;
+  #availableReads: number;
   #refilledAt: Milliseconds;
 
   constructor(timer: Timer, readsPerSecond: number) {
     this.#timer = timer;
     this.#readsPerSecond = readsPerSecond;
-    this.#left = readsPerSecond;
+    this.#availableReads = readsPerSecond;
     this.#refilledAt = timer.now();
   }
 
-  /** False when the budget is used up. */
+  /** Acquires one read; returns false if the limit is exceeded. */
   tryAcquire(): boolean {
     const now = this.#timer.now();
-    const refill = (now - this.#refilledAt) * this.#readsPerSecond / SECOND;
-    this.#left = Math.min(this.#readsPerSecond, this.#left + refill);
+    const refill = (now - this.#refilledAt) * this.#readsPerSecond / SECOND_MS;
+    this.#availableReads = Math.min(
+      this.#readsPerSecond,
+      this.#availableReads + refill,
+    );
     this.#refilledAt = now;
-    if (this.#left < 1) return false;
-    this.#left--;
+    if (this.#availableReads < 1) return false;
+    this.#availableReads--;
     return true;
   }
 }
--- a/packages/stand-ins/src/responseStream.ts
+++ b/packages/stand-ins/src/responseStream.ts
@@ -7,9 +7,10 @@
   type SentResponse,
 } from "./chatCompletionFormat.ts";
 
-/** How an answer is cut short: its connection breaks, or it ends as if it were whole. */
+/** Fault that breaks the connection or ends the response early but cleanly. */
 export interface ResponseInterruption {
   readonly kind: "break" | "truncate";
+  /** Tokens sent before the fault. */
   readonly afterTokens: number;
 }
 
@@ -17,89 +18,100 @@
 export interface ResponseStreamOptions {
   readonly response: SentResponse;
   readonly outgoing: ServerResponse;
-  /** Tokens that the reader has already. */
+  /** Tokens that the client already has. */
   readonly offset: number;
   readonly interruption?: ResponseInterruption | undefined;
-  /** An answer sent once more after the end mark, as a faulty engine would. */
+  /** Fault: sends this response after the done event. */
   readonly extraResponse?: SentResponse | undefined;
 }
 
-/** Streams an answer as it grows, at the pace that the reader takes it. */
+/** Streams a response while it is generated, respecting backpressure. */
 export function streamResponse(options: ResponseStreamOptions): void {
-  new AnswerStream(options).start();
+  new ResponseStream(options).start();
 }
 
-class AnswerStream {
+class ResponseStream {
   readonly #options: ResponseStreamOptions;
-  readonly #cutAt: number;
+  readonly #interruptAt: number;
   #position: number;
-  #isBlocked = false;
+  #isBackpressured = false;
   #isEnded = false;
-  #stopReading: () => void = () => {};
+  #unsubscribe: () => void = () => {};
 
   constructor(options: ResponseStreamOptions) {
     this.#options = options;
     this.#position = options.offset;
-    this.#cutAt = options.offset +
+    this.#interruptAt = options.offset +
       (options.interruption?.afterTokens ?? Infinity);
   }
 
   start(): void {
-    const { outgoing, response: shown, offset } = this.#options;
-    this.#stopReading = shown.response.subscribe(() => this.#advance());
+    const { outgoing, response, offset } = this.#options;
+    this.#unsubscribe = response.engineResponse.subscribe(() =>
+      this.#sendAvailable()
+    );
     outgoing.on("close", () => this.#end());
     outgoing.on("drain", () => {
-      this.#isBlocked = false;
-      this.#advance();
+      this.#isBackpressured = false;
+      this.#sendAvailable();
     });
     outgoing.writeHead(200, {
       "content-type": "text/event-stream",
       "cache-control": "no-store",
-      "x-request-nonce": shown.nonce,
+      "x-request-nonce": response.nonce,
     });
     outgoing.flushHeaders();
-    if (offset === 0) outgoing.write(createRoleEvent(shown));
-    this.#advance();
+    if (offset === 0) outgoing.write(createRoleEvent(response));
+    this.#sendAvailable();
   }
 
-  #advance(): void {
-    if (this.#isEnded || this.#isBlocked) return;
-    const { outgoing, response: shown } = this.#options;
-    const end = Math.min(shown.response.generatedTokens, this.#cutAt);
+  #sendAvailable(): void {
+    if (this.#isEnded || this.#isBackpressured) return;
+    const { outgoing, response } = this.#options;
+    const end = Math.min(
+      response.engineResponse.generatedTokens,
+      this.#interruptAt,
+    );
     if (end > this.#position) {
-      const events = createTokenEvents(shown, { start: this.#position, end });
+      const events = createTokenEvents(response, {
+        start: this.#position,
+        end,
+      });
       this.#position = end;
-      this.#isBlocked = !outgoing.write(events);
+      this.#isBackpressured = !outgoing.write(events);
     }
-    if (this.#position >= this.#cutAt) this.#cut();
-    else if (!this.#isBlocked) this.#endWithAnswer();
+    if (this.#position >= this.#interruptAt) this.#interrupt();
+    else if (!this.#isBackpressured) this.#endIfDone();
   }
 
-  #endWithAnswer(): void {
-    const { outgoing, response: shown, extraResponse: second } = this.#options;
-    const { state, generatedTokens: generated } = shown.response;
+  #endIfDone(): void {
+    const { outgoing, response, extraResponse } = this.#options;
+    const { state, generatedTokens } = response.engineResponse;
     if (state === "running") return;
     this.#end();
-    // A lost or cancelled answer gets no end mark, so that it cannot pass for a whole one.
+    // Without a done event the client recognizes the response as incomplete.
     if (state !== "finished") return void outgoing.destroy();
-    outgoing.write(createFinishEvent(shown) + DONE_EVENT);
-    if (second !== undefined) {
-      const tokens = createTokenEvents(second, { start: 0, end: generated });
-      outgoing.write(tokens + createFinishEvent(second) + DONE_EVENT);
+    outgoing.write(createFinishEvent(response) + DONE_EVENT);
+    if (extraResponse !== undefined) {
+      const tokens = createTokenEvents(extraResponse, {
+        start: 0,
+        end: generatedTokens,
+      });
+      outgoing.write(tokens + createFinishEvent(extraResponse) + DONE_EVENT);
     }
     outgoing.end();
   }
 
-  #cut(): void {
+  #interrupt(): void {
     this.#end();
-    const { outgoing, interruption: cut } = this.#options;
-    if (cut?.kind === "truncate") outgoing.end();
-    // Destroyed only after what was written has left.
+    const { outgoing, interruption } = this.#options;
+    if (interruption?.kind === "truncate") outgoing.end();
+    // Destroys the connection only after the written data is flushed.
     else outgoing.write("", () => outgoing.destroy());
   }
 
   #end(): void {
     this.#isEnded = true;
-    this.#stopReading();
+    this.#unsubscribe();
   }
 }
--- a/packages/stand-ins/src/runLog.ts
+++ b/packages/stand-ins/src/runLog.ts
@@ -1,10 +1,10 @@
 import type { EngineResponse, ResponseState } from "./engineResponse.ts";
 
-const MAXIMUM_NONCES = 50_000;
+const MAXIMUM_ENTRIES = 50_000;
 
-/** What became of the dispatches with one nonce. */
+/** Runs of the requests with one nonce. */
 export interface LoggedRun {
-  /** More than one is a double dispatch. */
+  /** A value above 1 means a double dispatch. */
   readonly starts: number;
   readonly state: ResponseState;
   readonly promptTokens: number;
@@ -15,18 +15,18 @@
 
 interface Entry {
   starts: number;
-  last: EngineResponse;
+  latest: EngineResponse;
 }
 
-/** Remembers the latest runs by nonce, for the checks of tests. */
+/** Records the latest runs by nonce for assertions in tests. */
 export class RunLog {
   readonly #entries = new Map<string, Entry>();
 
-  recordStart(answer: EngineResponse): void {
-    const { nonce } = answer.request;
+  recordStart(response: EngineResponse): void {
+    const { nonce } = response.request;
     const starts = (this.#entries.get(nonce)?.starts ?? 0) + 1;
-    this.#entries.set(nonce, { starts, last: answer });
-    if (this.#entries.size <= MAXIMUM_NONCES) return;
+    this.#entries.set(nonce, { starts, latest: response });
+    if (this.#entries.size <= MAXIMUM_ENTRIES) return;
     for (const oldest of this.#entries.keys()) {
       this.#entries.delete(oldest);
       return;
@@ -34,17 +34,17 @@
   }
 
   runsByNonce(): Record<string, LoggedRun> {
-    const logged: Record<string, LoggedRun> = {};
-    for (const [nonce, { starts, last }] of this.#entries) {
-      logged[nonce] = {
+    const runs: Record<string, LoggedRun> = {};
+    for (const [nonce, { starts, latest }] of this.#entries) {
+      runs[nonce] = {
         starts,
-        state: last.state,
-        promptTokens: last.request.promptTokens,
-        cachedTokens: last.cachedTokens,
-        generatedTokens: last.generatedTokens,
-        outputTokens: last.outputTokens,
+        state: latest.state,
+        promptTokens: latest.request.promptTokens,
+        cachedTokens: latest.cachedTokens,
+        generatedTokens: latest.generatedTokens,
+        outputTokens: latest.outputTokens,
       };
     }
-    return logged;
+    return runs;
   }
 }
--- a/packages/stand-ins/src/scaledTimer.ts
+++ b/packages/stand-ins/src/scaledTimer.ts
@@ -5,7 +5,7 @@
   type TimerSubscription,
 } from "@wasabivane/common";
 
-/** Time that runs `scale` times as fast as another timer's; the wall clock stays. */
+/** Timer `scale` times as fast as another; the wall clock is not scaled. */
 export class ScaledTimer extends Timer {
   readonly #base: Timer;
   readonly #scale: number;
--- a/packages/stand-ins/src/settings.ts
+++ b/packages/stand-ins/src/settings.ts
@@ -18,17 +18,17 @@
 const engineSchema = z.strictObject({
   kind: z.literal("engine"),
   name,
-  /** Zero takes any free port. */
+  /** 0 selects a free port. */
   port,
   generation: z.enum(generations).default("g2"),
   fencing: z.enum(["checked", "ignored"]).default("ignored"),
-  /** How many times as fast as real time the engine works. */
+  /** Factor by which the engine runs faster than real time. */
   timeScale: z.number().positive().max(1_000).default(1),
   reportLagMs: milliseconds.optional(),
   cacheEventLagMs: milliseconds.optional(),
   cacheEventLossRate: z.number().min(0).max(1).optional(),
   resumeWindowMs: milliseconds.optional(),
-  /** Without it a crashed engine stays down until it is told to restart. */
+  /** By default a crashed engine stays down until a restart is requested. */
   restartAfterMs: milliseconds.optional(),
 });
 
@@ -47,7 +47,7 @@
   hostListLagMs: milliseconds.default(0),
 });
 
-/** Settings of `wasabivane-stand-ins`. */
+/** Schema of the settings file of `wasabivane-stand-ins`. */
 export const standInSettingsSchema = z.strictObject({
   hostname: z.string().min(1).default("127.0.0.1"),
   standIns: z.array(
@@ -55,7 +55,7 @@
   ).min(1).max(256),
 });
 
-/** Checked settings of `wasabivane-stand-ins`. */
+/** Validated settings of `wasabivane-stand-ins`. */
 export type StandInSettings = z.infer<typeof standInSettingsSchema>;
-/** One stand-in of the settings. */
+/** Settings of one stand-in. */
 export type StandInSetting = StandInSettings["standIns"][number];
--- a/packages/stand-ins/src/startStandIns.ts
+++ b/packages/stand-ins/src/startStandIns.ts
@@ -5,7 +5,7 @@
 import { PlatformStandIn } from "./platformStandIn.ts";
 import type { StandInSetting, StandInSettings } from "./settings.ts";
 
-/** A stand-in that answers at a url. */
+/** Running stand-in and its URL. */
 export interface StartedStandIn {
   readonly name: string;
   readonly kind: StandInSetting["kind"];
@@ -13,14 +13,14 @@
   readonly standIn: HttpStandIn;
 }
 
-/** Why the stand-ins did not start; none is left running. */
+/** Reason why a stand-in did not start. */
 export interface StandInStartError {
   readonly kind: "cannot-listen";
   readonly name: string;
   readonly detail: string;
 }
 
-/** Starts all stand-ins of the settings, in their order. */
+/** Starts all stand-ins in order; stops them again if one fails to start. */
 export async function startStandIns(
   { hostname, standIns }: StandInSettings,
 ): Promise<Result<StartedStandIn[], StandInStartError>> {
--- a/packages/stand-ins/tests/deployment.test.ts
+++ b/packages/stand-ins/tests/deployment.test.ts
@@ -3,7 +3,7 @@
 import { startDeployment } from "@wasabivane/stand-ins";
 import { sendChat } from "./helpers/chatClient.ts";
 
-test("a deployment has an engine for each replica, of three speeds", async (t) => {
+test("a deployment starts a working stand-in for each upstream", async (t) => {
   const running = await startDeployment({
     deployment: "cairo",
     timeScale: 100,
@@ -14,11 +14,11 @@
   t.true("press-advisor-13" in running.urls);
   t.true("field-desk-3" in running.urls);
   const prompt = `Diagnose ${tokenCountMarker(20)}`;
-  const answers = await Promise.all(
+  const responses = await Promise.all(
     [...running.engines.keys()].map((upstream) =>
       sendChat(running.urls[upstream]!, { prompt })
     ),
   );
-  const whole = expectedResponse(prompt, 20);
-  t.true(answers.every(({ text, isDone }) => isDone && text === whole));
+  const expected = expectedResponse(prompt, 20);
+  t.true(responses.every(({ text, isDone }) => isDone && text === expected));
 });
--- a/packages/stand-ins/tests/engineStandIn.test.ts
+++ b/packages/stand-ins/tests/engineStandIn.test.ts
@@ -37,34 +37,32 @@
   return { engine, url };
 }
 
-test("a streamed answer is whole, carries its nonce and its usage", async (t) => {
+test("a streamed response is complete and carries its nonce and usage", async (t) => {
   const { url } = await startEngine(t);
   const prompt = `Draft the holidays ${tokenCountMarker(40)}`;
-  const answer = await sendChat(url, { nonce: "abc", prompt });
-  t.is(answer.nonceHeader, "abc");
-  t.deepEqual([...answer.ids], ["chatcmpl-abc"]);
-  t.is(answer.text, expectedResponse(prompt, 40));
-  t.is(answer.tokens, 40);
-  t.true(answer.isDone);
-  t.like(answer.usage, { completion_tokens: 40 });
+  const response = await sendChat(url, { nonce: "abc", prompt });
+  t.is(response.nonceHeader, "abc");
+  t.deepEqual([...response.ids], ["chatcmpl-abc"]);
+  t.is(response.text, expectedResponse(prompt, 40));
+  t.is(response.tokens, 40);
+  t.true(response.isDone);
+  t.like(response.usage, { completion_tokens: 40 });
 });
 
-test("an answer in one piece has the same text, up to the caller's maximum", async (t) => {
+test("a non-streamed response has the same text, up to the token limit", async (t) => {
   const { url } = await startEngine(t);
   const prompt = `Draft ${tokenCountMarker(40)}`;
-  const answer = await sendChat(url, {
+  const response = await sendChat(url, {
     prompt,
     stream: false,
     maximumTokens: 15,
   });
-  t.is(answer.text, expectedResponse(prompt, 15));
-  t.deepEqual([...answer.ids], ["chatcmpl-n1"]);
+  t.is(response.text, expectedResponse(prompt, 15));
+  t.deepEqual([...response.ids], ["chatcmpl-n1"]);
 });
 
-// The caller's stream breaks after at most five tokens (those in flight may be
-// lost); the engine goes on with the request, and a resume must give exactly
-// the tokens that were not read.
-test("a resume gives exactly the rest of a broken stream", async (t) => {
+// Guards against lost or repeated tokens after a broken stream.
+test("resuming a broken stream returns exactly the missing tokens", async (t) => {
   const { engine, url } = await startEngine(t);
   const prompt = `Draft ${tokenCountMarker(30)}`;
   engine.control("break-streams", { count: 1, afterTokens: 5 });
@@ -72,14 +70,14 @@
   t.true(broken.isBroken);
   t.true(broken.tokens <= 5);
   t.is(broken.text, expectedResponse(prompt, broken.tokens));
-  const rest = await resumeChat(url, { offset: broken.tokens });
-  t.is(broken.text + rest.text, expectedResponse(prompt, 30));
-  t.is(rest.tokens, 30 - broken.tokens);
-  t.true(rest.isDone);
+  const resumed = await resumeChat(url, { offset: broken.tokens });
+  t.is(broken.text + resumed.text, expectedResponse(prompt, 30));
+  t.is(resumed.tokens, 30 - broken.tokens);
+  t.true(resumed.isDone);
   t.is(engine.state.runs["n1"]?.starts, 1);
 });
 
-test("a request that nothing reads is cancelled after the resume window", async (t) => {
+test("a request without a client is cancelled after the resume window", async (t) => {
   const { engine, url } = await startEngine(t, { resumeWindowMs: 20 });
   engine.control("break-streams", { count: 1 });
   await sendChat(url, { prompt: tokenCountMarker(1_000_000) });
@@ -89,24 +87,23 @@
   t.is((await resumeChat(url, { offset: 0 })).status, 404);
 });
 
-test("a cancelled request ends its stream without an end mark", async (t) => {
+test("the stream of a cancelled request ends without a done event", async (t) => {
   const { url } = await startEngine(t);
-  const answer = sendChat(url, { prompt: tokenCountMarker(1_000_000) });
+  const response = sendChat(url, { prompt: tokenCountMarker(1_000_000) });
   let status = 404;
   while (status === 404) {
-    const { status: answered } = await fetch(`${url}/v1/requests/n1`, {
+    const { status: responseStatus } = await fetch(`${url}/v1/requests/n1`, {
       method: "DELETE",
     });
-    status = answered;
+    status = responseStatus;
   }
   t.is(status, 204);
-  t.false((await answer).isDone);
-  t.true((await answer).isBroken);
+  t.false((await response).isDone);
+  t.true((await response).isBroken);
 });
 
-// A faulty engine ends a stream as if it were whole, names another request or
-// answers twice. Each must be visible to the reader who knows the protocol.
-test("faults of answers show in the stream", async (t) => {
+// Each fault must be detectable from the response alone.
+test("injected response faults are visible to the client", async (t) => {
   const { engine, url } = await startEngine(t);
   const prompt = tokenCountMarker(10);
   engine.control("truncate", { afterTokens: 3 });
@@ -123,9 +120,9 @@
   t.like(refused, { status: 503, nonceHeader: "n4" });
 });
 
-// The engine answers a call in one piece twice. The second answer waits on the
-// kept connection, where the next call would read it as its own.
-test("a second whole answer follows on the same connection", async (t) => {
+// Simulates an engine whose extra response would be read by the next request on
+// the same connection.
+test("an extra non-streamed response follows on the same connection", async (t) => {
   const { engine, url } = await startEngine(t);
   engine.control("second-answer");
   const { hostname, port } = new URL(url);
@@ -144,11 +141,9 @@
   t.is(received.split("x-request-nonce:").length, 3);
 });
 
-// One prompt kills each engine that runs it: its own caller and the one beside
-// it lose their connections, and the engine is gone until it is restarted.
-test("a poison prompt crashes the engine with all that runs there", async (t) => {
+test("a poison prompt crashes the engine and fails all its requests", async (t) => {
   const { engine, url } = await startEngine(t);
-  const beside = sendChat(url, {
+  const concurrent = sendChat(url, {
     nonce: "a",
     prompt: tokenCountMarker(1_000_000),
   });
@@ -157,7 +152,7 @@
   }
   const poison = await sendChat(url, { nonce: "b", prompt: "[[poison]]" });
   t.true(poison.isBroken);
-  t.true((await beside).isBroken);
+  t.true((await concurrent).isBroken);
   await t.throwsAsync(fetch(`${url}/v1/load`));
   const state = await getJson<EngineStandInState>(`${url}/control/state`);
   t.false(state.isUp);
@@ -166,20 +161,20 @@
   t.true((await sendChat(url, { nonce: "c", prompt: "Again" })).isDone);
 });
 
-test("a paused engine answers nothing until it goes on", async (t) => {
+test("a paused engine responds only after it resumes", async (t) => {
   const { url } = await startEngine(t);
   await postJson(`${url}/control/pause`);
-  let isAnswered = false;
-  const answer = sendChat(url, { prompt: "Draft" }).finally(() =>
-    isAnswered = true
+  let hasResponded = false;
+  const response = sendChat(url, { prompt: "Draft" }).finally(() =>
+    hasResponded = true
   );
   await getJson(`${url}/control/state`);
-  t.false(isAnswered);
+  t.false(hasResponded);
   await postJson(`${url}/control/resume`);
-  t.true((await answer).isDone);
+  t.true((await response).isDone);
 });
 
-test("cache blocks travel by digest and save the other engine's prefill", async (t) => {
+test("imported cache blocks save prefill on another engine", async (t) => {
   const [source, target] = [await startEngine(t), await startEngine(t)];
   const prompt = "x".repeat(1_100);
   await sendChat(source.url, { prompt, salt: "firm" });
@@ -193,13 +188,13 @@
   });
   t.is(refused.status, 400);
   await postJson(`${target.url}/v1/kv/import`, { blocks });
-  const answer = await sendChat(target.url, { prompt, salt: "firm" });
-  t.like(answer.usage, { prompt_tokens_details: { cached_tokens: 256 } });
+  const response = await sendChat(target.url, { prompt, salt: "firm" });
+  t.like(response.usage, { prompt_tokens_details: { cached_tokens: 256 } });
   const rival = await sendChat(target.url, { prompt, salt: "rival" });
   t.like(rival.usage, { prompt_tokens_details: { cached_tokens: 0 } });
 });
 
-test("only an engine that checks fencing refuses an old order", async (t) => {
+test("only an engine that checks fencing rejects an outdated order", async (t) => {
   const checking = await startEngine(t, { fencing: "checked" });
   const ignoring = await startEngine(t);
   const statuses = [];
@@ -214,7 +209,7 @@
   t.deepEqual(statuses, [409, 200]);
 });
 
-test("malformed calls are refused", async (t) => {
+test("malformed requests are rejected", async (t) => {
   const { url } = await startEngine(t);
   const chat = `${url}/v1/chat/completions`;
   t.is((await fetch(chat, { method: "POST", body: "{" })).status, 400);
--- a/packages/stand-ins/tests/helpers/chatClient.ts
+++ b/packages/stand-ins/tests/helpers/chatClient.ts
@@ -1,4 +1,4 @@
-/** What a client got from one chat completions call or resume. */
+/** Response to a chat completions or resume request, as received. */
 export interface ChatResponse {
   status: number;
   nonceHeader: string | null;
@@ -6,11 +6,13 @@
   text: string;
   tokens: number;
   usage: Record<string, unknown> | undefined;
+  /** Whether the done event was received. */
   isDone: boolean;
-  /** Whether the connection broke before its end. */
+  /** Whether the connection closed before the response ended. */
   isBroken: boolean;
 }
 
+/** Options of {@link sendChat}. */
 export interface ChatRequestOptions {
   nonce?: string;
   prompt: string;
@@ -19,6 +21,7 @@
   maximumTokens?: number;
 }
 
+/** Sends a chat completions request and reads the response. */
 export function sendChat(
   url: string,
   { nonce = "n1", prompt, stream = true, salt, maximumTokens }:
@@ -34,6 +37,7 @@
   return send(`${url}/v1/chat/completions`, { nonce, body });
 }
 
+/** Resumes a streamed response at a token offset. */
 export function resumeChat(
   url: string,
   { nonce = "n1", offset }: { nonce?: string; offset: number },
@@ -44,6 +48,7 @@
   });
 }
 
+/** Sends a POST request with a JSON body. */
 export function postJson(
   url: string,
   body: Record<string, unknown> = {},
@@ -51,6 +56,7 @@
   return fetch(url, { method: "POST", body: JSON.stringify(body) });
 }
 
+/** Fetches and parses a JSON document. */
 export async function getJson<Value>(url: string): Promise<Value> {
   return await (await fetch(url)).json() as Value;
 }
@@ -84,13 +90,13 @@
     received.isBroken = true;
   }
   for (const line of raw.split("\n")) {
-    if (line.startsWith("data: ")) takeEvent(received, line.slice(6));
+    if (line.startsWith("data: ")) applyEvent(received, line.slice(6));
   }
-  if (!raw.startsWith("data:")) takeWhole(received, raw);
+  if (!raw.startsWith("data:")) applyBody(received, raw);
   return received;
 }
 
-function takeEvent(received: ChatResponse, data: string): void {
+function applyEvent(received: ChatResponse, data: string): void {
   if (data === "[DONE]") {
     received.isDone = true;
     return;
@@ -103,13 +109,13 @@
   received.usage ??= chunk.usage;
 }
 
-function takeWhole(received: ChatResponse, raw: string): void {
+function applyBody(received: ChatResponse, raw: string): void {
   try {
-    const answer = JSON.parse(raw);
-    received.ids.add(answer.id);
-    received.text = answer.choices[0].message.content;
-    received.usage = answer.usage;
+    const completion = JSON.parse(raw);
+    received.ids.add(completion.id);
+    received.text = completion.choices[0].message.content;
+    received.usage = completion.usage;
   } catch {
-    // Cut bodies leave the text empty.
+    // Truncated bodies leave the text empty.
   }
 }
--- a/packages/stand-ins/tests/plainStandIn.test.ts
+++ b/packages/stand-ins/tests/plainStandIn.test.ts
@@ -10,7 +10,10 @@
   return { plain, url };
 }
 
-function save(url: string, headers: Record<string, string>): Promise<Response> {
+function putDraft(
+  url: string,
+  headers: Record<string, string>,
+): Promise<Response> {
   return fetch(`${url}/casefile/intake?draft=1`, {
     method: "PUT",
     headers,
@@ -18,19 +21,19 @@
   });
 }
 
-test("a call is echoed with its nonce and counted by key", async (t) => {
+test("a request is echoed with its nonce and counted by key", async (t) => {
   const { plain, url } = await startPlain(t);
-  const answer = await save(url, {
+  const response = await putDraft(url, {
     "x-request-nonce": "n1",
     "idempotency-key": "k1",
   });
-  t.is(answer.headers.get("x-request-nonce"), "n1");
-  t.deepEqual(await answer.json(), {
+  t.is(response.headers.get("x-request-nonce"), "n1");
+  t.deepEqual(await response.json(), {
     method: "PUT",
     path: "/casefile/intake?draft=1",
     body: "holidays",
   });
-  await save(url, { "x-request-nonce": "n2", "idempotency-key": "k1" });
+  await putDraft(url, { "x-request-nonce": "n2", "idempotency-key": "k1" });
   t.deepEqual(plain.runs, {
     total: 2,
     byKey: { k1: 2 },
@@ -38,24 +41,22 @@
   });
 });
 
-// The service saves, then the connection breaks: the caller cannot know whether
-// it ran. A refusal, in contrast, must leave no run behind.
-test("a reset after the run counts, a refusal does not", async (t) => {
+// Guards against runs that are missed or counted twice for failed requests.
+test("a reset after the run counts as a run, a refusal does not", async (t) => {
   const { plain, url } = await startPlain(t);
   plain.control("reset-after-run");
-  await t.throwsAsync(save(url, { "idempotency-key": "k1" }));
+  await t.throwsAsync(putDraft(url, { "idempotency-key": "k1" }));
   t.is(plain.runs.byKey["k1"], 1);
   plain.control("refuse");
-  t.is((await save(url, { "idempotency-key": "k2" })).status, 503);
+  t.is((await putDraft(url, { "idempotency-key": "k2" })).status, 503);
   t.is(plain.runs.byKey["k2"], undefined);
   plain.control("wrong-nonce");
-  const wrong = await save(url, { "x-request-nonce": "n1" });
+  const wrong = await putDraft(url, { "x-request-nonce": "n1" });
   t.not(wrong.headers.get("x-request-nonce"), "n1");
 });
 
-// An entry reads the load of the services whose pool it keeps. When that was
-// counted as a run, every count of runs that took over a second was too high.
-test("a load report is no run", async (t) => {
+// Guards against run counts inflated by load polling.
+test("load reports do not count as runs", async (t) => {
   const service = new PlainStandIn();
   const { url } = await service.start();
   t.teardown(() => service.stop());
--- a/packages/stand-ins/tests/platformStandIn.test.ts
+++ b/packages/stand-ins/tests/platformStandIn.test.ts
@@ -20,21 +20,21 @@
   return fetch(url, { method: "PUT", body: JSON.stringify(value) });
 }
 
-test("a waiting watch wakes with the new value", async (t) => {
+test("a long poll returns when a new value is published", async (t) => {
   const { url } = await startPlatform(t);
   await put(`${url}/control/bundle`, { version: 1 });
   const first = await fetch(`${url}/v1/values/bundle?after=0`);
   t.deepEqual(await first.json(), { revision: 1, value: { version: 1 } });
-  const watch = fetch(`${url}/v1/values/bundle?after=1&waitMs=30000`);
+  const longPoll = fetch(`${url}/v1/values/bundle?after=1&waitMs=30000`);
   await put(`${url}/control/bundle`, { version: 2 });
-  t.deepEqual(await (await watch).json(), {
+  t.deepEqual(await (await longPoll).json(), {
     revision: 2,
     value: { version: 2 },
   });
   t.is((await fetch(`${url}/v1/values/bundle?after=2`)).status, 304);
 });
 
-test("all readers share one budget, which refills with time", async (t) => {
+test("all readers share one rate limit, which refills over time", async (t) => {
   const { platform, url, timer } = await startPlatform(t, {
     readsPerSecond: 3,
   });
@@ -51,7 +51,7 @@
   t.like(platform.reads, { nothingNewer: 4, overBudget: 3 });
 });
 
-test("the host list lags, the bundle does not", async (t) => {
+test("only the host list is published with a lag", async (t) => {
   const { platform, url, timer } = await startPlatform(t, {
     hostListLagMs: 3_000,
   });
@@ -62,17 +62,16 @@
   t.is((await fetch(`${url}/v1/hosts`)).status, 200);
 });
 
-// The service stays reachable but answers with old data for a long time; when
-// it is well again, readers must see the newest value.
-test("a stale value stands still and a down one breaks off its watches", async (t) => {
+// Guards against readers that miss updates published during an outage.
+test("a stale value is frozen and an unavailable one aborts long polls", async (t) => {
   const { platform, url } = await startPlatform(t);
   await put(`${url}/control/bundle`, { version: 1 });
   await put(`${url}/control/mode`, { bundle: "stale" });
   await put(`${url}/control/bundle`, { version: 2 });
   const stale = await fetch(`${url}/v1/values/bundle`);
   t.like(await stale.json(), { revision: 1 });
-  const watch = fetch(`${url}/v1/values/bundle?after=1&waitMs=30000`);
-  const broken = t.throwsAsync(watch);
+  const longPoll = fetch(`${url}/v1/values/bundle?after=1&waitMs=30000`);
+  const broken = t.throwsAsync(longPoll);
   await fetch(`${url}/v1/hosts`);
   platform.setMode("bundle", "down");
   await broken;
--- a/packages/stand-ins/tests/settings.test.ts
+++ b/packages/stand-ins/tests/settings.test.ts
@@ -7,10 +7,13 @@
   new URL("../examples/stand-ins.jsonc", import.meta.url),
 );
 
-test("the example settings are valid, and its stand-ins start", async (t) => {
+test("the example settings are valid and their stand-ins start", async (t) => {
   const settings = readDocument(EXAMPLE, standInSettingsSchema)
     ._unsafeUnwrap();
-  const onFreePorts = settings.standIns.map((one) => ({ ...one, port: 0 }));
+  const onFreePorts = settings.standIns.map((standIn) => ({
+    ...standIn,
+    port: 0,
+  }));
   const started = await startStandIns({ ...settings, standIns: onFreePorts });
   const standIns = started._unsafeUnwrap();
   t.teardown(() => Promise.all(standIns.map(({ standIn }) => standIn.stop())));
@@ -18,15 +21,15 @@
     standIns.map(({ name }) => name),
     ["drafter-01", "drafter-02", "casefile-1", "platform"],
   );
-  const taken = Number(new URL(standIns[0]!.url).port);
-  const again = await startStandIns({
+  const usedPort = Number(new URL(standIns[0]!.url).port);
+  const conflicting = await startStandIns({
     ...settings,
-    standIns: [{ ...onFreePorts[0]!, port: taken }],
+    standIns: [{ ...onFreePorts[0]!, port: usedPort }],
   });
-  t.is(again._unsafeUnwrapErr().name, "drafter-01");
+  t.is(conflicting._unsafeUnwrapErr().name, "drafter-01");
 });
 
-test("a typo in the settings names its line, its path and what is allowed", (t) => {
+test("an unknown key is reported with its line, path and the allowed keys", (t) => {
   const text = `{
     "standIns": [
       { "kind": "plain", "name": "casefile-1", "port": 0, "runsMs": 5 }
