--- a/apps/bundle/tests/settingsReference.test.ts
+++ b/apps/bundle/tests/settingsReference.test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import {
-  settingsReference,
-  writtenReference,
+  readSettingsReference,
+  renderSettingsReference,
 } from "../../../scripts/settingsReference.ts";
 
 /** Removes the padding that the formatter adds to table cells. */
@@ -11,14 +11,14 @@
 
 test("the settings reference in the operators' guide matches the schemas", (t) => {
   t.is(
-    withoutPadding(writtenReference()),
-    withoutPadding(settingsReference()),
+    withoutPadding(readSettingsReference()),
+    withoutPadding(renderSettingsReference()),
     "Run `npx tsx --conditions=source scripts/settingsReference.ts && npx deno fmt`",
   );
 });
 
 test("every setting in the reference has a description", (t) => {
-  const rows = settingsReference().split("\n").filter((line) =>
+  const rows = renderSettingsReference().split("\n").filter((line) =>
     line.startsWith("| `")
   );
   t.deepEqual(rows.filter((line) => /\|\s+\|$/.test(line)), []);
--- a/examples/accountLimits.ts
+++ b/examples/accountLimits.ts
@@ -1,5 +1,5 @@
 import { AccountLimits, type AccountPolicy } from "@wasabivane/decisions";
-import { exampleAsk } from "./exampleAsk.ts";
+import { buildPlacementRequest } from "./buildPlacementRequest.ts";
 
 const policy = {
   account: "account-1",
@@ -9,7 +9,7 @@
   waitingRequests: 8,
 } as unknown as AccountPolicy;
 const limits = new AccountLimits([policy]);
-limits.charge(exampleAsk("first", { tier: 1 }), 600);
+limits.charge(buildPlacementRequest("first", { tier: 1 }), 600);
 
 /** The second request within a second is told when to come back. */
-export const result = limits.check(exampleAsk("second", { tier: 1 }), 250);
+export const result = limits.check(buildPlacementRequest("second", { tier: 1 }), 250);
--- a/examples/exampleAsk.ts
+++ b/examples/buildPlacementRequest.ts
@@ -1,7 +1,7 @@
 import type { PlacementRequest } from "@wasabivane/decisions";
 
 /** A request with customary values. */
-export function exampleAsk(request: string, { tier }: { tier: number }): PlacementRequest {
+export function buildPlacementRequest(request: string, { tier }: { tier: number }): PlacementRequest {
   return {
     request,
     origin: "host-1",
--- a/examples/router.ts
+++ b/examples/routeEstimate.ts
@@ -1,5 +1,5 @@
 import { estimateRoute, type RouteCandidate } from "@wasabivane/decisions";
-import { exampleAsk } from "./exampleAsk.ts";
+import { buildPlacementRequest } from "./buildPlacementRequest.ts";
 
 const candidate = {
   description: {
@@ -18,7 +18,7 @@
 
 /** 40 ms of prompt and 100 output tokens of 10 ms. */
 export const result = estimateRoute(candidate, {
-  placementRequest: exampleAsk("draft", { tier: 1 }),
+  placementRequest: buildPlacementRequest("draft", { tier: 1 }),
   meanOutputTokens: 100,
   probabilityWithin: (tokens) => Math.min(1, tokens / 500),
   domainDistanceMs: 1,
--- a/examples/waitQueue.ts
+++ b/examples/waitQueue.ts
@@ -1,5 +1,5 @@
 import { WaitQueue } from "@wasabivane/decisions";
-import { exampleAsk } from "./exampleAsk.ts";
+import { buildPlacementRequest } from "./buildPlacementRequest.ts";
 
 const queue = new WaitQueue({ maximumTokens: 10_000, maximumBytes: 1_000_000 });
 const details = {
@@ -9,8 +9,8 @@
   costMs: 90,
   latestStart: 5_000,
 };
-queue.push(exampleAsk("overnight review", { tier: 4 }), details);
-queue.push(exampleAsk("live draft", { tier: 1 }), details);
+queue.push(buildPlacementRequest("overnight review", { tier: 4 }), details);
+queue.push(buildPlacementRequest("live draft", { tier: 1 }), details);
 
 /** The more urgent request leaves first. */
 export const result = queue.take(() => "start")?.placementRequest.request;
--- a/packages/decisions/tests/examples.test.ts
+++ b/packages/decisions/tests/examples.test.ts
@@ -1,13 +1,13 @@
 import test from "ava";
 import { result as limit } from "../../../examples/accountLimits.ts";
-import { result as holders } from "../../../examples/cacheMap.ts";
-import { result as ejected } from "../../../examples/ejection.ts";
-import { result as length } from "../../../examples/lengthEstimate.ts";
-import { result as paceLimit } from "../../../examples/paceLadder.ts";
-import { result as routeMs } from "../../../examples/router.ts";
-import { result as decodeMs } from "../../../examples/speedEstimate.ts";
-import { result as statuses } from "../../../examples/suspects.ts";
-import { result as concurrencyLimit } from "../../../examples/upstreamBound.ts";
+import { result as holders } from "../../../examples/prefixCacheIndex.ts";
+import { result as ejected } from "../../../examples/outlierDetector.ts";
+import { result as length } from "../../../examples/outputLengthEstimator.ts";
+import { result as paceLimit } from "../../../examples/paceAllocator.ts";
+import { result as routeMs } from "../../../examples/routeEstimate.ts";
+import { result as decodeMs } from "../../../examples/speedEstimator.ts";
+import { result as statuses } from "../../../examples/poisonRequestDetector.ts";
+import { result as concurrencyLimit } from "../../../examples/adaptiveConcurrencyLimit.ts";
 import { result as first } from "../../../examples/waitQueue.ts";
 
 test("each example gives its documented result", (t) => {
--- a/scripts/capacityRows.ts
+++ b/scripts/capacityRows.ts
@@ -8,7 +8,7 @@
 } from "@wasabivane/proof";
 
 /** Cells of one row. */
-export type Row = readonly string[];
+export type TableRow = readonly string[];
 
 const MICROSECONDS = 1_000;
 const MEBIBYTE = 1024 * 1024;
@@ -28,7 +28,7 @@
 }
 
 /** What control costs each host, part by part. */
-export function controlRows(slopes: readonly Slope[]): Row[] {
+export function controlCostRows(slopes: readonly Slope[]): TableRow[] {
   const slope = figuresOf(slopes);
   const at = (name: string): number => slope(name).atTarget;
   const changes = CHANGES_PER_SECOND;
@@ -75,11 +75,11 @@
   return { name, bytes, processorMs };
 }
 
-function partRow({ name, bytes, processorMs }: Part): Row {
+function partRow({ name, bytes, processorMs }: Part): TableRow {
   return [name, whole(bytes), processorMs.toFixed(1), ""];
 }
 
-function sumRow(name: string, parts: readonly Part[]): Row {
+function sumRow(name: string, parts: readonly Part[]): TableRow {
   const bytes = sum(parts.map((item) => item.bytes));
   const processorMs = sum(parts.map((item) => item.processorMs));
   const holds = bytes <= TARGET.controlBytesPerSecond &&
@@ -88,7 +88,7 @@
 }
 
 /** One row for each number of the target. */
-export function capacityRows(slopes: readonly Slope[]): Row[] {
+export function capacityRows(slopes: readonly Slope[]): TableRow[] {
   const slope = figuresOf(slopes);
   const at = (name: string): number => slope(name).atTarget;
   const bytes = sum(
--- a/scripts/capacityTables.ts
+++ b/scripts/capacityTables.ts
@@ -7,7 +7,11 @@
 import process from "node:process";
 import { fileURLToPath } from "node:url";
 import type { Slope } from "@wasabivane/proof";
-import { capacityRows, controlRows, type Row } from "./capacityRows.ts";
+import {
+  capacityRows,
+  controlCostRows,
+  type TableRow,
+} from "./capacityRows.ts";
 
 const PAGE = fileURLToPath(new URL("../docs/CAPACITY.md", import.meta.url));
 const SLOPES_FILE = fileURLToPath(
@@ -16,21 +20,24 @@
 const SHOWN_DIGITS = 4;
 
 /** The slopes of the last run that was written down. */
-export function writtenSlopes(): Slope[] {
+export function readSlopes(): Slope[] {
   const text = readFileSync(SLOPES_FILE, "utf8");
   return (JSON.parse(text) as { slopes: Slope[] }).slopes;
 }
 
 /** The page as it stands. */
-export function writtenPage(): string {
+export function readCapacityPage(): string {
   return readFileSync(PAGE, "utf8");
 }
 
 /** The page with its tables made anew. */
-export function capacityPage(page: string, slopes: readonly Slope[]): string {
-  const tables: Record<string, Row[]> = {
+export function renderCapacityPage(
+  page: string,
+  slopes: readonly Slope[],
+): string {
+  const tables: Record<string, TableRow[]> = {
     slopes: slopeRows(slopes),
-    control: controlRows(slopes),
+    control: controlCostRows(slopes),
     target: capacityRows(slopes),
   };
   return Object.entries(tables).reduce(
@@ -39,7 +46,7 @@
   );
 }
 
-function slopeRows(slopes: readonly Slope[]): Row[] {
+function slopeRows(slopes: readonly Slope[]): TableRow[] {
   const head = [
     "slope",
     "unit",
@@ -55,26 +62,28 @@
   return [head, ...slopes.map(slopeRow)];
 }
 
-function slopeRow(slope: Slope): Row {
+function slopeRow(slope: Slope): TableRow {
   const { fit, points } = slope;
   const [first, last] = [points[0]!, points.at(-1)!];
-  const line = `${shown(fit.intercept)} + ${shown(fit.slope)} x`;
+  const line = `${formatFigure(fit.intercept)} + ${formatFigure(fit.slope)} x`;
   return [
     `\`${slope.name}\``,
     slope.unit,
     slope.per,
-    `${points.length} from ${shown(first[0])} to ${shown(last[0])}`,
+    `${points.length} from ${formatFigure(first[0])} to ${
+      formatFigure(last[0])
+    }`,
     fit.fromX === 0 ? line : `${line}, x ≥ ${fit.fromX}`,
     slope.r2.toFixed(3),
     `${(fit.residual * 100).toFixed(1)} %`,
-    `${shown(slope.atTarget)} at x = ${shown(slope.targetX)}`,
-    slope.budget === null ? "" : shown(slope.budget),
+    `${formatFigure(slope.atTarget)} at x = ${formatFigure(slope.targetX)}`,
+    slope.budget === null ? "" : formatFigure(slope.budget),
     slope.holds === null ? "" : slope.holds ? "yes" : "**no**",
   ];
 }
 
 /** A figure with as many digits as it is worth. */
-export function shown(value: number): string {
+export function formatFigure(value: number): string {
   if (Math.abs(value) >= 10 ** SHOWN_DIGITS) {
     return Math.round(value).toLocaleString("en-US");
   }
@@ -94,12 +103,12 @@
   }`;
 }
 
-function tableOf([head, ...rows]: readonly Row[]): string {
+function tableOf([head, ...rows]: readonly TableRow[]): string {
   const ruler = head!.map(() => "---");
   return [head!, ruler, ...rows].map((cells) => `| ${cells.join(" | ")} |`)
     .join("\n");
 }
 
 if (process.argv[1] === fileURLToPath(import.meta.url)) {
-  writeFileSync(PAGE, capacityPage(writtenPage(), writtenSlopes()));
+  writeFileSync(PAGE, renderCapacityPage(readCapacityPage(), readSlopes()));
 }
--- a/scripts/settingsMeanings.ts
+++ b/scripts/settingMeanings.ts
@@ -1,5 +1,5 @@
 /** What each setting means, by its path; the schemas say the rest. */
-export const MEANINGS: Readonly<Record<string, string>> = {
+export const SETTING_MEANINGS: Readonly<Record<string, string>> = {
   host: "Name under which the host list knows this host",
   failureDomain: "Failure domain that this host stands in",
   "callers.address": "Address of the port for callers",
--- a/scripts/settingsReference.ts
+++ b/scripts/settingsReference.ts
@@ -12,7 +12,7 @@
   type SettingDescription,
 } from "@wasabivane/bundle";
 import { settingsSchema } from "../apps/entry/src/settings.ts";
-import { MEANINGS } from "./settingsMeanings.ts";
+import { SETTING_MEANINGS } from "./settingMeanings.ts";
 
 const BEGIN = "<!-- settings reference: begin -->";
 const END = "<!-- settings reference: end -->";
@@ -25,14 +25,14 @@
 ];
 
 /** The reference as Markdown. */
-export function settingsReference(): string {
+export function renderSettingsReference(): string {
   return SECTIONS.map(({ title, schema }) =>
     `### ${title}\n\n${tableOf(describeSettings(schema))}`
   ).join("\n\n");
 }
 
 /** The reference that the operators' guide holds now. */
-export function writtenReference(): string {
+export function readSettingsReference(): string {
   const guide = readFileSync(GUIDE, "utf8");
   const start = guide.indexOf(BEGIN) + BEGIN.length;
   return guide.slice(start, guide.indexOf(END)).trim();
@@ -43,7 +43,7 @@
   const guide = readFileSync(GUIDE, "utf8");
   const head = guide.slice(0, guide.indexOf(BEGIN) + BEGIN.length);
   const tail = guide.slice(guide.indexOf(END));
-  writeFileSync(GUIDE, `${head}\n\n${settingsReference()}\n\n${tail}`);
+  writeFileSync(GUIDE, `${head}\n\n${renderSettingsReference()}\n\n${tail}`);
 }
 
 function tableOf(rows: readonly SettingDescription[]): string {
@@ -65,7 +65,7 @@
 }
 
 function meaningOf({ path }: SettingDescription): string {
-  return MEANINGS[path] ?? "";
+  return SETTING_MEANINGS[path] ?? "";
 }
 
 if (process.argv[1] === fileURLToPath(import.meta.url)) writeReference();
