--- a/examples/accountLimits.ts
+++ b/examples/accountLimits.ts
@@ -11,5 +11,11 @@
 const limits = new AccountLimits([policy]);
 limits.charge(buildPlacementRequest("first", { tier: 1 }), 600);
 
-/** The second request within a second is told when to come back. */
-export const result = limits.check(buildPlacementRequest("second", { tier: 1 }), 250);
+/**
+ * The second request within a second is over the limit; `retryAfter` holds the
+ * time until it may be sent again.
+ */
+export const result = limits.check(
+  buildPlacementRequest("second", { tier: 1 }),
+  250,
+);
--- a/examples/buildPlacementRequest.ts
+++ b/examples/buildPlacementRequest.ts
@@ -1,7 +1,10 @@
 import type { PlacementRequest } from "@wasabivane/decisions";
 
-/** A request with customary values. */
-export function buildPlacementRequest(request: string, { tier }: { tier: number }): PlacementRequest {
+/** Builds a placement request with typical values. */
+export function buildPlacementRequest(
+  request: string,
+  { tier }: { tier: number },
+): PlacementRequest {
   return {
     request,
     origin: "host-1",
--- a/examples/prefixCacheIndex.ts
+++ b/examples/prefixCacheIndex.ts
@@ -1,9 +1,9 @@
 import type { Digest, UpstreamId } from "@wasabivane/common";
 import { PrefixCacheIndex } from "@wasabivane/decisions";
 
-const cache = new PrefixCacheIndex();
+const index = new PrefixCacheIndex();
 const prompt = ["block-1", "block-2", "block-3"] as unknown as Digest[];
-cache.recordStored("u1" as unknown as UpstreamId, prompt.slice(0, 2), 0);
+index.recordStored("u1" as unknown as UpstreamId, prompt.slice(0, 2), 0);
 
-/** The upstream that was sent the first two blocks before. */
-export const result = cache.holders(prompt, 1_000);
+/** The upstreams that cache the start of the prompt: `u1` with two blocks. */
+export const result = index.holders(prompt, 1_000);
--- a/examples/routeEstimate.ts
+++ b/examples/routeEstimate.ts
@@ -16,7 +16,7 @@
   report: undefined,
 } as unknown as RouteCandidate;
 
-/** 40 ms of prompt and 100 output tokens of 10 ms. */
+/** Prefill of 400 tokens at 0.1 ms and decoding of 100 tokens at 10 ms. */
 export const result = estimateRoute(candidate, {
   placementRequest: buildPlacementRequest("draft", { tier: 1 }),
   meanOutputTokens: 100,
--- a/examples/waitQueue.ts
+++ b/examples/waitQueue.ts
@@ -12,5 +12,5 @@
 queue.push(buildPlacementRequest("overnight review", { tier: 4 }), details);
 queue.push(buildPlacementRequest("live draft", { tier: 1 }), details);
 
-/** The more urgent request leaves first. */
+/** The request of the more urgent tier leaves the queue first. */
 export const result = queue.take(() => "start")?.placementRequest.request;
--- a/scripts/capacityTables.ts
+++ b/scripts/capacityTables.ts
@@ -1,5 +1,6 @@
 /**
- * Writes the tables of docs/CAPACITY.md from a run of the slopes:
+ * Writes the tables of docs/CAPACITY.md from the measured slopes in
+ * docs/slopes.json. To measure the slopes and update the page, run
  * `npm run --silent slopes -- --json > docs/slopes.json`, then
  * `npx tsx --conditions=source scripts/capacityTables.ts && npx deno fmt`.
  */
@@ -13,24 +14,26 @@
   type TableRow,
 } from "./capacityRows.ts";
 
-const PAGE = fileURLToPath(new URL("../docs/CAPACITY.md", import.meta.url));
+const PAGE_FILE = fileURLToPath(
+  new URL("../docs/CAPACITY.md", import.meta.url),
+);
 const SLOPES_FILE = fileURLToPath(
   new URL("../docs/slopes.json", import.meta.url),
 );
-const SHOWN_DIGITS = 4;
+const SIGNIFICANT_DIGITS = 4;
 
-/** The slopes of the last run that was written down. */
+/** Reads the measured slopes from docs/slopes.json. */
 export function readSlopes(): Slope[] {
   const text = readFileSync(SLOPES_FILE, "utf8");
   return (JSON.parse(text) as { slopes: Slope[] }).slopes;
 }
 
-/** The page as it stands. */
+/** Reads docs/CAPACITY.md. */
 export function readCapacityPage(): string {
-  return readFileSync(PAGE, "utf8");
+  return readFileSync(PAGE_FILE, "utf8");
 }
 
-/** The page with its tables made anew. */
+/** Replaces the generated tables of the page. */
 export function renderCapacityPage(
   page: string,
   slopes: readonly Slope[],
@@ -41,13 +44,14 @@
     target: capacityRows(slopes),
   };
   return Object.entries(tables).reduce(
-    (text, [name, rows]) => replaced(text, { name, table: tableOf(rows) }),
+    (text, [name, rows]) =>
+      replaceTable(text, { name, table: formatTable(rows) }),
     page,
   );
 }
 
 function slopeRows(slopes: readonly Slope[]): TableRow[] {
-  const head = [
+  const header = [
     "slope",
     "unit",
     "per",
@@ -59,13 +63,15 @@
     "budget",
     "holds",
   ];
-  return [head, ...slopes.map(slopeRow)];
+  return [header, ...slopes.map(slopeRow)];
 }
 
 function slopeRow(slope: Slope): TableRow {
   const { fit, points } = slope;
   const [first, last] = [points[0]!, points.at(-1)!];
-  const line = `${formatFigure(fit.intercept)} + ${formatFigure(fit.slope)} x`;
+  const fitLine = `${formatFigure(fit.intercept)} + ${
+    formatFigure(fit.slope)
+  } x`;
   return [
     `\`${slope.name}\``,
     slope.unit,
@@ -73,7 +79,7 @@
     `${points.length} from ${formatFigure(first[0])} to ${
       formatFigure(last[0])
     }`,
-    fit.fromX === 0 ? line : `${line}, x ≥ ${fit.fromX}`,
+    fit.fromX === 0 ? fitLine : `${fitLine}, x ≥ ${fit.fromX}`,
     slope.r2.toFixed(3),
     `${(fit.residual * 100).toFixed(1)} %`,
     `${formatFigure(slope.atTarget)} at x = ${formatFigure(slope.targetX)}`,
@@ -82,33 +88,40 @@
   ];
 }
 
-/** A figure with as many digits as it is worth. */
+/** Formats a number with four significant digits, or as an integer if larger. */
 export function formatFigure(value: number): string {
-  if (Math.abs(value) >= 10 ** SHOWN_DIGITS) {
+  if (Math.abs(value) >= 10 ** SIGNIFICANT_DIGITS) {
     return Math.round(value).toLocaleString("en-US");
   }
-  return String(Number(value.toPrecision(SHOWN_DIGITS)));
+  return String(Number(value.toPrecision(SIGNIFICANT_DIGITS)));
 }
 
-function replaced(
+function replaceTable(
   text: string,
   { name, table }: { name: string; table: string },
 ): string {
   const begin = `<!-- ${name}: begin -->`;
   const end = `<!-- ${name}: end -->`;
-  const [from, to] = [text.indexOf(begin), text.indexOf(end)];
-  if (from < 0 || to < from) throw new Error(`The page has no table ${name}`);
-  return `${text.slice(0, from + begin.length)}\n\n${table}\n\n${
-    text.slice(to)
+  const [beginAt, endAt] = [text.indexOf(begin), text.indexOf(end)];
+  if (beginAt < 0 || endAt < beginAt) {
+    throw new Error(`The page has no markers for table "${name}"`);
+  }
+  return `${text.slice(0, beginAt + begin.length)}\n\n${table}\n\n${
+    text.slice(endAt)
   }`;
 }
 
-function tableOf([head, ...rows]: readonly TableRow[]): string {
-  const ruler = head!.map(() => "---");
-  return [head!, ruler, ...rows].map((cells) => `| ${cells.join(" | ")} |`)
+function formatTable([header, ...rows]: readonly TableRow[]): string {
+  const separator = header!.map(() => "---");
+  return [header!, separator, ...rows].map((cells) =>
+    `| ${cells.join(" | ")} |`
+  )
     .join("\n");
 }
 
 if (process.argv[1] === fileURLToPath(import.meta.url)) {
-  writeFileSync(PAGE, renderCapacityPage(readCapacityPage(), readSlopes()));
+  writeFileSync(
+    PAGE_FILE,
+    renderCapacityPage(readCapacityPage(), readSlopes()),
+  );
 }
--- a/scripts/compare.ts
+++ b/scripts/compare.ts
@@ -1,6 +1,7 @@
 /**
- * Plays days of the users' bench on two checkouts, paired by seed and without processor
- * time charged, and prints the mean difference of worth with its interval.
+ * Runs benchmark days on two checkouts with the same seeds, without charging
+ * processor time, and prints the mean difference of their worth with its 95 %
+ * confidence interval.
  *
  *   node --import=tsx scripts/compare.ts --bench PATH BASE CHANGED SITE:DAY ...
  */
@@ -8,103 +9,118 @@
 import process from "node:process";
 import { cac } from "cac";
 
-/** Two-sided 95 % of the normal distribution. */
-const Z = 1.96;
-const WORTH = /^worth (-?[\d.]+) =/m;
-const BROKEN = /^rules broken: (.*)$/m;
+/** Two-sided 95 % quantile of the standard normal distribution. */
+const Z_SCORE = 1.96;
+const WORTH_LINE = /^worth (-?[\d.]+) =/m;
+const BROKEN_RULES_LINE = /^rules broken: (.*)$/m;
 
-interface Play {
+interface BenchmarkRun {
   readonly site: string;
   readonly day: string;
   readonly seed: number;
 }
 
-interface Outcome {
+interface BenchmarkResult {
   readonly worth: number;
-  readonly broken: string;
+  readonly brokenRules: string;
 }
 
-interface Pair extends Play {
-  readonly base: Outcome;
-  readonly changed: Outcome;
+interface ResultPair extends BenchmarkRun {
+  readonly base: BenchmarkResult;
+  readonly changed: BenchmarkResult;
 }
 
-interface Bench {
+interface BenchmarkProgram {
   readonly path: string;
-  readonly small: boolean;
+  readonly isSmall: boolean;
 }
 
-function play(
+function runBenchmark(
   checkout: string,
-  { site, day, seed }: Play,
-  { path, small }: Bench,
-): Promise<Outcome> {
-  const words = ["run", site, day, "--seed", String(seed), "--no-cpu"];
-  if (small) words.push("--small");
-  words.push("--why", "Comparison of two codes, paired by seed");
+  { site, day, seed }: BenchmarkRun,
+  { path, isSmall }: BenchmarkProgram,
+): Promise<BenchmarkResult> {
+  const args = ["run", site, day, "--seed", String(seed), "--no-cpu"];
+  if (isSmall) args.push("--small");
+  args.push("--why", "Comparison of two codes, paired by seed");
   return new Promise((resolve) => {
-    const child = spawn(path, words, { cwd: checkout });
+    const child = spawn(path, args, { cwd: checkout });
     let output = "";
     child.stdout.on("data", (chunk) => output += String(chunk));
     child.on("close", () =>
       resolve({
-        worth: Number(WORTH.exec(output)?.[1] ?? NaN),
-        broken: BROKEN.exec(output)?.[1] ?? "",
+        worth: Number(WORTH_LINE.exec(output)?.[1] ?? NaN),
+        brokenRules: BROKEN_RULES_LINE.exec(output)?.[1] ?? "",
       }));
   });
 }
 
-/** Mean of the differences and half the width of its interval. */
-function intervalOf(differences: readonly number[]): [number, number] {
+/** Computes the mean and half the width of its confidence interval. */
+function confidenceInterval(differences: readonly number[]): [number, number] {
   const count = differences.length;
   const mean = differences.reduce((sum, value) => sum + value, 0) / count;
-  const squares = differences.reduce(
+  const squaredDeviations = differences.reduce(
     (sum, value) => sum + (value - mean) ** 2,
     0,
   );
-  const deviation = count > 1 ? Math.sqrt(squares / (count - 1)) : Infinity;
-  return [mean, Z * deviation / Math.sqrt(count)];
+  const standardDeviation = count > 1
+    ? Math.sqrt(squaredDeviations / (count - 1))
+    : Infinity;
+  return [mean, Z_SCORE * standardDeviation / Math.sqrt(count)];
 }
 
-function show({ site, day, seed, base, changed }: Pair): void {
+function printPair({ site, day, seed, base, changed }: ResultPair): void {
   const name = site.slice(site.lastIndexOf("/") + 1);
   const worth = `${base.worth.toFixed(3)} / ${changed.worth.toFixed(3)}`;
-  console.log(name, day, seed, worth, base.broken, "/", changed.broken);
+  console.log(
+    name,
+    day,
+    seed,
+    worth,
+    base.brokenRules,
+    "/",
+    changed.brokenRules,
+  );
 }
 
 async function main(): Promise<void> {
   const { args, options } = cac("compare")
-    .option("--bench <path>", "The users' bench")
-    .option("--seeds <list>", "Seeds, joined by commas", { default: "1,2" })
-    .option("--jobs <n>", "Pairs of plays at once", { default: 1 })
-    .option("--small", "Play small twins of large days")
+    .option("--bench <path>", "Path of the benchmark program")
+    .option("--seeds <list>", "Seeds, separated by commas", { default: "1,2" })
+    .option("--jobs <n>", "Pairs of runs at the same time", { default: 1 })
+    .option("--small", "Run the small variants of large days")
     .help()
     .parse();
-  const [baseAt, changedAt, ...days] = args;
-  if (options.help || baseAt === undefined || changedAt === undefined) return;
-  const bench = { path: String(options.bench), small: options.small === true };
+  const [basePath, changedPath, ...siteDays] = args;
+  if (options.help || basePath === undefined || changedPath === undefined) {
+    return;
+  }
+  const program = {
+    path: String(options.bench),
+    isSmall: options.small === true,
+  };
   const seeds = String(options.seeds).split(",").map(Number);
-  const plays = days.flatMap((entry) => {
+  const runs = siteDays.flatMap((entry) => {
     const [site = "", day = ""] = entry.split(":");
     return seeds.map((seed) => ({ site, day, seed }));
   });
-  const pairs: Pair[] = [];
-  const work = async (): Promise<void> => {
-    for (let next = plays.shift(); next; next = plays.shift()) {
-      const base = await play(baseAt, next, bench);
-      const changed = await play(changedAt, next, bench);
+  const pairs: ResultPair[] = [];
+  const runPairs = async (): Promise<void> => {
+    for (let next = runs.shift(); next; next = runs.shift()) {
+      const base = await runBenchmark(basePath, next, program);
+      const changed = await runBenchmark(changedPath, next, program);
       pairs.push({ ...next, base, changed });
-      show(pairs.at(-1)!);
+      printPair(pairs.at(-1)!);
     }
   };
-  await Promise.all(Array.from({ length: Number(options.jobs) }, work));
+  await Promise.all(Array.from({ length: Number(options.jobs) }, runPairs));
   const differences = pairs.map(({ base, changed }) =>
     changed.worth - base.worth
   );
-  const [mean, half] = intervalOf(differences);
+  const [mean, halfWidth] = confidenceInterval(differences);
   console.log(
     `changed - base: ${mean.toFixed(4)} +- ${
-      half.toFixed(4)
+      halfWidth.toFixed(4)
     }, ${pairs.length} pairs`,
   );
 }
--- a/scripts/settingMeanings.ts
+++ b/scripts/settingMeanings.ts
@@ -1,4 +1,4 @@
-/** What each setting means, by its path; the schemas say the rest. */
+/** Maps the path of each setting to its text in the settings reference. */
 export const SETTING_MEANINGS: Readonly<Record<string, string>> = {
   host: "Name under which the host list knows this host",
   failureDomain: "Failure domain that this host stands in",
--- a/scripts/settingsReference.ts
+++ b/scripts/settingsReference.ts
@@ -1,5 +1,6 @@
 /**
- * Writes the settings reference in docs/OPERATIONS.md from the schemas:
+ * Writes the settings reference in docs/OPERATIONS.md from the schemas. Run it
+ * with
  * `npx tsx --conditions=source scripts/settingsReference.ts && npx deno fmt`.
  */
 import { readFileSync, writeFileSync } from "node:fs";
@@ -14,9 +15,11 @@
 import { settingsSchema } from "../apps/entry/src/settings.ts";
 import { SETTING_MEANINGS } from "./settingMeanings.ts";
 
-const BEGIN = "<!-- settings reference: begin -->";
-const END = "<!-- settings reference: end -->";
-const GUIDE = fileURLToPath(new URL("../docs/OPERATIONS.md", import.meta.url));
+const BEGIN_MARKER = "<!-- settings reference: begin -->";
+const END_MARKER = "<!-- settings reference: end -->";
+const GUIDE_FILE = fileURLToPath(
+  new URL("../docs/OPERATIONS.md", import.meta.url),
+);
 
 const SECTIONS = [
   { title: "`wasabivane-entry`", schema: settingsSchema },
@@ -24,29 +27,35 @@
   { title: "Bundle", schema: bundleSchema },
 ];
 
-/** The reference as Markdown. */
+/** Renders the settings reference as Markdown. */
 export function renderSettingsReference(): string {
   return SECTIONS.map(({ title, schema }) =>
-    `### ${title}\n\n${tableOf(describeSettings(schema))}`
+    `### ${title}\n\n${formatTable(describeSettings(schema))}`
   ).join("\n\n");
 }
 
-/** The reference that the operators' guide holds now. */
+/** Reads the settings reference from docs/OPERATIONS.md. */
 export function readSettingsReference(): string {
-  const guide = readFileSync(GUIDE, "utf8");
-  const start = guide.indexOf(BEGIN) + BEGIN.length;
-  return guide.slice(start, guide.indexOf(END)).trim();
+  const guide = readFileSync(GUIDE_FILE, "utf8");
+  const start = guide.indexOf(BEGIN_MARKER) + BEGIN_MARKER.length;
+  return guide.slice(start, guide.indexOf(END_MARKER)).trim();
 }
 
-/** Puts the reference into the operators' guide. */
-function writeReference(): void {
-  const guide = readFileSync(GUIDE, "utf8");
-  const head = guide.slice(0, guide.indexOf(BEGIN) + BEGIN.length);
-  const tail = guide.slice(guide.indexOf(END));
-  writeFileSync(GUIDE, `${head}\n\n${renderSettingsReference()}\n\n${tail}`);
+/** Writes the rendered settings reference to docs/OPERATIONS.md. */
+function writeSettingsReference(): void {
+  const guide = readFileSync(GUIDE_FILE, "utf8");
+  const before = guide.slice(
+    0,
+    guide.indexOf(BEGIN_MARKER) + BEGIN_MARKER.length,
+  );
+  const after = guide.slice(guide.indexOf(END_MARKER));
+  writeFileSync(
+    GUIDE_FILE,
+    `${before}\n\n${renderSettingsReference()}\n\n${after}`,
+  );
 }
 
-function tableOf(rows: readonly SettingDescription[]): string {
+function formatTable(rows: readonly SettingDescription[]): string {
   const lines = rows.map((row) =>
     `| ${
       [`\`${row.path}\``, row.allowed, defaultOf(row), meaningOf(row)].join(
@@ -54,9 +63,9 @@
       )
     } |`
   );
-  const head =
+  const header =
     "| Key | Allowed | Default | Meaning |\n| --- | --- | --- | --- |";
-  return [head, ...lines].join("\n");
+  return [header, ...lines].join("\n");
 }
 
 function defaultOf({ isRequired, defaultText }: SettingDescription): string {
@@ -68,4 +77,6 @@
   return SETTING_MEANINGS[path] ?? "";
 }
 
-if (process.argv[1] === fileURLToPath(import.meta.url)) writeReference();
+if (process.argv[1] === fileURLToPath(import.meta.url)) {
+  writeSettingsReference();
+}
