--- a/scripts/capacityRows.ts
+++ b/scripts/capacityRows.ts
@@ -64,7 +64,7 @@
     atTarget("views-processor"),
   );
   const placement = createCostItem(
-    "asks of pools",
+    "placement requests",
     atTarget("pool-bytes"),
     atTarget("pool-processor"),
   );
@@ -74,15 +74,18 @@
     totalRow("**every host, without its requests**", fixed),
     costRow({
       ...platformReader,
-      name: "checks of whole bundles, on the 2 hosts that read",
+      name: "bundle verification, on the 2 platform readers",
     }),
-    totalRow("**a host that reads the platform**", [...fixed, platformReader]),
+    totalRow("**a platform reader**", [...fixed, platformReader]),
     costRow({
       ...leaseHolder,
       name: "view leases, on the 15 hosts that hold them",
     }),
     totalRow("**a host that holds leases**", [...fixed, leaseHolder]),
-    costRow({ ...placement, name: "asks of pools, at 77 requests a second" }),
+    costRow({
+      ...placement,
+      name: "placement requests, at 77 requests a second",
+    }),
     totalRow("**every host, with its requests**", [...fixed, placement]),
   ];
 }
@@ -172,7 +175,7 @@
     ],
     [
       "350 nodes",
-      "four watchers and two probes for each host",
+      "four monitors and two probes per host",
       "`membership-bytes`",
       `${formatInteger(atTarget("membership-bytes"))} bytes a second`,
       "3,000, shared",
@@ -198,7 +201,7 @@
     ],
     [
       "24,000 accelerators",
-      "the replica is the unit; no state for an accelerator",
+      "the replica is the unit; no state per accelerator",
       "none",
       "0",
       "",
@@ -206,15 +209,15 @@
     ],
     [
       "27,000 requests a second: bytes",
-      "one keeper for a model, reached over the network",
+      "one coordinator per model, reached over the network",
       "`pool-bytes`",
       `${formatInteger(atTarget("pool-bytes"))} bytes a second`,
       "3,000",
       formatHolds(slope("pool-bytes").holds),
     ],
     [
-      "27,000 requests a second: keeper",
-      "one keeper for a model",
+      "27,000 requests a second: coordinator",
+      "one coordinator per model",
       "`scheduler-decision`",
       `${formatInteger(coordinatorMs)} ms a second for ${
         formatInteger(requestsPerModel)
@@ -224,7 +227,7 @@
     ],
     [
       "5.9 million tokens a second",
-      "chunks passed on as they come",
+      "chunks forwarded on arrival",
       "`relay-processor`",
       `${formatInteger(atTarget("relay-processor"))} ms a second for ${
         formatInteger(TOKENS_PER_HOST)
@@ -234,12 +237,12 @@
     ],
     [
       "first token within 1.8 s for 95 in 100",
-      "decision at the keeper",
+      "decision at the coordinator",
       "`scheduler-decision`",
       `${
         formatInteger(atTarget("scheduler-decision"))
-      } µs and one round trip of ours`,
-      "1.8 s with the engine's part",
+      } µs and one round trip between hosts`,
+      "1.8 s, including the engine",
       "not shown: no engine load of this size was run",
     ],
     [
@@ -250,11 +253,11 @@
         formatInteger(atTarget("relay-processor") / processes)
       } ms a second in each of ${formatInteger(processes)} processes`,
       "667 ms in a process",
-      "not shown: gaps were not timed at this load",
+      "not shown: gaps were not measured at this load",
     ],
     [
       "3 generations, 4 tiers",
-      "samples by generation, lanes by tier",
+      "samples by generation, queues by tier",
       "`scheduler-decision`",
       `${formatInteger(atTarget("scheduler-decision"))} µs a request with both`,
       "506 µs",
@@ -262,15 +265,17 @@
     ],
     [
       "1,100 client accounts",
-      "buckets and lanes made when first used",
+      "token buckets and queues created on first use",
       "`scheduler-account-state`",
-      `${formatMebibytes(atTarget("scheduler-account-state"))} MiB in a keeper`,
+      `${
+        formatMebibytes(atTarget("scheduler-account-state"))
+      } MiB in a coordinator`,
       "128 MiB, shared",
       formatHolds(slope("scheduler-account-state").holds),
     ],
     [
       "14 models",
-      "one checksum for each pool in use",
+      "one checksum per pool in use",
       "`pool-sync-bytes`",
       `${formatInteger(atTarget("pool-sync-bytes"))} bytes a second`,
       "3,000, shared",
@@ -317,8 +322,8 @@
       formatHolds(slope("bundle-change").holds),
     ],
     [
-      "58,000 changes a day: hosts that read",
-      "two readers take the whole value at each change",
+      "58,000 changes a day: platform readers",
+      "two readers fetch the complete bundle at each change",
       "`bundle-verify`",
       `${
         formatInteger(atTarget("bundle-verify") * CHANGES_PER_SECOND)
@@ -367,7 +372,7 @@
     ],
     [
       "2,100 restarts and replacements a day",
-      "a fresh host asks four for all they know",
+      "a new host requests the full state from four hosts",
       "`membership-start-bytes`",
       `${startBytesPerSecond.toFixed(1)} bytes a second and host on average`,
       "3,000, shared",
@@ -375,7 +380,7 @@
     ],
     [
       `${formatInteger(STREAMS_PER_HOST)} streams open at a host`,
-      "one exchange for each",
+      "one exchange per stream",
       "`relay-state`",
       `${formatMebibytes(atTarget("relay-state"))} MiB resident`,
       "none: data path",
@@ -385,7 +390,7 @@
       `${
         formatInteger(REQUESTS_PER_HOST)
       } requests a second at a host: processor`,
-      "four messages for each request",
+      "four messages per request",
       "`pool-processor`",
       `${atTarget("pool-processor").toFixed(1)} ms a second, both ends`,
       "39 ms",
