--- a/packages/proof/scenarios/bundleRolledWhileRequestsRun.ts
+++ b/packages/proof/scenarios/bundleRolledWhileRequestsRun.ts
@@ -1,8 +1,7 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// Drafts run and wait while operators roll two bundles one after the other, and
-// one host can no longer read the service. Every draft ends whole, under the
-// bundle that accepted it, and no host goes back a version.
+// Guards against requests lost or hosts going back a version while two bundles
+// are published in a row and one host cannot read the platform.
 export const BUNDLE_ROLLED_WHILE_REQUESTS_RUN: FaultScenario = {
   name: "bundleRolledWhileRequestsRun",
   concurrency: 1,
--- a/packages/proof/scenarios/configurationServiceDownAtStart.ts
+++ b/packages/proof/scenarios/configurationServiceDownAtStart.ts
@@ -1,8 +1,7 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// All hosts start while the configuration service is down. Callers are told
-// that their requests have not run. When the service comes back the hosts take
-// the bundle, and the same callers are served.
+// Guards against requests run or reported as unknown while the platform is down
+// at start, and against hosts that do not recover once it is up.
 export const CONFIGURATION_SERVICE_DOWN_AT_START: FaultScenario = {
   name: "configurationServiceDownAtStart",
   platformAtStart: "down",
--- a/packages/proof/scenarios/coordinatorDies.ts
+++ b/packages/proof/scenarios/coordinatorDies.ts
@@ -1,11 +1,9 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// Two callers ask for drafts. While one draft streams and the other waits for
-// its place, the host that keeps the drafting pool, entry-4, dies. The
-// running draft goes on, because streams never pass the keeper; the waiting one
-// is asked for again at the next keeper. Both callers get whole drafts.
+// Guards against lost requests when the coordinator of the pool, entry-4, is
+// killed while requests run and one is queued.
 export const COORDINATOR_DIES: FaultScenario = {
-  name: "keeperDies",
+  name: "coordinatorDies",
   concurrency: 1,
   requests: {
     "draft-1": { kind: "draft", tokens: 200 },
--- a/packages/proof/scenarios/domainLost.ts
+++ b/packages/proof/scenarios/domainLost.ts
@@ -1,8 +1,7 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// A whole failure domain is lost at once, two hosts of six, one of them the
-// holder of a job. Callers elsewhere get their answers, and the job runs once
-// from a copy in another domain.
+// Guards against lost or repeated requests and jobs when a failure domain,
+// including a job holder, is lost at once.
 export const DOMAIN_LOST: FaultScenario = {
   name: "domainLost",
   hosts: 6,
--- a/packages/proof/scenarios/gracefulStopCompletesWork.ts
+++ b/packages/proof/scenarios/gracefulStopCompletesWork.ts
@@ -1,11 +1,8 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// A host is told to stop while a long draft streams through it, a save waits
-// for its answer and a review was just accepted there. The draft and the save
-// end whole on their own connections; the review is handed over, and its caller
-// fetches it from another host.
+// Guards against truncated responses and lost jobs during a graceful stop.
 export const GRACEFUL_STOP_COMPLETES_WORK: FaultScenario = {
-  name: "plannedStopCutsNothing",
+  name: "gracefulStopCompletesWork",
   requests: {
     "draft-1": { kind: "draft", tokens: 200 },
     "save-1": { kind: "save", hasKey: true },
--- a/packages/proof/scenarios/hostRestartsWithStaleService.ts
+++ b/packages/proof/scenarios/hostRestartsWithStaleService.ts
@@ -1,10 +1,9 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// The configuration service falls back to an old state after a roll, and a
-// host restarts. The service offers the fresh host the old bundle; its peers
-// have the newer one in force, and the host takes that and nothing older.
+// Guards against a restarted host taking an outdated bundle from a stale
+// platform while its peers have a newer one in force.
 export const HOST_RESTARTS_WITH_STALE_SERVICE: FaultScenario = {
-  name: "freshHostMeetsStaleService",
+  name: "hostRestartsWithStaleService",
   requests: { "draft-1": { kind: "draft", hasKey: false } },
   story: [
     { at: 0, do: "roll", version: 2 },
--- a/packages/proof/scenarios/hostResumesWithStaleView.ts
+++ b/packages/proof/scenarios/hostResumesWithStaleView.ts
@@ -1,12 +1,9 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// Two hosts are paused for an hour while a save waits at one of them, and its
-// caller asks again through every other host. Those cannot know whether the
-// paused process has sent it, so they say "unknown". When the paused hosts wake
-// they believe that no time has passed, but they run nothing more: the deadline
-// is long over, and the key is no longer theirs to use.
+// Guards against a second dispatch of a key by hosts that resume after a long
+// pause with an outdated view and queued requests.
 export const HOST_RESUMES_WITH_STALE_VIEW: FaultScenario = {
-  name: "hostPausedAnHourWakesBelievingItsOldView",
+  name: "hostResumesWithStaleView",
   requests: { "save-1": { kind: "save" }, "save-2": { kind: "save" } },
   story: [
     { at: 0, do: "crash", upstream: "casefile-1", forMs: 3_000 },
--- a/packages/proof/scenarios/index.ts
+++ b/packages/proof/scenarios/index.ts
@@ -25,7 +25,7 @@
 import { UPSTREAM_CRASHES_MID_STREAM } from "./upstreamCrashesMidStream.ts";
 import { UPSTREAM_LEAVING } from "./upstreamLeaving.ts";
 
-/** Every scenario of this folder. */
+/** All scenarios of this directory. */
 export const SCENARIOS: readonly FaultScenario[] = [
   BUNDLE_ROLLED_WHILE_REQUESTS_RUN,
   CONFIGURATION_SERVICE_DOWN_AT_START,
--- a/packages/proof/scenarios/jobHolderCutFromCopies.ts
+++ b/packages/proof/scenarios/jobHolderCutFromCopies.ts
@@ -1,9 +1,7 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// A host has accepted a job when a partition cuts it off from all copies. It
-// wants to dispatch and the copies want to take over, and neither can ask the
-// other. Only a majority can settle who may dispatch, so the job runs on the
-// larger side, once, and never on both.
+// Guards against a job running on both sides of a partition between its holder
+// and the other copies.
 export const JOB_HOLDER_CUT_FROM_COPIES: FaultScenario = {
   name: "jobHolderCutFromCopies",
   requests: { "export-1": { kind: "export", deadlineMs: 60_000 } },
--- a/packages/proof/scenarios/jobHolderKilledAfterDispatch.ts
+++ b/packages/proof/scenarios/jobHolderKilledAfterDispatch.ts
@@ -1,9 +1,7 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// Two jobs have just left for their upstreams when the host that held them is
-// killed. The copies know where each one went. The review is fetched from its
-// engine, which still has it; the export went to a service that keeps nothing,
-// so its caller is told that the ending is unknown. Neither runs again.
+// Guards against repeated jobs when the holder is killed after the dispatch.
+// The completion is resumed at its engine; the plain call ends as unknown.
 export const JOB_HOLDER_KILLED_AFTER_DISPATCH: FaultScenario = {
   name: "jobHolderKilledAfterDispatch",
   requests: {
--- a/packages/proof/scenarios/jobHolderKilledBeforeDispatch.ts
+++ b/packages/proof/scenarios/jobHolderKilledBeforeDispatch.ts
@@ -1,9 +1,7 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// A caller hands in a review for the night and is told that it is accepted.
-// The host that took it is killed before anything was sent to an engine. A
-// copy in another failure domain takes over once it is clear that the dead host
-// can no longer get leave to dispatch, and the caller fetches the whole review.
+// Guards against lost jobs when the holder is killed after the acceptance and
+// before the dispatch.
 export const JOB_HOLDER_KILLED_BEFORE_DISPATCH: FaultScenario = {
   name: "jobHolderKilledBeforeDispatch",
   requests: {
--- a/packages/proof/scenarios/jobHolderResumesAfterTakeover.ts
+++ b/packages/proof/scenarios/jobHolderResumesAfterTakeover.ts
@@ -1,11 +1,9 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// The holder of a job is paused for an hour right after it accepted the job.
-// The copies wait, agree that it can no longer dispatch, and run the job. When
-// the holder wakes it still believes that the job is its own; it must ask the
-// copies before it sends a byte, and learns that the job has run.
+// Guards against a second dispatch by a job holder that resumes after a long
+// pause, when the other copies have already run the job.
 export const JOB_HOLDER_RESUMES_AFTER_TAKEOVER: FaultScenario = {
-  name: "hostPausedAnHourWakesWithAJob",
+  name: "jobHolderResumesAfterTakeover",
   requests: { "export-1": { kind: "export", deadlineMs: 60_000 } },
   story: [
     { at: 0, do: "send", request: "export-1", via: "entry-1" },
--- a/packages/proof/scenarios/lateResponseAfterCancel.ts
+++ b/packages/proof/scenarios/lateResponseAfterCancel.ts
@@ -1,10 +1,9 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// A caller hangs up while a slow engine works, and the engine answers later all
-// the same. The next callers of that engine get their own answers; the late one
-// reaches nobody.
+// Guards against a late response of a cancelled request reaching another caller
+// of the same upstream.
 export const LATE_RESPONSE_AFTER_CANCEL: FaultScenario = {
-  name: "lateAnswerAfterCancel",
+  name: "lateResponseAfterCancel",
   requests: {
     "draft-1": { kind: "draft", hasKey: false, tokens: 40 },
     "draft-2": { kind: "draft", hasKey: false, tokens: 40 },
--- a/packages/proof/scenarios/misroutedResponses.ts
+++ b/packages/proof/scenarios/misroutedResponses.ts
@@ -1,10 +1,9 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// Upstreams mix up their answers: one gives the answer of another request, one
-// puts another request's text under the right head. Both callers are told that
-// their ending is unknown, and neither sees a word of the other's answer.
+// Guards against passing on a response of another request, by nonce or by body,
+// when upstreams mix up their responses.
 export const MISROUTED_RESPONSES: FaultScenario = {
-  name: "crossedAnswers",
+  name: "misroutedResponses",
   requests: {
     "draft-1": { kind: "draft" },
     "draft-2": { kind: "draft" },
--- a/packages/proof/scenarios/ownerKilledAfterDispatch.ts
+++ b/packages/proof/scenarios/ownerKilledAfterDispatch.ts
@@ -1,9 +1,7 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// A caller saves a record. The host that took the call is killed right after
-// the call left for the upstream, and the caller asks again through another
-// host. Only the dead host knew what it had sent, so the caller is told that
-// the ending is unknown; the record is never saved a second time.
+// Guards against a second run of a save whose owner is killed after the
+// dispatch. Only the owner knew the dispatch, so the outcome is unknown.
 export const OWNER_KILLED_AFTER_DISPATCH: FaultScenario = {
   name: "ownerKilledAfterDispatch",
   requests: { "save-1": { kind: "save" } },
--- a/packages/proof/scenarios/ownerKilledMidStreamResponseResumed.ts
+++ b/packages/proof/scenarios/ownerKilledMidStreamResponseResumed.ts
@@ -1,10 +1,9 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// A draft streams when the host that holds the caller's connection dies; the
-// home of the key is another host, which knows the dispatch. The caller asks again through another host, which resumes the draft at the engine
-// that runs it. The caller gets the whole draft, and the engine ran it once.
+// Guards against a truncated or repeated draft when its owner is killed while it
+// streams. The key's home knows the dispatch, so a resend resumes the stream.
 export const OWNER_KILLED_MID_STREAM_RESPONSE_RESUMED: FaultScenario = {
-  name: "ownerKilledMidStreamAnswerResumed",
+  name: "ownerKilledMidStreamResponseResumed",
   requests: { "draft-1": { kind: "draft", tokens: 100 } },
   story: [
     { at: 0, do: "send", request: "draft-1", via: "entry-1" },
--- a/packages/proof/scenarios/partitionSplitsFleet.ts
+++ b/packages/proof/scenarios/partitionSplitsFleet.ts
@@ -1,8 +1,7 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// A partition parts the four hosts into halves while callers keep asking on
-// both sides. Each side serves with its share of the upstreams' places, so the
-// callers see slower answers, but whole ones, and every request runs once.
+// Guards against failed or repeated requests when a partition splits the fleet
+// into halves, each with its share of the upstream slots.
 export const PARTITION_SPLITS_FLEET: FaultScenario = {
   name: "partitionSplitsFleet",
   requests: {
--- a/packages/proof/scenarios/poisonResentThroughAllHosts.ts
+++ b/packages/proof/scenarios/poisonResentThroughAllHosts.ts
@@ -1,8 +1,7 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// One draft crashes each engine that runs it, and its caller sends it again
-// through every host, twelve times. After two engines the fingerprint is known
-// to all hosts and the draft is refused; engines go on serving the others.
+// Guards against a poison request that is resent through all hosts taking down
+// the whole pool.
 export const POISON_RESENT_THROUGH_ALL_HOSTS: FaultScenario = {
   name: "poisonResentThroughAllHosts",
   requests: Object.fromEntries([
--- a/packages/proof/scenarios/resendToAnotherHostWhileFirstRuns.ts
+++ b/packages/proof/scenarios/resendToAnotherHostWhileFirstRuns.ts
@@ -1,9 +1,7 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// The balancer breaks a caller's connection while a draft streams and a save
-// runs. The caller asks again with the same keys through other hosts, which
-// join what runs already. Each request leaves once, and the resend gets the
-// whole answer from its first byte.
+// Guards against a second dispatch when a caller resends a running request
+// through another host. The resend receives the complete response.
 export const RESEND_TO_ANOTHER_HOST_WHILE_FIRST_RUNS: FaultScenario = {
   name: "resendToAnotherHostWhileFirstRuns",
   requests: {
--- a/packages/proof/scenarios/resendToFreshHostWhileFirstRuns.ts
+++ b/packages/proof/scenarios/resendToFreshHostWhileFirstRuns.ts
@@ -1,9 +1,7 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// A slow save runs through one host when its caller asks again through a host
-// that has just restarted and has no bundle yet. That host cannot serve, but it
-// must not say "not run" either: it did nothing itself, while the first sending
-// of the same key is at its upstream.
+// Guards against a restarted host without a bundle reporting a resend as not
+// run while the first attempt runs at another host.
 export const RESEND_TO_FRESH_HOST_WHILE_FIRST_RUNS: FaultScenario = {
   name: "resendToFreshHostWhileFirstRuns",
   requests: { "save-1": { kind: "save" } },
--- a/packages/proof/scenarios/staleHostList.ts
+++ b/packages/proof/scenarios/staleHostList.ts
@@ -1,8 +1,7 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// The platform's host list is stale and still names two hosts that are dead.
-// Hosts go by who answers their heartbeats: drafts and saves are served, and a
-// save whose key the dead hosts may have known ends as unknown, never twice.
+// Guards against failed requests and repeated saves when a stale host list still
+// contains dead hosts.
 export const STALE_HOST_LIST: FaultScenario = {
   name: "staleHostList",
   hosts: 6,
--- a/packages/proof/scenarios/strandedJobReportedUnknown.ts
+++ b/packages/proof/scenarios/strandedJobReportedUnknown.ts
@@ -1,11 +1,9 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// A job has just been accepted when both hosts that hold its copies die at
-// once and come back without memory of it. Its holder can no longer get leave
-// to dispatch, and cannot know whether a copy got it before it died. The caller
-// who fetches the job is told in words that its ending is unknown.
+// Guards against a job without an outcome when both other copies restart
+// without state. The holder cannot know whether one of them dispatched it.
 export const STRANDED_JOB_REPORTED_UNKNOWN: FaultScenario = {
-  name: "strandedJobIsToldInWords",
+  name: "strandedJobReportedUnknown",
   requests: { "export-1": { kind: "export", deadlineMs: 40_000 } },
   story: [
     { at: 0, do: "send", request: "export-1", via: "entry-1" },
--- a/packages/proof/scenarios/twoHostsStopAtOnce.ts
+++ b/packages/proof/scenarios/twoHostsStopAtOnce.ts
@@ -1,9 +1,7 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// Two hosts of one failure domain are told to stop in the same moment, each with
-// a draft on its way and a review in its care. The second waits until the first
-// has ended and serves meanwhile; a host of another domain, which holds copies,
-// dies while the first one drains. Every draft is whole, no review is lost.
+// Guards against truncated responses and lost jobs when two hosts are stopped
+// at once and a host with copies dies while the first one drains.
 export const TWO_HOSTS_STOP_AT_ONCE: FaultScenario = {
   name: "twoHostsStopAtOnce",
   hosts: 6,
--- a/packages/proof/scenarios/upstreamBreaksStreamAndResumes.ts
+++ b/packages/proof/scenarios/upstreamBreaksStreamAndResumes.ts
@@ -1,8 +1,7 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// An engine's connections break in the middle of a draft, twice, while the
-// engine itself lives on. The entry host asks the same engine for the rest from
-// the last token passed on. The caller sees one whole draft without a gap.
+// Guards against gaps in a stream that is resumed after the connections to its
+// engine broke twice.
 export const UPSTREAM_BREAKS_STREAM_AND_RESUMES: FaultScenario = {
   name: "upstreamBreaksStreamAndResumes",
   requests: {
--- a/packages/proof/scenarios/upstreamCrashesMidStream.ts
+++ b/packages/proof/scenarios/upstreamCrashesMidStream.ts
@@ -1,8 +1,7 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// An engine crashes in the middle of a draft and comes back without memory of
-// it. The rest cannot be fetched and the draft is not run again, so the caller
-// gets an error that says so, and no part of a draft that looks whole.
+// Guards against a truncated draft presented as complete after its engine
+// crashed and lost its state.
 export const UPSTREAM_CRASHES_MID_STREAM: FaultScenario = {
   name: "upstreamCrashesMidStream",
   requests: { "draft-1": { kind: "draft", tokens: 60 } },
--- a/packages/proof/scenarios/upstreamLeaving.ts
+++ b/packages/proof/scenarios/upstreamLeaving.ts
@@ -1,8 +1,7 @@
 import type { FaultScenario } from "@wasabivane/proof";
 
-// Two of three engines leave while a draft runs on one of them. The running
-// draft finishes there; what is asked for more than 3 s later goes to the engine
-// that stays, and callers notice nothing.
+// Guards against new requests at leaving upstreams and against breaking the
+// requests that still run there.
 export const UPSTREAM_LEAVING: FaultScenario = {
   name: "upstreamLeaving",
   requests: Object.fromEntries([
--- a/packages/proof/src/allocateGreedily.ts
+++ b/packages/proof/src/allocateGreedily.ts
@@ -1,4 +1,4 @@
-/** Work that must be done between two slots of time, both included. */
+/** Work to be done between two time steps, both inclusive. */
 export interface WindowedJob {
   readonly work: number;
   readonly release: number;
@@ -6,44 +6,44 @@
 }
 
 /**
- * Gives each job in turn as much work as still fits beside those before it. The
- * sets of work that one preemptive machine can do between releases and due
- * times form a polymatroid, so that this greedy order is the optimum. A set of
- * jobs fits when each span of slots has room for the jobs that lie within it.
+ * Allocates capacity to each job in order and returns the share of its work
+ * that fits beside the earlier jobs. Jobs fit if every interval of time steps
+ * has capacity for the jobs within it. The feasible work of a preemptive machine
+ * forms a polymatroid, so the greedy allocation is optimal for the given order.
  */
 export function allocateGreedily(
   jobs: readonly WindowedJob[],
   capacity: Float64Array,
 ): number[] {
-  const slots = capacity.length;
-  const slack = spanCapacities(capacity);
+  const steps = capacity.length;
+  const slack = intervalCapacities(capacity);
   return jobs.map(({ work, release, due }) => {
-    let room = work;
+    let allocated = work;
     for (let start = 0; start <= release; start++) {
-      for (let end = due; end < slots; end++) {
-        const left = slack[start * slots + end]!;
-        if (left < room) room = left;
+      for (let end = due; end < steps; end++) {
+        const available = slack[start * steps + end]!;
+        if (available < allocated) allocated = available;
       }
     }
-    if (room <= 0) return 0;
+    if (allocated <= 0) return 0;
     for (let start = 0; start <= release; start++) {
-      for (let end = due; end < slots; end++) {
-        slack[start * slots + end]! -= room;
+      for (let end = due; end < steps; end++) {
+        slack[start * steps + end]! -= allocated;
       }
     }
-    return room / work;
+    return allocated / work;
   });
 }
 
-function spanCapacities(capacity: Float64Array): Float64Array {
-  const slots = capacity.length;
-  const spans = new Float64Array(slots * slots);
-  for (let start = 0; start < slots; start++) {
+function intervalCapacities(capacity: Float64Array): Float64Array {
+  const steps = capacity.length;
+  const intervals = new Float64Array(steps * steps);
+  for (let start = 0; start < steps; start++) {
     let sum = 0;
-    for (let end = start; end < slots; end++) {
+    for (let end = start; end < steps; end++) {
       sum += capacity[end]!;
-      spans[start * slots + end] = sum;
+      intervals[start * steps + end] = sum;
     }
   }
-  return spans;
+  return intervals;
 }
--- a/packages/proof/src/arrivalPatterns.ts
+++ b/packages/proof/src/arrivalPatterns.ts
@@ -19,22 +19,22 @@
   type UpstreamFault,
 } from "./arrivals.ts";
 
-/** What a pattern adds to the usual load. */
+/** Overrides of the default load that define a pattern. */
 interface PatternShape extends Partial<LoadShape> {
   readonly faults?: (random: Random) => UpstreamFault[];
   readonly reportLagMs?: Milliseconds;
   readonly cacheEventLagMs?: Milliseconds;
-  readonly hasKiller?: boolean;
+  readonly hasPoisonRequest?: boolean;
 }
 
-const USUAL_LOAD = 0.6;
+const DEFAULT_LOAD = 0.6;
 const REPORT_LAG_MS = 1_000;
 const CACHE_EVENT_LAG_MS = 1_000;
 const FLEET_SIZE = 16;
 const RESTART_AFTER_MS = 15_000;
-const SLOW_FOR_MS = 25_000;
+const SLOWDOWN_MS = 25_000;
 
-/** The load patterns by name. */
+/** Load patterns by name. */
 const PATTERNS = {
   "steady": {},
   "burst": { load: burstLoad },
@@ -48,8 +48,8 @@
     reportLagMs: 8_000,
     cacheEventLagMs: 5_000,
   },
-  "upstream-loss": { load: () => 0.5, faults: lostUpstreams },
-  "poison": { load: () => 0.5, hasKiller: true },
+  "upstream-loss": { load: () => 0.5, faults: crashedUpstreams },
+  "poison": { load: () => 0.5, hasPoisonRequest: true },
   "leaving": { load: () => 0.5, faults: leavingUpstreams },
   "mixed": {
     load: burstLoad,
@@ -63,10 +63,10 @@
 /** Name of a load pattern. */
 export type LoadPattern = keyof typeof PATTERNS;
 
-/** Every pattern, in the order of reports. */
+/** All pattern names, in report order. */
 export const PATTERN_NAMES = Object.keys(PATTERNS) as LoadPattern[];
 
-/** Draws the requests and faults of one pattern. */
+/** Generates the requests and faults of a pattern from a seed. */
 export function buildExperimentScenario(
   { pattern, deployment, seed }: {
     pattern: LoadPattern;
@@ -76,13 +76,13 @@
 ): ExperimentScenario {
   const shape: PatternShape = PATTERNS[pattern];
   const random = new SeededRandom(seed + 1_000_003);
-  const load = shape.load ?? (() => USUAL_LOAD);
+  const load = shape.load ?? (() => DEFAULT_LOAD);
   const arrivals = buildArrivals({
     deployment,
     seed,
     shape: { ...shape, load },
   });
-  if (shape.hasKiller) arrivals.push(killer());
+  if (shape.hasPoisonRequest) arrivals.push(createPoisonRequest());
   return {
     fleet: buildFleet(deployment),
     arrivals: arrivals.sort((left, right) => left.at - right.at),
@@ -93,14 +93,14 @@
   };
 }
 
-/** Two bursts of ten seconds at one and a half times what the fleet can carry. */
+/** Two ten-second bursts at 150% of the fleet's capacity. */
 function burstLoad(at: Milliseconds): number {
   const isBurst = (at >= 20_000 && at < 30_000) ||
     (at >= 55_000 && at < 65_000);
   return isBurst ? 1.5 : 0.5;
 }
 
-/** One engine of each generation turns slow and recovers. */
+/** One engine of each generation slows down and recovers. */
 function slowUpstreams(random: Random): UpstreamFault[] {
   return [random.int(4), 4 + random.int(6), 10 + random.int(6)]
     .flatMap((upstream) => {
@@ -109,9 +109,9 @@
     });
 }
 
-/** Two engines are lost one by one, then two at once. */
-function lostUpstreams(random: Random): UpstreamFault[] {
-  const lost = distinct(random, 4);
+/** Two engines crash one at a time, then two almost simultaneously. */
+function crashedUpstreams(random: Random): UpstreamFault[] {
+  const lost = drawDistinctUpstreams(random, 4);
   const times = [15_000, 35_000, 55_000, 55_200];
   return lost.flatMap((upstream, index) =>
     crashFault(upstream, times[index]! + random.int(100))
@@ -119,28 +119,32 @@
 }
 
 function leavingUpstreams(random: Random): UpstreamFault[] {
-  return distinct(random, 4).map((upstream, index) => ({
+  return drawDistinctUpstreams(random, 4).map((upstream, index) => ({
     at: 15_000 + index * 15_000,
     upstream,
     kind: "leave" as const,
   }));
 }
 
-/** A slowdown, a loss and a leaving upstream at moments drawn from the seed. */
+/** A slowdown, a crash and a leaving upstream at random times. */
 function mixedFaults(random: Random): UpstreamFault[] {
-  const [slow, lost, leaving] = distinct(random, 3) as [number, number, number];
-  const moment = (): Milliseconds => 10_000 + random.int(60_000);
+  const [slow, lost, leaving] = drawDistinctUpstreams(random, 3) as [
+    number,
+    number,
+    number,
+  ];
+  const drawTime = (): Milliseconds => 10_000 + random.int(60_000);
   return [
-    ...slowFault(slow, moment()),
-    ...crashFault(lost, moment()),
-    { at: moment(), upstream: leaving, kind: "leave" },
+    ...slowFault(slow, drawTime()),
+    ...crashFault(lost, drawTime()),
+    { at: drawTime(), upstream: leaving, kind: "leave" },
   ];
 }
 
 function slowFault(upstream: number, at: Milliseconds): UpstreamFault[] {
   return [
     { at, upstream, kind: "slow", factor: 6 },
-    { at: at + SLOW_FOR_MS, upstream, kind: "slow", factor: 1 },
+    { at: at + SLOWDOWN_MS, upstream, kind: "slow", factor: 1 },
   ];
 }
 
@@ -151,14 +155,14 @@
   ];
 }
 
-function distinct(random: Random, count: number): number[] {
+function drawDistinctUpstreams(random: Random, count: number): number[] {
   const chosen = new Set<number>();
   while (chosen.size < count) chosen.add(random.int(FLEET_SIZE));
   return [...chosen];
 }
 
-/** A request that crashes its engine; its caller keeps sending it. */
-function killer(): Arrival {
+/** A request that crashes its engine and that its caller keeps resending. */
+function createPoisonRequest(): Arrival {
   return {
     id: "killer",
     at: 15_000,
--- a/packages/proof/src/arrivals.ts
+++ b/packages/proof/src/arrivals.ts
@@ -17,10 +17,10 @@
   TOKENS_PER_BLOCK,
 } from "@wasabivane/engine-model";
 
-/** A deployment that the experiments are modelled on. */
+/** Example deployment whose load the experiments simulate. */
 export type Deployment = "fukuoka" | "cairo";
 
-/** One request of a caller, with what only the engines know: its real length. */
+/** A simulated request, with its actual output length in `outputTokens`. */
 export interface Arrival {
   readonly id: string;
   readonly at: Milliseconds;
@@ -32,30 +32,30 @@
   readonly outputTokens: number;
   readonly maximumOutputTokens: number;
   readonly prefixDigests: readonly Digest[];
-  /** Whether the caller sends it again when its upstream was lost. */
+  /** Whether the caller resends it after its upstream is lost. */
   readonly isIdempotent: boolean;
-  /** It crashes each engine that runs it. */
+  /** Whether it crashes every engine that runs it. */
   readonly isPoison: boolean;
 }
 
-/** Something that happens to an upstream. */
+/** A fault of an upstream, or its recovery, at a given time. */
 export interface UpstreamFault {
   readonly at: Milliseconds;
   readonly upstream: number;
   readonly kind: "slow" | "crash" | "restart" | "leave";
-  /** How many times as long each step takes from now on, for `slow`. */
+  /** Multiplier of the duration of each engine step, for `slow`. */
   readonly factor?: number;
 }
 
-/** One engine of the fleet. */
+/** A simulated engine of the fleet. */
 export interface FleetMember {
   readonly upstream: UpstreamId;
   readonly failureDomain: FailureDomain;
   readonly generation: HardwareGeneration;
-  readonly speed: EngineProfile;
+  readonly profile: EngineProfile;
 }
 
-/** Everything an experiment replays for each policy. */
+/** Input that an experiment replays for each policy. */
 export interface ExperimentScenario {
   readonly fleet: readonly FleetMember[];
   readonly arrivals: readonly Arrival[];
@@ -65,28 +65,28 @@
   readonly domainDistanceMs: Milliseconds;
 }
 
-/** How the load of a pattern differs from the usual. */
+/** Load over time, and how its requests differ from the default mix. */
 export interface LoadShape {
-  /** Load as a share of what the fleet can carry, at a moment. */
+  /** Load at a given time as a share of the fleet's capacity. */
   readonly load: (at: Milliseconds) => number;
-  /** Share of the requests of the one hot account. */
+  /** Share of the requests sent by a single hot account. */
   readonly hotAccountShare?: number;
-  /** Share of the requests that begin with one of their account's prefixes. */
+  /** Share of the requests that start with a prefix of their account. */
   readonly sharedPrefixShare?: number;
-  /** Share of the requests that are long. */
+  /** Share of the requests with a long prompt. */
   readonly longShare?: number;
 }
 
-/** Requests arrive until then; the last deadlines pass a minute later. */
+/** End of the arrivals; the last deadline is up to a minute later. */
 export const ARRIVALS_END_MS = 90_000;
-/** Each tier's share of the requests and time to its deadline. */
+/** Share of the requests, deadline and goodput weight of each tier. */
 export const TIER_LOADS = [
   { tier: asTier(1), share: 0.15, deadlineMs: 20_000, weight: 8 },
   { tier: asTier(2), share: 0.25, deadlineMs: 30_000, weight: 4 },
   { tier: asTier(3), share: 0.3, deadlineMs: 40_000, weight: 2 },
   { tier: asTier(4), share: 0.3, deadlineMs: 60_000, weight: 1 },
 ] as const;
-/** What callers allow an answer at most. */
+/** Output token limit that callers set. */
 export const MAXIMUM_OUTPUT_TOKENS = 1_024;
 
 const ACCOUNT_SHARES = [0.4, 0.3, 0.15, 0.1, 0.05];
@@ -95,7 +95,7 @@
   ...["g2", "g2", "g2", "g2", "g2", "g2"] as const,
   ...["g1", "g1", "g1", "g1", "g1", "g1"] as const,
 ];
-const SHAPES = {
+const DEPLOYMENTS = {
   fukuoka: {
     domains: ["hakata", "tenjin", "momochi"],
     distanceMs: 1,
@@ -109,29 +109,29 @@
     output: { median: 100, spread: 0.9 },
   },
 } as const;
-const PROMPT_LIMITS = { least: 40, most: 16_000 };
+const PROMPT_LIMITS = { minimum: 40, maximum: 16_000 };
 const LONG_PROMPT = { median: 10_000, spread: 0.3 };
 const PREFIXES_PER_ACCOUNT = 4;
 const PREFIX_BLOCKS = 32;
 const IDEMPOTENT_SHARE = 0.7;
 
-/** The fleet of a deployment: 16 engines of three speeds in three failure domains. */
+/** Builds 16 engines of three generations in three failure domains. */
 export function buildFleet(deployment: Deployment): FleetMember[] {
-  const { domains } = SHAPES[deployment];
+  const { domains } = DEPLOYMENTS[deployment];
   return FLEET.map((generation, index) => ({
     upstream: asId<UpstreamId>(`${deployment}-${index}`),
     failureDomain: asId<FailureDomain>(domains[index % domains.length]!),
     generation,
-    speed: HARDWARE_GENERATIONS[generation],
+    profile: HARDWARE_GENERATIONS[generation],
   }));
 }
 
-/** One way between failure domains. */
+/** Returns the one-way latency between failure domains. */
 export function domainLatency(deployment: Deployment): Milliseconds {
-  return SHAPES[deployment].distanceMs;
+  return DEPLOYMENTS[deployment].distanceMs;
 }
 
-/** The requests of one experiment in order of arrival. */
+/** Generates the requests of an experiment in order of arrival. */
 export function buildArrivals(
   { deployment, seed, shape }: {
     deployment: Deployment;
@@ -140,7 +140,7 @@
   },
 ): Arrival[] {
   const random = new SeededRandom(seed);
-  const perSecond = requestsPerSecond(deployment);
+  const perSecond = capacityPerSecond(deployment);
   const arrivals: Arrival[] = [];
   let at = 0;
   while (true) {
@@ -153,11 +153,11 @@
 }
 
 /**
- * How many usual requests a second keep the whole fleet busy: prompt tokens and
- * output tokens by what each costs on each engine with a full batch.
+ * Estimates the fleet's capacity in default requests per second, from the cost
+ * of prompt and output tokens on each engine with a full batch.
  */
-function requestsPerSecond(deployment: Deployment): number {
-  const { prompt, output } = SHAPES[deployment];
+function capacityPerSecond(deployment: Deployment): number {
+  const { prompt, output } = DEPLOYMENTS[deployment];
   const random = new SeededRandom(0);
   const samples = Array.from({ length: 4_000 }, () => ({
     prompt: drawPrompt(random, prompt),
@@ -166,17 +166,17 @@
   const promptTokens = mean(samples.map((sample) => sample.prompt));
   const outputTokens = mean(samples.map((sample) => sample.output));
   return FLEET.reduce((sum, generation) => {
-    const speed = HARDWARE_GENERATIONS[generation];
-    const seconds = promptTokens / speed.prefillTokensPerSecond +
-      outputTokens * fullBatchStepMs(speed) / 1_000;
+    const profile = HARDWARE_GENERATIONS[generation];
+    const seconds = promptTokens / profile.prefillTokensPerSecond +
+      outputTokens * fullBatchStepMs(profile) / 1_000;
     return sum + 1 / seconds;
   }, 0);
 }
 
-/** Time of one output token when the batch is full. */
-export function fullBatchStepMs(speed: EngineProfile): Milliseconds {
-  return speed.decodeStepMs / speed.maximumBatch +
-    speed.decodeStepPerRequestMs;
+/** Returns the decode time per output token with a full batch. */
+export function fullBatchStepMs(profile: EngineProfile): Milliseconds {
+  return profile.decodeStepMs / profile.maximumBatch +
+    profile.decodeStepPerRequestMs;
 }
 
 function drawArrival(
@@ -188,7 +188,7 @@
     random: Random;
   },
 ): Arrival {
-  const { domains, prompt, output } = SHAPES[deployment];
+  const { domains, prompt, output } = DEPLOYMENTS[deployment];
   const { tier, deadlineMs } = drawByShare(random, TIER_LOADS);
   const account = drawAccount(random, shape.hotAccountShare ?? 0);
   const isLong = random.float() < (shape.longShare ?? 0);
@@ -222,10 +222,10 @@
   random: Random,
   items: readonly Item[],
 ): Item {
-  let left = random.float();
+  let remaining = random.float();
   for (const item of items) {
-    left -= item.share;
-    if (left < 0) return item;
+    remaining -= item.share;
+    if (remaining < 0) return item;
   }
   return items.at(-1)!;
 }
@@ -242,7 +242,10 @@
   { median, spread }: { median: number; spread: number },
 ): number {
   const tokens = Math.round(median * Math.exp(spread * random.normal()));
-  return Math.min(PROMPT_LIMITS.most, Math.max(PROMPT_LIMITS.least, tokens));
+  return Math.min(
+    PROMPT_LIMITS.maximum,
+    Math.max(PROMPT_LIMITS.minimum, tokens),
+  );
 }
 
 function drawOutput(
--- a/packages/proof/src/benchPassThroughMain.ts
+++ b/packages/proof/src/benchPassThroughMain.ts
@@ -4,22 +4,22 @@
 import { Hono } from "hono";
 import { Agent } from "undici";
 
-/** The barest relay: one hono route, one undici request, no decision at all. */
+/** Minimal proxy without scheduling, as the baseline of the benchmark. */
 const upstream = process.argv[2]!;
 const agent = new Agent({ connections: 512, pipelining: 1 });
 const app = new Hono();
 
 app.post("/v1/chat/completions", async (context) => {
-  const answer = await agent.request({
+  const response = await agent.request({
     origin: upstream,
     path: "/v1/chat/completions",
     method: "POST",
     headers: { "content-type": "application/json", "x-request-nonce": "0" },
     body: Buffer.from(await context.req.arrayBuffer()),
   });
-  return new Response(answer.body as unknown as ReadableStream, {
-    status: answer.statusCode,
-    headers: { "content-type": String(answer.headers["content-type"]) },
+  return new Response(response.body as unknown as ReadableStream, {
+    status: response.statusCode,
+    headers: { "content-type": String(response.headers["content-type"]) },
   });
 });
 
--- a/packages/proof/src/benchUpstreamMain.ts
+++ b/packages/proof/src/benchUpstreamMain.ts
@@ -7,14 +7,14 @@
 import process from "node:process";
 
 /**
- * The fastest upstream there can be: it answers from a constant and echoes the
- * nonce, so that a benchmark measures what stands before it.
+ * Upstream that returns a constant response and echoes the nonce, so that a
+ * benchmark measures only the proxy in front of it.
  */
 const NONCE_HEADER = "x-request-nonce";
 const TOKENS_PER_WRITE = 4;
 const CONTENT = "word ".repeat(40);
 
-function answerWhole(nonce: string, outgoing: ServerResponse): void {
+function sendCompletion(nonce: string, outgoing: ServerResponse): void {
   const body = JSON.stringify({
     id: `chatcmpl-${nonce}`,
     object: "chat.completion",
@@ -33,7 +33,7 @@
   outgoing.end(body);
 }
 
-function chunkOf(
+function formatChunk(
   nonce: string,
   content: string,
   finish: string | null,
@@ -45,7 +45,7 @@
   }\n\n`;
 }
 
-function answerStream(
+function sendStream(
   nonce: string,
   { tokens, outgoing }: { tokens: number; outgoing: ServerResponse },
 ): void {
@@ -53,8 +53,8 @@
     "content-type": "text/event-stream",
     [NONCE_HEADER]: nonce,
   });
-  const token = chunkOf(nonce, " word", null);
-  const end = `${chunkOf(nonce, "", "stop")}data: [DONE]\n\n`;
+  const token = formatChunk(nonce, " word", null);
+  const end = `${formatChunk(nonce, "", "stop")}data: [DONE]\n\n`;
   let sent = 0;
   const send = (): void => {
     while (sent < tokens) {
@@ -70,7 +70,7 @@
   send();
 }
 
-async function answer(
+async function handleRequest(
   incoming: IncomingMessage,
   outgoing: ServerResponse,
 ): Promise<void> {
@@ -87,12 +87,12 @@
     stream?: boolean;
     "max_tokens"?: number;
   };
-  if (stream) answerStream(nonce, { tokens, outgoing });
-  else answerWhole(nonce, outgoing);
+  if (stream) sendStream(nonce, { tokens, outgoing });
+  else sendCompletion(nonce, outgoing);
 }
 
 const server = createServer((incoming, outgoing) =>
-  void answer(incoming, outgoing)
+  void handleRequest(incoming, outgoing)
 );
 server.listen(0, "127.0.0.1", () => {
   const { port } = server.address() as AddressInfo;
--- a/packages/proof/src/callerConnection.ts
+++ b/packages/proof/src/callerConnection.ts
@@ -2,9 +2,9 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { Readable, Writable } from "node:stream";
 
-const LOWEST_STATUS = 100;
+const MIN_STATUS = 100;
 
-/** One call of a caller, as its bytes are. */
+/** A caller's HTTP request. */
 export interface ScenarioCall {
   readonly method: string;
   readonly path: string;
@@ -13,16 +13,15 @@
 }
 
 /**
- * The caller's end of a connection without a socket. The caller interface of an
- * entry host writes to it as to Node's own answer, so that scenarios judge the
- * very bytes that a caller would see.
+ * Caller's end of an in-memory HTTP connection. It stands in for Node's
+ * `ServerResponse`, so that scenarios check the bytes that a caller receives.
  */
 export class CallerConnection extends Writable {
   readonly incoming: IncomingMessage;
   status = 0;
   headers: Readonly<Record<string, unknown>> = {};
   shouldKeepAlive = true;
-  readonly #parts: Buffer[] = [];
+  readonly #chunks: Buffer[] = [];
   #onEnd: (() => void) | undefined;
 
   constructor(
@@ -31,13 +30,13 @@
   ) {
     super();
     this.#onEnd = options.onEnd;
-    const parts = body === "" ? [] : [Buffer.from(body)];
+    const chunks = body === "" ? [] : [Buffer.from(body)];
     const allHeaders = {
       ...headers,
       "host": "entry",
       "content-length": String(body.length),
     };
-    this.incoming = Object.assign(Readable.from(parts), {
+    this.incoming = Object.assign(Readable.from(chunks), {
       method,
       url: path,
       httpVersion: "1.1",
@@ -50,21 +49,21 @@
     this.on("close", () => this.#end());
   }
 
-  /** As the caller interface takes it. */
+  /** This connection as the response type of the caller API. */
   get outgoing(): ServerResponse {
     return this as unknown as ServerResponse;
   }
 
   get text(): string {
-    return Buffer.concat(this.#parts).toString("utf8");
+    return Buffer.concat(this.#chunks).toString("utf8");
   }
 
-  /** Read by the caller interface when it fails half-way. */
+  /** Whether the status was sent; the caller API reads it after an error. */
   get headersSent(): boolean {
     return this.status > 0;
   }
 
-  /** Whether the host ended the answer itself; a part is not the whole. */
+  /** Whether the host completed the response. */
   get isFinished(): boolean {
     return this.writableFinished;
   }
@@ -74,23 +73,23 @@
   }
 
   writeHead(status: number, headers: Record<string, unknown> = {}): this {
-    // Node refuses such a status, too.
-    if (status < LOWEST_STATUS) throw new RangeError(`Status ${status}`);
+    // Node's ServerResponse throws for such a status, too.
+    if (status < MIN_STATUS) throw new RangeError(`Invalid status ${status}`);
     this.status = status;
     this.headers = { ...this.headers, ...headers };
     return this;
   }
 
   override _write(
-    part: Buffer,
+    chunk: Buffer,
     _encoding: string,
     callback: () => void,
   ): void {
-    this.#parts.push(part);
+    this.#chunks.push(chunk);
     callback();
   }
 
-  /** The host died; nothing more comes. */
+  /** Ends the connection without completing the response. */
   disconnect(): void {
     this.#end();
   }
--- a/packages/proof/src/checkLiveRun.ts
+++ b/packages/proof/src/checkLiveRun.ts
@@ -2,8 +2,8 @@
 import type { Fleet } from "./fleet.ts";
 
 /**
- * What `live` prints. The plain services' own count of runs is the judge of
- * runs; `null` stands for what nobody counted in this run.
+ * Output of the `live` command. Runs are counted by the plain services; `null`
+ * marks an invariant that is not checked.
  */
 export interface LiveReport {
   readonly seed: number;
@@ -15,13 +15,13 @@
   readonly whole: number;
   readonly notRun: number;
   readonly unknown: number;
-  /** Of the calls to plain services. */
+  /** Counted for plain services only. */
   readonly unknownThatHadNotRun: number;
   readonly doubleDispatches: number;
   readonly doubleRuns: number;
   readonly crossed: number;
   readonly cut: number;
-  /** Of the calls to plain services. */
+  /** Counted for plain services only. */
   readonly falseNotRun: number;
   readonly lostJobs: null;
   readonly configurationReversions: number;
@@ -30,7 +30,7 @@
   readonly unknownByType: Readonly<Record<string, number>>;
 }
 
-/** What a run gave besides its calls. */
+/** Parameters and fault counts of a run. */
 export interface LiveRunSummary {
   readonly seed: number;
   readonly seconds: number;
@@ -40,41 +40,50 @@
   readonly configurationReversions: number;
 }
 
-/** Compares what callers were told with what the stand-ins ran. */
+/** Compares the outcomes seen by callers with the runs at the stand-ins. */
 export function checkLiveRun(
   run: LiveRunSummary,
   { calls, fleet }: { calls: readonly EndedCall[]; fleet: Fleet },
 ): LiveReport {
   const runs = runsByKey(fleet);
-  const ended = calls.map((call) => ({ ...call, truth: truthOf(call) }));
-  const plain = ended.filter(({ call }) => call.kind === "plain");
+  const classified = calls.map((call) => ({
+    ...call,
+    observed: classifyOutcome(call),
+  }));
+  const plain = classified.filter(({ call }) => call.kind === "plain");
   const hasRun = ({ idempotencyKey: key }: EndedCall): boolean => runs.has(key);
   return {
     ...run,
     requests: calls.length,
-    whole: count(ended, ({ truth }) => truth === "whole"),
-    notRun: count(ended, ({ truth }) => truth === "not-run"),
-    unknown: count(ended, ({ truth }) => truth === "unknown"),
-    unknownThatHadNotRun: count(
+    whole: countMatching(classified, ({ observed }) => observed === "whole"),
+    notRun: countMatching(classified, ({ observed }) => observed === "not-run"),
+    unknown: countMatching(
+      classified,
+      ({ observed }) => observed === "unknown",
+    ),
+    unknownThatHadNotRun: countMatching(
       plain,
-      (call) => call.truth === "unknown" && !hasRun(call),
+      (call) => call.observed === "unknown" && !hasRun(call),
+    ),
+    doubleDispatches: countRepeatedNonces(fleet),
+    doubleRuns: countMatching([...runs.values()], (times) => times > 1),
+    crossed: countMatching(
+      classified,
+      ({ outcome }) => outcome.kind === "crossed",
     ),
-    doubleDispatches: doubledNonces(fleet),
-    doubleRuns: count([...runs.values()], (times) => times > 1),
-    crossed: count(ended, ({ outcome: ending }) => ending.kind === "crossed"),
-    cut: count(ended, ({ outcome: ending }) => ending.kind === "cut"),
-    falseNotRun: count(
+    cut: countMatching(classified, ({ outcome }) => outcome.kind === "cut"),
+    falseNotRun: countMatching(
       plain,
-      (call) => call.truth === "not-run" && hasRun(call),
+      (call) => call.observed === "not-run" && hasRun(call),
     ),
     lostJobs: null,
     tierInversions: null,
     newWorkToLeavingAfterGrace: null,
-    unknownByType: unknownByType(ended),
+    unknownByType: unknownByType(classified),
   };
 }
 
-/** Runs of each key, over all plain services. */
+/** Number of runs of each key over all plain services. */
 function runsByKey({ deployment }: Fleet): Map<string, number> {
   const runs = new Map<string, number>();
   for (const { runs: { byKey } } of deployment.plainServices.values()) {
@@ -85,34 +94,36 @@
   return runs;
 }
 
-function doubledNonces({ deployment }: Fleet): number {
+function countRepeatedNonces({ deployment }: Fleet): number {
   const plain = [...deployment.plainServices.values()].flatMap(({ runs }) =>
     Object.values(runs.byNonce)
   );
   const engines = [...deployment.engines.values()].flatMap((
     { state: { runs } },
   ) => Object.values(runs).map(({ starts }) => starts));
-  return count([...plain, ...engines], (times) => times > 1);
+  return countMatching([...plain, ...engines], (times) => times > 1);
 }
 
-function truthOf({ outcome: ending }: EndedCall): string {
-  if (ending.kind === "problem") return ending.problem.ending;
-  return ending.kind === "whole" ? "whole" : "unknown";
+function classifyOutcome({ outcome }: EndedCall): string {
+  if (outcome.kind === "problem") return outcome.problem.ending;
+  return outcome.kind === "whole" ? "whole" : "unknown";
 }
 
 function unknownByType(
-  ended: readonly (EndedCall & { truth: string })[],
+  classified: readonly (EndedCall & { observed: string })[],
 ): Record<string, number> {
   const types: Record<string, number> = {};
-  for (const { outcome: ending, truth } of ended) {
-    if (truth !== "unknown") continue;
-    const type = ending.kind === "problem" ? ending.problem.type : ending.kind;
+  for (const { outcome, observed } of classified) {
+    if (observed !== "unknown") continue;
+    const type = outcome.kind === "problem"
+      ? outcome.problem.type
+      : outcome.kind;
     types[type] = (types[type] ?? 0) + 1;
   }
   return types;
 }
 
-function count<Item>(
+function countMatching<Item>(
   items: readonly Item[],
   matches: (item: Item) => boolean,
 ): number {
--- a/packages/proof/src/checkScenario.ts
+++ b/packages/proof/src/checkScenario.ts
@@ -3,40 +3,40 @@
 import { isIdempotentKind, isJobKind } from "./scenarioCaller.ts";
 import type { ScenarioJournal, TimedScenarioEvent } from "./scenarioJournal.ts";
 
-/** Broken promises, each 0 in a sound system. */
+/** Number of violations of each invariant. */
 export interface InvariantViolations {
-  /** Dispatches beyond what the callers' own attempts allow, or one nonce twice. */
+  /** Dispatches beyond those the caller's attempts allow, or reused nonces. */
   doubleDispatches: number;
-  /** Runs of a request that must not run twice, after the first. */
+  /** Non-idempotent requests that ran more than once. */
   doubleRuns: number;
-  /** Answers with another request's content. */
+  /** Responses with the content of another request. */
   crossed: number;
-  /** Parts taken for the whole, and requests that never ended. */
+  /** Truncated responses presented as complete, and attempts without an end. */
   cut: number;
-  /** "Not run" said of a request that had run, or ran later without a resend. */
+  /** Requests reported as not run that ran, unless after a resend. */
   falseNotRun: number;
-  /** Accepted jobs that no host knows in the end, fewer hosts having died than held copies. */
+  /** Accepted jobs without an outcome, unless all copies may be lost. */
   lostJobs: number;
-  /** Times a process took a bundle older than the one it had. */
+  /** Bundles in force that are older than the previous one of the process. */
   configurationReversions: number;
-  /** Requests shed while work of a lower tier waited and then ran. */
+  /** Requests shed while a lower-tier request was queued that ran later. */
   tierInversions: number;
-  /** Dispatches to an upstream 3 s after a host had learned that it leaves. */
+  /** Dispatches to a leaving upstream after the grace period. */
   newWorkToLeavingAfterGrace: number;
 }
 
-/** How a scenario ended, judged by one who saw everything. */
+/** Request counts and violations of a scenario. */
 export interface ScenarioVerdict extends InvariantViolations {
   requests: number;
   whole: number;
   notRun: number;
   unknown: number;
   unknownThatHadNotRun: number;
-  /** What was found, in words. */
+  /** Descriptions of the violations and unmet expectations. */
   readonly findings: string[];
 }
 
-/** Names of the counters of {@link InvariantViolations}. */
+/** Names of all invariants. */
 export const INVARIANTS: readonly (keyof InvariantViolations)[] = [
   "doubleDispatches",
   "doubleRuns",
@@ -50,14 +50,14 @@
 ];
 
 const LEAVING_GRACE_MS: Milliseconds = 3_000;
-/** Time for a message and a tick; a lower tier that waits shorter may not be known yet. */
-const KNOWN_WAITING_MS: Milliseconds = 500;
-/** How long after a disturbance keepers may know less than the whole fleet. */
-const DISTURBED_MS: Milliseconds = 8_000;
-/** Holder and two copies. */
+/** Time until a queued request is known to the pool's coordinator. */
+const QUEUE_VISIBILITY_MS: Milliseconds = 500;
+/** Time after a disturbance in which coordinators may have incomplete state. */
+const RECOVERY_MS: Milliseconds = 8_000;
+/** Number of copies of a job, including the holder's. */
 const JOB_COPIES = 3;
 
-/** A verdict without any request. */
+/** Creates a verdict without requests. */
 export function emptyVerdict(): ScenarioVerdict {
   return {
     requests: 0,
@@ -78,7 +78,7 @@
   };
 }
 
-/** Compares what callers were told with everything that happened. */
+/** Checks the outcomes seen by callers against the recorded events. */
 export function checkScenario(
   scenario: FaultScenario,
   journal: ScenarioJournal,
@@ -100,72 +100,75 @@
     const sent = new Set(
       this.#journal.ofKind("sent").map(({ request }) => request),
     );
-    for (const name of sent) this.#judgeRequest(name);
-    this.#judgeNonces();
-    this.#judgeConfiguration();
-    this.#judgeTiers();
-    this.#judgeLeaving();
+    for (const name of sent) this.#checkRequest(name);
+    this.#checkNonces();
+    this.#checkConfiguration();
+    this.#checkTiers();
+    this.#checkLeaving();
     return this.#verdict;
   }
 
-  #judgeRequest(name: string): void {
+  #checkRequest(name: string): void {
     const verdict = this.#verdict;
-    const dispatches = this.#dispatchesOf(name);
-    const ended = this.#endsOf(name);
-    const ending = finalEnding(ended);
+    const dispatches = this.#dispatchEventsOf(name);
+    const ended = this.#endEventsOf(name);
+    const outcome = finalOutcome(ended);
     verdict.requests++;
-    if (ending === "whole") verdict.whole++;
-    else if (ending === "not-run") verdict.notRun++;
+    if (outcome === "whole") verdict.whole++;
+    else if (outcome === "not-run") verdict.notRun++;
     else {
       verdict.unknown++;
       if (dispatches.length === 0) verdict.unknownThatHadNotRun++;
     }
-    this.#judgeDispatches(name, dispatches.length);
-    this.#judgeAnswers(name, ended);
-    this.#judgeNotRun(name, ended);
-    this.#judgeExpectation(name, { ending, dispatches: dispatches.length });
+    this.#checkDispatches(name, dispatches.length);
+    this.#checkResponses(name, ended);
+    this.#checkNotRun(name, ended);
+    this.#checkExpectation(name, { outcome, dispatches: dispatches.length });
   }
 
-  #judgeDispatches(name: string, dispatches: number): void {
+  #checkDispatches(name: string, dispatches: number): void {
     const { kind } = this.#scenario.requests[name]!;
-    const attempts = this.#sendsOf(name).length;
+    const attempts = this.#sendEventsOf(name).length;
     const allowed = isIdempotentKind(kind) && !isJobKind(kind) ? attempts : 1;
     if (dispatches > allowed) {
-      this.#found("doubleDispatches", `${name} left ${dispatches} times`);
+      this.#addViolation(
+        "doubleDispatches",
+        `${name} was dispatched ${dispatches} times`,
+      );
     }
     if (!isIdempotentKind(kind) && dispatches > 1) {
-      this.#found("doubleRuns", `${name} ran ${dispatches} times`);
+      this.#addViolation("doubleRuns", `${name} ran ${dispatches} times`);
     }
   }
 
-  #judgeAnswers(name: string, ended: Ended[]): void {
+  #checkResponses(name: string, ended: EndEvent[]): void {
     for (const { fault, detail } of ended) {
-      if (fault !== undefined) this.#found(fault, `${name}: ${detail}`);
+      if (fault !== undefined) this.#addViolation(fault, `${name}: ${detail}`);
     }
     const isJob = ended.some(({ ending }) => ending === "accepted");
     if (isJob) {
       const isOver = ended.some(({ ending }) => ending !== "accepted");
-      if (!isOver && !this.#isLossExcused()) {
-        this.#found("lostJobs", `${name} was accepted and never ended`);
+      if (!isOver && !this.#isLossAllowed()) {
+        this.#addViolation("lostJobs", `${name} was accepted and never ended`);
       }
       return;
     }
-    if (ended.length < this.#sendsOf(name).length) {
-      this.#found("cut", `${name} has an attempt without an ending`);
+    if (ended.length < this.#sendEventsOf(name).length) {
+      this.#addViolation("cut", `${name} has an attempt without an end`);
     }
   }
 
-  #isLossExcused(): boolean {
+  #isLossAllowed(): boolean {
     const killed = this.#journal.ofKind("disturbed").filter(({ how }) =>
       how === "killed"
     );
     return killed.length >= JOB_COPIES;
   }
 
-  /** A resend by the caller after "not run" is a new chance, not a false word. */
-  #judgeNotRun(name: string, ended: Ended[]): void {
-    const dispatches = this.#dispatchesOf(name);
-    const sends = this.#sendsOf(name);
+  /** Allows a dispatch after "not run" if the caller resent the request. */
+  #checkNotRun(name: string, ended: EndEvent[]): void {
+    const dispatches = this.#dispatchEventsOf(name);
+    const sends = this.#sendEventsOf(name);
     for (const { at, ending, detail } of ended) {
       if (ending !== "not-run") continue;
       const isFalse = dispatches.some((dispatch) =>
@@ -173,100 +176,106 @@
         !sends.some((send) => send.at > at && send.at <= dispatch.at)
       );
       if (isFalse) {
-        this.#found("falseNotRun", `${name} was told "not run" (${detail})`);
+        this.#addViolation(
+          "falseNotRun",
+          `${name} was reported as not run (${detail})`,
+        );
       }
     }
   }
 
-  #judgeExpectation(
+  #checkExpectation(
     name: string,
-    { ending, dispatches }: { ending: ObservedOutcome; dispatches: number },
+    { outcome, dispatches }: { outcome: ObservedOutcome; dispatches: number },
   ): void {
     const expected = this.#scenario.expect?.[name];
-    if (expected?.ends !== undefined && !expected.ends.includes(ending)) {
+    if (expected?.ends !== undefined && !expected.ends.includes(outcome)) {
       this.#verdict.findings.push(
-        `expected ${name} to end ${expected.ends.join(" or ")}, was ${ending}`,
+        `expected ${name} to end ${expected.ends.join(" or ")}, was ${outcome}`,
       );
     }
-    const wanted = expected?.dispatches;
-    if (wanted !== undefined && wanted !== dispatches) {
+    const expectedDispatches = expected?.dispatches;
+    if (expectedDispatches !== undefined && expectedDispatches !== dispatches) {
       this.#verdict.findings.push(
-        `expected ${wanted} dispatches of ${name}, were ${dispatches}`,
+        `expected ${expectedDispatches} dispatches of ${name}, were ${dispatches}`,
       );
     }
   }
 
-  #judgeNonces(): void {
+  #checkNonces(): void {
     const seen = new Set<string>();
     for (const { nonce, request } of this.#journal.ofKind("dispatched")) {
       if (seen.has(nonce)) {
-        this.#found("doubleDispatches", `${request} left twice as ${nonce}`);
+        this.#addViolation(
+          "doubleDispatches",
+          `${request} was dispatched twice with nonce ${nonce}`,
+        );
       }
       seen.add(nonce);
     }
   }
 
-  #judgeConfiguration(): void {
+  #checkConfiguration(): void {
     const versions = new Map<string, number>();
     for (
       const { incarnation, host, version } of this.#journal.ofKind("in-force")
     ) {
-      const former = versions.get(incarnation) ?? 0;
-      if (version < former) {
-        this.#found(
+      const previous = versions.get(incarnation) ?? 0;
+      if (version < previous) {
+        this.#addViolation(
           "configurationReversions",
-          `${host} went from ${former} to ${version}`,
+          `${host} went from bundle ${previous} to ${version}`,
         );
       }
       versions.set(incarnation, version);
     }
   }
 
-  /** Only where no fault has parted what the keepers know. */
-  #judgeTiers(): void {
+  /** Skips disturbed periods, in which coordinators lack the fleet's state. */
+  #checkTiers(): void {
     for (
       const { at, request, ending, detail } of this.#journal.ofKind("ended")
     ) {
       if (ending !== "not-run" || detail !== "shed") continue;
-      if (this.#isDisturbed(at - DISTURBED_MS, at)) continue;
+      if (this.#isDisturbed(at - RECOVERY_MS, at)) continue;
       const { tier = 2, kind } = this.#scenario.requests[request]!;
-      const passed = this.#journal.ofKind("dispatched").find((dispatch) => {
+      const preferred = this.#journal.ofKind("dispatched").find((dispatch) => {
         const other = this.#scenario.requests[dispatch.request]!;
-        const since = this.#sendsOf(dispatch.request)[0]!.at;
+        const since = this.#sendEventsOf(dispatch.request)[0]!.at;
         return (other.tier ?? 2) > tier && dispatch.at > at &&
-          since < at - KNOWN_WAITING_MS &&
+          since < at - QUEUE_VISIBILITY_MS &&
           isSameService(other.kind, kind);
       });
-      if (passed !== undefined) {
-        this.#found(
+      if (preferred !== undefined) {
+        this.#addViolation(
           "tierInversions",
-          `${request} was shed while ${passed.request} waited and then ran`,
+          `${request} was shed while ${preferred.request} was queued and then ran`,
         );
       }
     }
   }
 
-  #judgeLeaving(): void {
-    const learned = new Map<string, Milliseconds>();
+  #checkLeaving(): void {
+    const leavingSince = new Map<string, Milliseconds>();
     for (const { at, upstreams } of this.#journal.ofKind("leaving-read")) {
       for (const upstream of upstreams) {
-        if (!learned.has(upstream)) learned.set(upstream, at);
+        if (!leavingSince.has(upstream)) leavingSince.set(upstream, at);
       }
     }
     for (
       const { at, upstream, request } of this.#journal.ofKind("dispatched")
     ) {
-      const since = learned.get(upstream);
+      const since = leavingSince.get(upstream);
       if (since === undefined || at <= since + LEAVING_GRACE_MS) continue;
       if (this.#isDisturbed(since, at)) continue;
-      this.#found(
+      this.#addViolation(
         "newWorkToLeavingAfterGrace",
         `${request} went to ${upstream} ${at - since} ms after it was leaving`,
       );
     }
   }
 
-  /** Whether hosts were cut off, paused or fresh at some time within the span. */
+  /** Whether a disturbance occurred or lasted within a period. */
   #isDisturbed(from: Milliseconds, to: Milliseconds): boolean {
     let isCut = false;
     let paused = 0;
@@ -281,7 +290,7 @@
     return isCut || paused > 0;
   }
 
-  #dispatchesOf(
+  #dispatchEventsOf(
     name: string,
   ): Extract<TimedScenarioEvent, { kind: "dispatched" }>[] {
     return this.#journal.ofKind("dispatched").filter(({ request }) =>
@@ -289,31 +298,36 @@
     );
   }
 
-  #sendsOf(name: string): Extract<TimedScenarioEvent, { kind: "sent" }>[] {
+  #sendEventsOf(name: string): Extract<TimedScenarioEvent, { kind: "sent" }>[] {
     return this.#journal.ofKind("sent").filter(({ request }) =>
       request === name
     );
   }
 
-  #endsOf(name: string): Ended[] {
+  #endEventsOf(name: string): EndEvent[] {
     return this.#journal.ofKind("ended").filter(({ request }) =>
       request === name
     );
   }
 
-  #found(promise: keyof InvariantViolations, finding: string): void {
-    this.#verdict[promise]++;
-    this.#verdict.findings.push(`${promise}: ${finding}`);
+  #addViolation(
+    invariant: keyof InvariantViolations,
+    description: string,
+  ): void {
+    this.#verdict[invariant]++;
+    this.#verdict.findings.push(`${invariant}: ${description}`);
   }
 }
 
-type Ended = Extract<TimedScenarioEvent, { kind: "ended" }>;
+type EndEvent = Extract<TimedScenarioEvent, { kind: "ended" }>;
 
-/** The whole answer where one came, else what the caller was told last. */
-function finalEnding(ended: Ended[]): ObservedOutcome {
+/** Returns `whole` if any attempt completed, else the last outcome. */
+function finalOutcome(ended: EndEvent[]): ObservedOutcome {
   if (ended.some(({ ending }) => ending === "whole")) return "whole";
-  const told = ended.filter(({ detail }) => detail !== "connection-refused");
-  const last = told.at(-1)?.ending;
+  const reported = ended.filter(({ detail }) =>
+    detail !== "connection-refused"
+  );
+  const last = reported.at(-1)?.ending;
   if (last === undefined) return ended.length > 0 ? "not-run" : "unknown";
   return last === "accepted" ? "unknown" : last;
 }
--- a/packages/proof/src/childProgram.ts
+++ b/packages/proof/src/childProgram.ts
@@ -6,13 +6,13 @@
 
 const KIB_PER_MIB = 1024;
 
-/** A started program and the JSON line that it printed first. */
+/** A child process and the JSON object of its first output line. */
 export interface ChildProgram {
   readonly child: ChildProcess;
   readonly announcement: Record<string, unknown>;
 }
 
-/** Starts a program beside this file and waits for its first line. */
+/** Starts a program of this directory and waits for its first output line. */
 export async function startProgram(
   name: string,
   args: readonly string[] = [],
@@ -24,10 +24,10 @@
   for await (const line of createInterface({ input: child.stdout! })) {
     return { child, announcement: JSON.parse(line) as Record<string, unknown> };
   }
-  throw new Error(`${name} ended before it printed a line`);
+  throw new Error(`Program ${name} exited before printing a line`);
 }
 
-/** Ends a started program. */
+/** Kills a child process and waits for its exit. */
 export function endProgram(child: ChildProcess): Promise<void> {
   if (child.exitCode !== null || child.signalCode !== null) {
     return Promise.resolve();
@@ -38,17 +38,17 @@
   });
 }
 
-/** Resident size of a process in MiB, as the kernel tells it. */
+/** Returns the resident set size of a process in MiB. */
 export async function residentMib(pid: number): Promise<number> {
   const status = await readFile(`/proc/${pid}/status`, "utf8");
   const [, kib] = /VmRSS:\s+(\d+) kB/.exec(status) ?? [];
   return Number(kib ?? 0) / KIB_PER_MIB;
 }
 
-/** Clock ticks of the kernel's accounting, 100 a second on Linux. */
+/** Length of a clock tick in /proc, at 100 ticks per second. */
 const MICROS_PER_TICK = 10_000;
 
-/** Processor time that a process has used, in microseconds. */
+/** Returns the processor time used by a process in microseconds. */
 export async function processorMicros(pid: number): Promise<number> {
   const stat = await readFile(`/proc/${pid}/stat`, "utf8");
   const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ");
--- a/packages/proof/src/dayBoundMain.ts
+++ b/packages/proof/src/dayBoundMain.ts
@@ -1,11 +1,11 @@
-/** Prints what the places of each service were used for, from the logs of its hosts. */
+/** Prints the slot usage and on-time bound of each service from host logs. */
 import process from "node:process";
 import { readLogFiles } from "@wasabivane/ctl";
 import { cac } from "cac";
 import { analyzeServiceUsage, type TierUsage } from "./serviceUsage.ts";
 import { type LoggedOutcome, readLoggedRequests } from "./loggedRequests.ts";
 
-const ENDINGS: readonly LoggedOutcome[] = [
+const OUTCOMES: readonly LoggedOutcome[] = [
   "on time",
   "late by its first event",
   "late by a pause",
@@ -20,12 +20,12 @@
 }
 
 function rowOf(
-  { tier, requestCount: asked, outcomes: endings, bound }: TierUsage,
+  { tier, requestCount, outcomes, bound }: TierUsage,
 ): (string | number)[] {
   return [
     tier,
-    asked,
-    ...ENDINGS.map((ending) => endings.get(ending) ?? 0),
+    requestCount,
+    ...OUTCOMES.map((outcome) => outcomes.get(outcome) ?? 0),
     Math.round(bound),
   ];
 }
@@ -34,8 +34,8 @@
   for (const [service, requests] of readLoggedRequests(readLogFiles(files))) {
     const { tiers, capacity, used } = analyzeServiceUsage(requests);
     const share = Math.round(100 * used / Math.max(1, capacity));
-    print([`service ${service}: ${share} % of the time in places used`]);
-    print(["tier", "asked", ...ENDINGS, "could be on time"]);
+    print([`service ${service}: ${share} % of the slot time used`]);
+    print(["tier", "requests", ...OUTCOMES, "on-time bound"]);
     for (const tier of tiers) print(rowOf(tier));
   }
 }
--- a/packages/proof/src/decisionBench.ts
+++ b/packages/proof/src/decisionBench.ts
@@ -17,50 +17,50 @@
   PoolScheduler,
 } from "@wasabivane/decisions";
 
-/** What one decision cost in a pool of this size. */
+/** Processor cost of scheduling in a pool of a given size. */
 export interface DecisionCost {
   readonly upstreams: number;
-  /** Mean time of an ask, which decides about itself and what waits. */
+  /** Mean time of a submission, which may also place queued requests. */
   readonly microsecondsPerDecision: number;
-  /** Mean time of a whole request: ask, first token, end and its share of ticks. */
+  /** Mean time of a request: placement, first token, end and ticks. */
   readonly microsecondsPerRequest: number;
 }
 
 const POOL_SIZES = [16, 256, 4_096, 12_000];
 const WARM_UP_DECISIONS = 20_000;
 const MEASURED_DECISIONS = 40_000;
-/** Requests in flight at each upstream, so that about half the places are taken. */
+/** Requests in flight at each upstream, about half of its slots. */
 const IN_FLIGHT_PER_UPSTREAM = 4;
 const PREFIX_BLOCKS = 16;
 const ACCOUNTS = 5;
 const TIERS = 4;
 const FIRST_TOKEN_MS = 200;
-const ANSWER_MS = 2_000;
+const RESPONSE_MS = 2_000;
 const TICK_MS = 100;
 
-/** Times a stream of requests through pools of several sizes. */
+/** Measures the scheduling cost in pools of several sizes. */
 export function benchDecisions(): DecisionCost[] {
-  return POOL_SIZES.map(timePool);
+  return POOL_SIZES.map(measurePool);
 }
 
-function timePool(upstreams: number): DecisionCost {
+function measurePool(upstreams: number): DecisionCost {
   const load = new BenchLoad(upstreams);
   load.run(WARM_UP_DECISIONS);
-  load.askMs = 0;
+  load.placementMs = 0;
   load.otherMs = 0;
   load.run(MEASURED_DECISIONS);
   return {
     upstreams,
-    microsecondsPerDecision: microseconds(load.askMs),
-    microsecondsPerRequest: microseconds(load.askMs + load.otherMs),
+    microsecondsPerDecision: meanMicroseconds(load.placementMs),
+    microsecondsPerRequest: meanMicroseconds(load.placementMs + load.otherMs),
   };
 }
 
-function microseconds(total: number): number {
+function meanMicroseconds(total: number): number {
   return Math.round(total * 100_000 / MEASURED_DECISIONS) / 100;
 }
 
-interface Running {
+interface RunningRequest {
   readonly request: RequestId;
   readonly upstream: UpstreamId;
   readonly firstTokenAt: number;
@@ -68,39 +68,40 @@
   hasFirstToken: boolean;
 }
 
-/** A stream of requests whose answers take two seconds each. */
+/** Request stream with a constant response duration. */
 class BenchLoad {
   readonly #scheduler: PoolScheduler;
   readonly #random = new SeededRandom(7);
-  readonly #gapMs: number;
-  #running: Running[] = [];
-  #firstTokens: Running[] = [];
+  readonly #arrivalIntervalMs: number;
+  #running: RunningRequest[] = [];
+  #firstTokens: RunningRequest[] = [];
   #nextEnd = 0;
   #nextFirstToken = 0;
   #now = 0;
   #tickAt = 0;
-  #asked = 0;
-  askMs = 0;
+  #requestCount = 0;
+  placementMs = 0;
   otherMs = 0;
 
   constructor(upstreams: number) {
     this.#scheduler = new PoolScheduler(benchPolicy(upstreams), {
       random: new SeededRandom(1),
     });
-    this.#gapMs = ANSWER_MS / (upstreams * IN_FLIGHT_PER_UPSTREAM);
+    this.#arrivalIntervalMs = RESPONSE_MS /
+      (upstreams * IN_FLIGHT_PER_UPSTREAM);
   }
 
   run(decisions: number): void {
     for (let index = 0; index < decisions; index++) {
-      this.#now += this.#gapMs;
-      const ask = this.#buildAsk();
+      this.#now += this.#arrivalIntervalMs;
+      const request = this.#buildRequest();
       const start = performance.now();
-      this.#settle();
-      const settled = performance.now();
-      const decisions = this.#scheduler.submit(ask, this.#now);
-      this.askMs += performance.now() - settled;
-      this.otherMs += settled - start;
-      this.#follow(decisions);
+      this.#processDue();
+      const placementStart = performance.now();
+      const decisions = this.#scheduler.submit(request, this.#now);
+      this.placementMs += performance.now() - placementStart;
+      this.otherMs += placementStart - start;
+      this.#applyDecisions(decisions);
     }
     this.#running = this.#running.slice(this.#nextEnd);
     this.#firstTokens = this.#firstTokens.slice(this.#nextFirstToken);
@@ -108,10 +109,10 @@
     this.#nextFirstToken = 0;
   }
 
-  #settle(): void {
+  #processDue(): void {
     if (this.#now >= this.#tickAt) {
       this.#tickAt = this.#now + TICK_MS;
-      this.#follow(this.#scheduler.tick(this.#now));
+      this.#applyDecisions(this.#scheduler.tick(this.#now));
     }
     while (
       this.#firstTokens[this.#nextFirstToken]?.firstTokenAt! <= this.#now
@@ -121,21 +122,21 @@
     }
     while (this.#running[this.#nextEnd]?.endsAt! <= this.#now) {
       const { request, upstream } = this.#running[this.#nextEnd++]!;
-      this.#follow(this.#scheduler.finish(
+      this.#applyDecisions(this.#scheduler.finish(
         { request, upstream, outcome: "whole", outputTokens: 90 },
         this.#now,
       ));
     }
   }
 
-  #follow(decisions: readonly Decision[]): void {
+  #applyDecisions(decisions: readonly Decision[]): void {
     for (const decision of decisions) {
       if (decision.kind === "refuse") continue;
       const running = {
         request: decision.placementRequest.request,
         upstream: decision.upstream,
         firstTokenAt: this.#now + FIRST_TOKEN_MS,
-        endsAt: this.#now + ANSWER_MS,
+        endsAt: this.#now + RESPONSE_MS,
         hasFirstToken: false,
       };
       this.#running.push(running);
@@ -143,8 +144,8 @@
     }
   }
 
-  #buildAsk(): PlacementRequest {
-    const number = this.#asked++;
+  #buildRequest(): PlacementRequest {
+    const number = this.#requestCount++;
     const account = `account-${this.#random.int(ACCOUNTS)}`;
     const prefix = this.#random.int(64);
     return {
--- a/packages/proof/src/drawSchedule.ts
+++ b/packages/proof/src/drawSchedule.ts
@@ -15,12 +15,12 @@
 } from "./scenario.ts";
 import { isJobKind } from "./scenarioCaller.ts";
 
-/** The story of one schedule; longer ones find no more per second of work. */
-const SPAN_MS: Milliseconds = 6_000;
+/** Upper limit of the times of first sends and faults. */
+const MAX_STEP_TIME_MS: Milliseconds = 6_000;
 const MAX_REQUESTS = 6;
 const MAX_FAULTS = 4;
 const MAX_RESENDS = 3;
-/** Clocks of two hosts differ by at most the stated bound. */
+/** Maximum offset of a host's wall clock from the true time. */
 const MAX_SKEW_MS: Milliseconds = 250;
 const SEED_STRIDE = 1_000_003;
 const HOST_COUNTS = [4, 4, 4, 5, 6];
@@ -39,13 +39,13 @@
 const TIERS = [1, 2, 3, 4];
 const ENGINES = SCENARIO_UPSTREAMS.filter((name) => name.startsWith("drafter"));
 
-/** Draws one schedule; the same seed and index draw the same one. */
+/** Generates a fault schedule, deterministic in seed and index. */
 export function drawSchedule(seed: number, index: number): FaultScenario {
   const random = new SeededRandom(seed * SEED_STRIDE + index);
-  return new ScheduleDraw(random).draw(`${seed}:${index}`);
+  return new ScheduleGenerator(random).generate(`${seed}:${index}`);
 }
 
-class ScheduleDraw {
+class ScheduleGenerator {
   readonly #random: Random;
   readonly #hosts: string[];
   #version = 1;
@@ -58,7 +58,7 @@
     );
   }
 
-  draw(name: string): FaultScenario {
+  generate(name: string): FaultScenario {
     const requests = this.#drawRequests();
     const story = [
       ...Object.entries(requests).flatMap(([request, description]) =>
@@ -66,7 +66,7 @@
       ),
       ...this.#drawFaults(Object.keys(requests)),
     ];
-    const isBurst = this.#happens(0.3);
+    const isBurst = this.#drawBoolean(0.3);
     return {
       name,
       hosts: this.#hosts.length,
@@ -78,14 +78,14 @@
         ) => [host, this.#random.int(2 * MAX_SKEW_MS) - MAX_SKEW_MS]),
       ),
       ...(isBurst ? { concurrency: 1, maximumWaitingTokens: 400 } : {}),
-      ...(this.#happens(0.05) ? { platformAtStart: "stale" as const } : {}),
+      ...(this.#drawBoolean(0.05) ? { platformAtStart: "stale" as const } : {}),
       requests,
       story,
     };
   }
 
   #drawLink(): ScenarioLink {
-    const isLossy = this.#happens(0.3);
+    const isLossy = this.#drawBoolean(0.3);
     return {
       jitterMs: this.#random.pick([0, 1, 5, 40]),
       dropShare: isLossy ? this.#random.float() * 0.1 : 0,
@@ -103,14 +103,16 @@
     const kind = this.#random.pick(KINDS);
     return {
       kind,
-      hasKey: this.#happens(0.85),
+      hasKey: this.#drawBoolean(0.85),
       tier: this.#random.pick(TIERS),
       tokens: 1 + this.#random.int(80),
       promptTokens: this.#random.pick([0, 0, 100, 300]),
       deadlineMs: isJobKind(kind)
         ? 30_000
         : this.#random.pick([2_000, 8_000, 15_000]),
-      ...(this.#happens(0.03) && kind === "draft" ? { isPoison: true } : {}),
+      ...(this.#drawBoolean(0.03) && kind === "draft"
+        ? { isPoison: true }
+        : {}),
     };
   }
 
@@ -120,7 +122,7 @@
   ): ScenarioStep[] {
     const first = this.#time();
     const sends: ScenarioStep[] = [this.#send(request, first)];
-    // A job sent again is another job, and so is a call without a key.
+    // A resent job or request without a key counts as a new request.
     if (!hasKey || isJobKind(kind)) return sends;
     const resends = this.#random.int(MAX_RESENDS + 1);
     for (let index = 0; index < resends; index++) {
@@ -142,11 +144,11 @@
 
   #drawFault(requests: string[]): ScenarioStep[] {
     const request = this.#random.pick(requests);
-    const moment = this.#drawMoment(request);
-    const start = "at" in moment ? moment.at : this.#time();
+    const trigger = this.#drawTrigger(request);
+    const start = "at" in trigger ? trigger.at : this.#time();
     const [first, ...rest] = this.#random.pick(FAULTS)(this, request);
     return [
-      { ...moment, ...first!.action },
+      { ...trigger, ...first!.action },
       ...rest.map(({ action, after = 0 }) => ({
         at: start + after,
         ...action,
@@ -154,8 +156,8 @@
     ];
   }
 
-  #drawMoment(request: string): StepTrigger {
-    if (this.#happens(0.6)) return { at: this.#time() };
+  #drawTrigger(request: string): StepTrigger {
+    if (this.#drawBoolean(0.6)) return { at: this.#time() };
     const is = this.#random.pick(["dispatched", "accepted"] as const);
     return { once: { request, is }, after: this.#random.pick([0, 1, 5, 50]) };
   }
@@ -174,20 +176,22 @@
 
   hosts(): string[] {
     const first = this.#host();
-    return this.#happens(0.3) ? [...new Set([first, this.#host()])] : [first];
+    return this.#drawBoolean(0.3)
+      ? [...new Set([first, this.#host()])]
+      : [first];
   }
 
-  halves(): string[][] {
-    const left = this.#hosts.filter(() => this.#happens(0.5));
+  groups(): string[][] {
+    const left = this.#hosts.filter(() => this.#drawBoolean(0.5));
     const right = this.#hosts.filter((host) => !left.includes(host));
     return [left, right].filter((group) => group.length > 0);
   }
 
-  others(host: string): string[] {
+  hostsExcept(host: string): string[] {
     return this.#hosts.filter((other) => other !== host);
   }
 
-  span(): Milliseconds {
+  duration(): Milliseconds {
     return this.#random.pick([200, 1_500, 4_000, 8_000, 20_000]);
   }
 
@@ -204,21 +208,21 @@
   }
 
   #time(): Milliseconds {
-    return this.#random.int(SPAN_MS);
+    return this.#random.int(MAX_STEP_TIME_MS);
   }
 
-  #happens(share: number): boolean {
-    return this.#random.float() < share;
+  #drawBoolean(probability: number): boolean {
+    return this.#random.float() < probability;
   }
 }
 
-/** Further actions follow a given time after the first one's. */
+/** Actions of a fault; `after` counts from the time of the first one. */
 type Fault = {
   readonly action: ScenarioAction;
   readonly after?: Milliseconds;
 }[];
 
-const FAULTS: readonly ((draw: ScheduleDraw, request: string) => Fault)[] = [
+const FAULTS: readonly ((draw: ScheduleGenerator, name: string) => Fault)[] = [
   (draw) => [{ action: { do: "kill", hosts: draw.hosts() } }],
   (draw) => [{ action: { do: "restart", hosts: draw.hosts() } }],
   (draw) => {
@@ -226,26 +230,30 @@
     const restart = { do: "restart", hosts } as const;
     return [
       { action: { do: "kill", hosts } },
-      { action: restart, after: draw.span() },
+      { action: restart, after: draw.duration() },
     ];
   },
   (draw) => [
-    { action: { do: "pause", hosts: draw.hosts(), forMs: draw.span() } },
+    { action: { do: "pause", hosts: draw.hosts(), forMs: draw.duration() } },
   ],
   (draw) => [
-    { action: { do: "partition", groups: draw.halves() } },
-    { action: { do: "heal" }, after: draw.span() },
+    { action: { do: "partition", groups: draw.groups() } },
+    { action: { do: "heal" }, after: draw.duration() },
   ],
   (draw) => {
     const from = draw.host();
     return [
-      { action: { do: "cut", from, to: draw.others(from) } },
-      { action: { do: "heal" }, after: draw.span() },
+      { action: { do: "cut", from, to: draw.hostsExcept(from) } },
+      { action: { do: "heal" }, after: draw.duration() },
     ];
   },
   (draw) => [
     {
-      action: { do: "crash", upstream: draw.upstream(), forMs: draw.span() },
+      action: {
+        do: "crash",
+        upstream: draw.upstream(),
+        forMs: draw.duration(),
+      },
     },
   ],
   (draw) => [
@@ -280,7 +288,7 @@
   (draw) => [
     { action: { do: "platform", state: draw.pick(["down", "stale"]) } },
     { action: { do: "roll", version: draw.nextVersion() }, after: 500 },
-    { action: { do: "platform", state: "up" }, after: draw.span() },
+    { action: { do: "platform", state: "up" }, after: draw.duration() },
   ],
   (draw) => [
     { action: { do: "platform", state: "down", hosts: draw.hosts() } },
--- a/packages/proof/src/entryBench.ts
+++ b/packages/proof/src/entryBench.ts
@@ -25,36 +25,36 @@
 const ENTRY_PROGRAM = "../../../apps/entry/dist/main.js";
 const API_KEY = "bench-key";
 const DAY_MS = 86_400_000;
-const WHOLE_CONCURRENCY = 32;
+const UNARY_CONCURRENCY = 32;
 const STREAM_CONCURRENCY = 32;
 const STREAM_TOKENS = 500;
 const WARM_UP_MS = 2_000;
-/** The two are measured in turns, so that other load on the machine hits both alike. */
+/** Rounds alternate between both targets, which spreads other load. */
 const ROUNDS = 6;
 const ROUND_MS = 1_500;
 const STREAM_MS = 5_000;
-const MICROSECONDS = 1_000;
+const MICROSECONDS_PER_MS = 1_000;
 
-/** What the benchmark of one entry process prints. */
+/** Result of the benchmark of one entry process. */
 export interface EntryBenchResult {
   readonly passThroughRps: number;
   readonly entryRps: number;
-  /** Median over the rounds. */
+  /** Median ratio of requests per second, entry to pass-through. */
   readonly ratio: number;
   readonly addedP50Ms: number;
   readonly addedP99Ms: number;
   readonly streamTokensPerSecond: number;
   readonly rssMb: number;
-  /** Resident size of the pass-through under the same load. */
+  /** Resident set size of the pass-through proxy under the same load. */
   readonly passThroughRssMb: number;
-  /** Processor time of one small whole answer; other load changes it least. */
+  /** Processor time per small unary request. */
   readonly passThroughCpuMicros: number;
   readonly entryCpuMicros: number;
-  /** Processor time of one relayed token. */
+  /** Processor time per relayed token. */
   readonly streamTokenCpuMicros: number;
 }
 
-interface Subject {
+interface BenchTarget {
   readonly url: string;
   readonly pid: number;
   readonly latency: Histogram;
@@ -63,55 +63,55 @@
   cpuMicros: number;
 }
 
-/** Measures one entry process against the barest relay, over the same upstream. */
+/** Compares one entry process with a minimal proxy over the same upstream. */
 export async function benchEntry(): Promise<EntryBenchResult> {
   const upstream = await startProgram("./benchUpstreamMain.js");
   const upstreamUrl = loopbackUrl(upstream.announcement.port);
-  const relay = await startProgram("./benchPassThroughMain.js", [upstreamUrl]);
+  const proxy = await startProgram("./benchPassThroughMain.js", [upstreamUrl]);
   const entry = await startBenchEntry(upstreamUrl);
-  const relayUrl = loopbackUrl(relay.announcement.port);
+  const proxyUrl = loopbackUrl(proxy.announcement.port);
   const entryUrl = loopbackUrl(entry.program.announcement.callerPort);
-  const relaySubject = subjectOf(relayUrl, relay.child.pid!);
-  const entrySubject = subjectOf(entryUrl, entry.program.child.pid!);
+  const proxyTarget = createBenchTarget(proxyUrl, proxy.child.pid!);
+  const entryTarget = createBenchTarget(entryUrl, entry.program.child.pid!);
   try {
-    await measureInTurns([relaySubject, entrySubject]);
-    const passThroughRssMb = await residentMib(relaySubject.pid);
-    const stream = await measureStream(entrySubject);
-    const rssMb = await residentMib(entrySubject.pid);
+    await measureAlternating([proxyTarget, entryTarget]);
+    const passThroughRssMb = await residentMib(proxyTarget.pid);
+    const stream = await measureStream(entryTarget);
+    const rssMb = await residentMib(entryTarget.pid);
     return {
-      passThroughRps: Math.round(median(relaySubject.rps)),
-      entryRps: Math.round(median(entrySubject.rps)),
+      passThroughRps: Math.round(median(proxyTarget.rps)),
+      entryRps: Math.round(median(entryTarget.rps)),
       ratio: round(
         median(
-          entrySubject.rps.map((rps, turn) => rps / relaySubject.rps[turn]!),
+          entryTarget.rps.map((rps, index) => rps / proxyTarget.rps[index]!),
         ),
       ),
-      addedP50Ms: addedAt(50, {
-        through: entrySubject,
-        passThrough: relaySubject,
+      addedP50Ms: addedLatencyAt(50, {
+        entry: entryTarget,
+        passThrough: proxyTarget,
       }),
-      addedP99Ms: addedAt(99, {
-        through: entrySubject,
-        passThrough: relaySubject,
+      addedP99Ms: addedLatencyAt(99, {
+        entry: entryTarget,
+        passThrough: proxyTarget,
       }),
       streamTokensPerSecond: Math.round(stream.tokensPerSecond),
       rssMb: Math.round(rssMb),
       passThroughRssMb: Math.round(passThroughRssMb),
       passThroughCpuMicros: Math.round(
-        relaySubject.cpuMicros / relaySubject.calls,
+        proxyTarget.cpuMicros / proxyTarget.calls,
       ),
-      entryCpuMicros: Math.round(entrySubject.cpuMicros / entrySubject.calls),
+      entryCpuMicros: Math.round(entryTarget.cpuMicros / entryTarget.calls),
       streamTokenCpuMicros: round(stream.cpuMicrosPerToken),
     };
   } finally {
     await Promise.all(
-      [upstream, relay, entry.program].map(({ child }) => endProgram(child)),
+      [upstream, proxy, entry.program].map(({ child }) => endProgram(child)),
     );
     await entry.close();
   }
 }
 
-/** Starts one entry process with a single client account before an upstream. */
+/** Starts an entry process with one client account in front of an upstream. */
 export async function startBenchEntry(
   upstreamUrl: string,
   { copies = 1 }: { copies?: number } = {},
@@ -137,7 +137,7 @@
   const file = join(folder, "entry.json");
   await writeFile(file, JSON.stringify(benchSettings(url)));
   const program = await startProgram(ENTRY_PROGRAM, ["--settings", file]);
-  await untilReady(loopbackUrl(program.announcement.operatorPort));
+  await waitUntilReady(loopbackUrl(program.announcement.operatorPort));
   return {
     program,
     async close(): Promise<void> {
@@ -158,8 +158,8 @@
   };
   return {
     ...example,
-    // The benchmark measures the relay; no stream of it shall be refused because
-    // an engine that answers from a constant has taught the scheduler odd speeds.
+    // The constant upstream distorts the scheduler's speed estimates, which
+    // must not lead to refused requests.
     tiers: example.tiers.map((tier) => ({ ...tier, deadlineMs: DAY_MS })),
     services: example.services.map((service) => ({
       ...service,
@@ -167,7 +167,7 @@
       maximumConcurrency: 256,
     })),
     upstreams: example.upstreams.flatMap((upstream) =>
-      copiesOf(upstream, copies).map((copy) => ({ ...copy, url }))
+      replicate(upstream, copies).map((copy) => ({ ...copy, url }))
     ),
     clientAccounts: [{
       ...account!,
@@ -177,8 +177,8 @@
   };
 }
 
-/** The scheduler bounds what one upstream streams; more streams need more upstreams. */
-function copiesOf(upstream: Upstream, copies: number): Upstream[] {
+/** Replicates an upstream, since the scheduler limits the streams of each. */
+function replicate(upstream: Upstream, copies: number): Upstream[] {
   return Array.from({ length: copies }, (_, index) => ({
     ...upstream,
     upstream: asId<UpstreamId>(`${upstream.upstream}-${index}`),
@@ -199,16 +199,16 @@
   };
 }
 
-async function untilReady(operatorUrl: string): Promise<void> {
+async function waitUntilReady(operatorUrl: string): Promise<void> {
   for (let attempt = 0; attempt < 200; attempt++) {
-    const answer = await fetch(`${operatorUrl}/ready`).catch(() => undefined);
-    if (answer?.ok) return;
+    const response = await fetch(`${operatorUrl}/ready`).catch(() => undefined);
+    if (response?.ok) return;
     await new Promise((resolve) => setTimeout(resolve, 50));
   }
-  throw new Error("The entry did not become ready");
+  throw new Error("The entry host did not become ready");
 }
 
-function subjectOf(url: string, pid: number): Subject {
+function createBenchTarget(url: string, pid: number): BenchTarget {
   return {
     url,
     pid,
@@ -219,38 +219,40 @@
   };
 }
 
-async function measureInTurns(subjects: readonly Subject[]): Promise<void> {
-  const calls = subjects.map(({ url }) => caller(url, { stream: false }));
+async function measureAlternating(
+  targets: readonly BenchTarget[],
+): Promise<void> {
+  const calls = targets.map(({ url }) => createCaller(url, { stream: false }));
   for (const call of calls) {
-    await callFor(WARM_UP_MS, { concurrency: WHOLE_CONCURRENCY, call });
+    await callFor(WARM_UP_MS, { concurrency: UNARY_CONCURRENCY, call });
   }
-  for (let turn = 0; turn < ROUNDS; turn++) {
-    for (const [index, subject] of subjects.entries()) {
-      await measureTurn(subject, calls[index]!);
+  for (let round = 0; round < ROUNDS; round++) {
+    for (const [index, target] of targets.entries()) {
+      await measureRound(target, calls[index]!);
     }
   }
 }
 
-async function measureTurn(
-  subject: Subject,
+async function measureRound(
+  target: BenchTarget,
   call: () => Promise<void>,
 ): Promise<void> {
-  const { latency, pid } = subject;
+  const { latency, pid } = target;
   const before = await processorMicros(pid);
   const calls = await callFor(ROUND_MS, {
-    concurrency: WHOLE_CONCURRENCY,
+    concurrency: UNARY_CONCURRENCY,
     call,
     latency,
   });
-  subject.cpuMicros += await processorMicros(pid) - before;
-  subject.calls += calls;
-  subject.rps.push(calls / (ROUND_MS / 1_000));
+  target.cpuMicros += await processorMicros(pid) - before;
+  target.calls += calls;
+  target.rps.push(calls / (ROUND_MS / 1_000));
 }
 
 async function measureStream(
-  { url, pid }: Subject,
+  { url, pid }: BenchTarget,
 ): Promise<{ tokensPerSecond: number; cpuMicrosPerToken: number }> {
-  const call = caller(url, { stream: true });
+  const call = createCaller(url, { stream: true });
   await callFor(WARM_UP_MS, { concurrency: STREAM_CONCURRENCY, call });
   const before = await processorMicros(pid);
   const calls = await callFor(STREAM_MS, {
@@ -269,7 +271,7 @@
   return sorted[Math.floor(sorted.length / 2)] ?? 0;
 }
 
-/** The call that the benchmark's client account makes. */
+/** Creates a completion request of the benchmark's client account. */
 export function createBenchRequest(
   { stream, tokens }: { stream: boolean; tokens: number },
 ): {
@@ -294,41 +296,43 @@
   };
 }
 
-function caller(
+function createCaller(
   url: string,
   { stream }: { stream: boolean },
 ): () => Promise<void> {
   const agent = new Agent({ connections: 256, pipelining: 1 });
   const request = createBenchRequest({ stream, tokens: STREAM_TOKENS });
   return async () => {
-    const answer = await agent.request({ origin: url, ...request });
-    const text = await answer.body.text();
-    const isWhole = answer.statusCode === 200 &&
+    const response = await agent.request({ origin: url, ...request });
+    const text = await response.body.text();
+    const isComplete = response.statusCode === 200 &&
       (!stream || text.endsWith("data: [DONE]\n\n"));
-    if (!isWhole) {
+    if (!isComplete) {
       throw new Error(
-        `An answer was not whole: ${answer.statusCode} ${text.slice(-200)}`,
+        `Response is incomplete: ${response.statusCode} ${text.slice(-200)}`,
       );
     }
   };
 }
 
-/** Calls in closed loops for a span; returns the calls that ended within it. */
+/** Runs closed-loop callers for a duration and returns the completed calls. */
 async function callFor(
-  span: number,
+  durationMs: number,
   { concurrency, call, latency }: {
     concurrency: number;
     call: () => Promise<void>;
     latency?: Histogram;
   },
 ): Promise<number> {
-  const end = performance.now() + span;
+  const end = performance.now() + durationMs;
   let calls = 0;
   const loop = async (): Promise<void> => {
     while (performance.now() < end) {
       const startedAt = performance.now();
       await call();
-      latency?.recordValue((performance.now() - startedAt) * MICROSECONDS);
+      latency?.recordValue(
+        (performance.now() - startedAt) * MICROSECONDS_PER_MS,
+      );
       if (performance.now() <= end) calls++;
     }
   };
@@ -336,16 +340,16 @@
   return calls;
 }
 
-function addedAt(
+function addedLatencyAt(
   percentile: number,
-  { through, passThrough }: { through: Subject; passThrough: Subject },
+  { entry, passThrough }: { entry: BenchTarget; passThrough: BenchTarget },
 ): number {
-  const added = through.latency.getValueAtPercentile(percentile) -
+  const added = entry.latency.getValueAtPercentile(percentile) -
     passThrough.latency.getValueAtPercentile(percentile);
-  return round(added / MICROSECONDS);
+  return round(added / MICROSECONDS_PER_MS);
 }
 
-/** The address of a program on loopback. */
+/** Returns the URL of a port on the loopback address. */
 export function loopbackUrl(port: unknown): string {
   return `http://127.0.0.1:${String(port)}`;
 }
--- a/packages/proof/src/experiment.ts
+++ b/packages/proof/src/experiment.ts
@@ -26,29 +26,32 @@
 import { computeUnloadedTime } from "./goodputBound.ts";
 import { ExperimentStats, type WasteCause } from "./experimentStats.ts";
 
-/** Makes the scheduler under test. */
+/** Creates the scheduler under test. */
 export type SchedulerFactory = (
   policy: PoolPolicy,
   random: SeededRandom,
 ) => Scheduler;
 
-/** One request as its caller sent it; a resend is another. */
-interface Sending {
+/** One attempt of a caller; each resend is a separate attempt. */
+interface CallerAttempt {
   readonly arrival: Arrival;
-  readonly ask: PlacementRequest;
+  readonly placementRequest: PlacementRequest;
   readonly resends: number;
   state: "waiting" | "running" | "ended";
   engine?: Engine;
   grantedAt?: Milliseconds;
   outputTokens: number;
-  /** A lower tier was given an upstream that would have answered this in time at any length. */
-  wasPassedOver: boolean;
+  /**
+   * Whether a request of a lower tier got an upstream that, when idle, would
+   * have served this one in time at any output length.
+   */
+  isBypassed: boolean;
 }
 
 interface Engine {
   readonly member: FleetMember;
   readonly model: EngineModel;
-  readonly running: Map<RequestId, Sending>;
+  readonly running: Map<RequestId, CallerAttempt>;
   cacheSequence: number;
   isLeaving: boolean;
 }
@@ -56,20 +59,20 @@
 const TICK_MS = 50;
 const REPORT_PERIOD_MS = 500;
 const CACHE_EVENT_LOSS_RATE = 0.05;
-const HOST_LIST_LAG_MS = 2_000;
-/** A leaving upstream refuses new work after this. */
-const LEAVING_MS = 5_000;
-const KILLER_CRASH_AFTER_MS = 100;
+const HOST_LIST_DELAY_MS = 2_000;
+/** Time after which a leaving upstream refuses new requests. */
+const LEAVING_GRACE_MS = 5_000;
+const POISON_CRASH_DELAY_MS = 100;
 const RESTART_AFTER_MS = 15_000;
-const KILLER_RESENDS = 20;
-const KILLER_RESEND_MS = 2_000;
-const RESEND_MS = 500;
+const POISON_RESENDS = 20;
+const POISON_RESEND_DELAY_MS = 2_000;
+const RESEND_DELAY_MS = 500;
 const REFUSED_CONNECTION_RETRY_MS = 100;
 
 /**
- * Replays a scenario against one scheduler in virtual time. It plays callers and
- * entry hosts only: they ask, dispatch at most once what is granted, and give up
- * at the deadline.
+ * Replays a scenario against one scheduler in virtual time. It simulates the
+ * engines, the callers and the entry hosts, which request a slot, dispatch each
+ * grant at most once and cancel at the deadline.
  */
 export class Experiment {
   readonly stats = new ExperimentStats();
@@ -78,8 +81,8 @@
   readonly #engines: Engine[];
   readonly #byUpstream: Map<string, Engine>;
   readonly #scheduler: Scheduler;
-  readonly #sendings = new Map<RequestId, Sending>();
-  readonly #waiting = new Map<RequestId, Sending>();
+  readonly #attempts = new Map<RequestId, CallerAttempt>();
+  readonly #waiting = new Map<RequestId, CallerAttempt>();
   readonly #random: SeededRandom;
 
   constructor(
@@ -95,7 +98,7 @@
     this.#scheduler = build(this.#policy(), new SeededRandom(seed + 13));
   }
 
-  /** Runs the scenario to its end and leaves the counts in {@link stats}. */
+  /** Runs the scenario to its end and collects the results in {@link stats}. */
   run(): void {
     for (const arrival of this.#scenario.arrivals) {
       if (!arrival.isPoison) this.stats.offered[arrival.tier]!++;
@@ -106,14 +109,14 @@
     }
     this.#timer.every(
       TICK_MS,
-      () => this.#follow(this.#scheduler.tick(this.#timer.now())),
+      () => this.#applyDecisions(this.#scheduler.tick(this.#timer.now())),
     );
-    this.#timer.every(REPORT_PERIOD_MS, () => this.#report());
+    this.#timer.every(REPORT_PERIOD_MS, () => this.#sendReports());
     const end = Math.max(
       ...this.#scenario.arrivals.map(({ deadline }) => deadline),
     );
     this.#timer.runUntil(end + 1);
-    for (const { state } of this.#sendings.values()) {
+    for (const { state } of this.#attempts.values()) {
       if (state !== "ended") this.stats.unanswered++;
     }
   }
@@ -123,200 +126,218 @@
   }
 
   #send(arrival: Arrival, resends: number): void {
-    const ask = buildAsk(arrival, resends);
-    const sending: Sending = {
+    const placementRequest = buildPlacementRequest(arrival, resends);
+    const attempt: CallerAttempt = {
       arrival,
-      ask,
+      placementRequest,
       resends,
       state: "waiting",
       outputTokens: 0,
-      wasPassedOver: false,
+      isBypassed: false,
     };
     this.stats.sent++;
-    this.#sendings.set(ask.request, sending);
-    const left = arrival.deadline - this.#timer.now();
-    this.#timer.after(left, () => this.#reachDeadline(sending));
-    this.#ask(sending);
+    this.#attempts.set(placementRequest.request, attempt);
+    const remaining = arrival.deadline - this.#timer.now();
+    this.#timer.after(remaining, () => this.#reachDeadline(attempt));
+    this.#requestPlacement(attempt);
   }
 
-  #ask(sending: Sending): void {
-    this.#waiting.set(sending.ask.request, sending);
-    this.#follow(this.#scheduler.submit(sending.ask, this.#timer.now()));
+  #requestPlacement(attempt: CallerAttempt): void {
+    this.#waiting.set(attempt.placementRequest.request, attempt);
+    this.#applyDecisions(
+      this.#scheduler.submit(attempt.placementRequest, this.#timer.now()),
+    );
   }
 
-  #follow(decisions: readonly Decision[]): void {
+  #applyDecisions(decisions: readonly Decision[]): void {
     for (const decision of decisions) {
-      const sending = this.#sendings.get(decision.placementRequest.request)!;
+      const attempt = this.#attempts.get(decision.placementRequest.request)!;
       if (decision.kind === "refuse") {
-        this.#refuse(sending, decision);
+        this.#refuse(attempt, decision);
       } else {
-        this.#dispatch(sending, this.#byUpstream.get(decision.upstream)!);
+        this.#dispatch(attempt, this.#byUpstream.get(decision.upstream)!);
       }
     }
   }
 
   #refuse(
-    sending: Sending,
+    attempt: CallerAttempt,
     { reason }: Extract<Decision, { kind: "refuse" }>,
   ): void {
-    if (sending.state !== "waiting") this.stats.falseNotRun++;
-    this.#waiting.delete(sending.ask.request);
-    sending.state = "ended";
-    this.stats.recordRefusal(sending.arrival, reason);
+    if (attempt.state !== "waiting") this.stats.falseNotRun++;
+    this.#waiting.delete(attempt.placementRequest.request);
+    attempt.state = "ended";
+    this.stats.recordRefusal(attempt.arrival, reason);
     const isCapacityReason = reason === "shed" ||
       reason === "deadline-unreachable";
-    if (isCapacityReason) this.#countInversion(sending, reason);
-    if (sending.arrival.isPoison) this.#resendKiller(sending);
+    if (isCapacityReason) this.#countInversion(attempt, reason);
+    if (attempt.arrival.isPoison) this.#resendPoison(attempt);
   }
 
-  /** A request was shed while a lower tier keeps its place in the queue. */
-  #countInversion({ ask, wasPassedOver }: Sending, reason: string): void {
-    if (wasPassedOver) this.stats.passedOver++;
+  /** Counts a request that was shed while one of a lower tier stays queued. */
+  #countInversion(
+    { placementRequest, isBypassed }: CallerAttempt,
+    reason: string,
+  ): void {
+    if (isBypassed) this.stats.passedOver++;
     if (reason !== "shed") return;
     const hasLowerWaiting = [...this.#waiting.values()].some((other) =>
-      other.ask.tier > ask.tier
+      other.placementRequest.tier > placementRequest.tier
     );
     if (hasLowerWaiting) this.stats.tierInversions++;
   }
 
-  #dispatch(sending: Sending, engine: Engine): void {
-    if (sending.state !== "waiting") {
+  #dispatch(attempt: CallerAttempt, engine: Engine): void {
+    if (attempt.state !== "waiting") {
       this.stats.doubleDispatches++;
       return;
     }
-    this.#waiting.delete(sending.ask.request);
-    this.#markPassedOver(sending, engine);
-    sending.state = "running";
-    sending.engine = engine;
-    sending.grantedAt = this.#timer.now();
+    this.#waiting.delete(attempt.placementRequest.request);
+    this.#markBypassed(attempt, engine);
+    attempt.state = "running";
+    attempt.engine = engine;
+    attempt.grantedAt = this.#timer.now();
     const isSameDomain =
-      engine.member.failureDomain === sending.ask.originDomain;
-    const distance = isSameDomain ? 0 : this.#scenario.domainDistanceMs;
-    this.#timer.after(distance, () => this.#submit(sending, engine));
+      engine.member.failureDomain === attempt.placementRequest.originDomain;
+    const latency = isSameDomain ? 0 : this.#scenario.domainDistanceMs;
+    this.#timer.after(latency, () => this.#sendToEngine(attempt, engine));
   }
 
-  #markPassedOver({ ask }: Sending, { member }: Engine): void {
+  #markBypassed(
+    { placementRequest }: CallerAttempt,
+    { member }: Engine,
+  ): void {
     for (const other of this.#waiting.values()) {
-      if (other.ask.tier >= ask.tier || other.wasPassedOver) continue;
+      if (
+        other.placementRequest.tier >= placementRequest.tier ||
+        other.isBypassed
+      ) continue;
       const { promptTokens, maximumOutputTokens, deadline } = other.arrival;
-      const most = computeUnloadedTime(
-        member.speed,
+      const maximumDuration = computeUnloadedTime(
+        member.profile,
         promptTokens,
         maximumOutputTokens,
       );
-      other.wasPassedOver = this.#timer.now() + most <= deadline;
+      other.isBypassed = this.#timer.now() + maximumDuration <= deadline;
     }
   }
 
-  #submit(sending: Sending, engine: Engine): void {
-    if (sending.state !== "running") return;
-    const { arrival, ask } = sending;
-    const isTaken = !engine.isLeaving && engine.model.submit(
+  #sendToEngine(attempt: CallerAttempt, engine: Engine): void {
+    if (attempt.state !== "running") return;
+    const { arrival, placementRequest } = attempt;
+    const isAccepted = !engine.isLeaving && engine.model.submit(
       {
-        id: ask.request,
+        id: placementRequest.request,
         promptTokens: arrival.promptTokens,
         outputTokens: arrival.outputTokens,
         prefixDigests: arrival.prefixDigests,
       },
-      (event) => this.#hear(sending, engine, event),
+      (event) => this.#handleEvent(attempt, engine, event),
     );
-    if (!isTaken) return this.#meetRefusedConnection(sending);
+    if (!isAccepted) return this.#handleRefusedConnection(attempt);
     this.stats.dispatches++;
-    engine.running.set(ask.request, sending);
+    engine.running.set(placementRequest.request, attempt);
   }
 
-  /** No byte has left for the upstream, so the request may still be dispatched. */
-  #meetRefusedConnection(sending: Sending): void {
-    this.#finish(sending, "upstream-refused");
-    sending.state = "waiting";
+  /** Retries the placement, since nothing was sent to the upstream yet. */
+  #handleRefusedConnection(attempt: CallerAttempt): void {
+    this.#finish(attempt, "upstream-refused");
+    attempt.state = "waiting";
     this.#timer.after(REFUSED_CONNECTION_RETRY_MS, () => {
-      if (sending.state === "waiting") this.#ask(sending);
+      if (attempt.state === "waiting") this.#requestPlacement(attempt);
     });
   }
 
-  #hear(sending: Sending, engine: Engine, event: EngineEvent): void {
-    const { arrival, ask } = sending;
-    if (sending.engine !== engine) this.stats.crossedAnswers++;
+  #handleEvent(
+    attempt: CallerAttempt,
+    engine: Engine,
+    event: EngineEvent,
+  ): void {
+    const { arrival, placementRequest } = attempt;
+    if (attempt.engine !== engine) this.stats.crossedAnswers++;
     switch (event.kind) {
       case "firstToken":
-        sending.outputTokens = 1;
+        attempt.outputTokens = 1;
         this.stats.recordFirstToken(arrival, this.#timer.now() - arrival.at);
-        this.#scheduler.recordFirstToken(ask.request, this.#timer.now());
-        if (arrival.isPoison) this.#crashSoon(engine);
+        this.#scheduler.recordFirstToken(
+          placementRequest.request,
+          this.#timer.now(),
+        );
+        if (arrival.isPoison) this.#scheduleCrash(engine);
         return;
       case "tokens":
-        sending.outputTokens += event.count;
+        attempt.outputTokens += event.count;
         return;
       case "finished":
         this.stats.recordResponse(arrival, {
           tier: arrival.tier,
           at: this.#timer.now(),
-          waited: sending.grantedAt! - arrival.at,
+          waited: attempt.grantedAt! - arrival.at,
         });
-        return this.#finish(sending, "whole");
+        return this.#finish(attempt, "whole");
       case "lost":
-        this.#waste("broken", arrival, event.prefilledTokens);
-        this.#finish(sending, "upstream-lost");
-        return this.#resendAfterLoss(sending);
+        this.#recordWaste("broken", arrival, event.prefilledTokens);
+        this.#finish(attempt, "upstream-lost");
+        return this.#resendAfterLoss(attempt);
     }
   }
 
-  #reachDeadline(sending: Sending): void {
-    const { ask, engine } = sending;
-    if (sending.state === "waiting") {
-      this.#waiting.delete(ask.request);
-      this.#scheduler.withdraw(ask.request, this.#timer.now());
-      this.stats.recordRefusal(sending.arrival, "not answered in time");
-      if (sending.wasPassedOver) this.stats.passedOver++;
-      sending.state = "ended";
-    } else if (sending.state === "running") {
-      const wasted = engine!.model.cancel(ask.request) ?? 0;
-      this.#waste("late", sending.arrival, wasted);
-      if (sending.state === "running") this.#finish(sending, "timeout");
+  #reachDeadline(attempt: CallerAttempt): void {
+    const { placementRequest, engine } = attempt;
+    if (attempt.state === "waiting") {
+      this.#waiting.delete(placementRequest.request);
+      this.#scheduler.withdraw(placementRequest.request, this.#timer.now());
+      this.stats.recordRefusal(attempt.arrival, "not answered in time");
+      if (attempt.isBypassed) this.stats.passedOver++;
+      attempt.state = "ended";
+    } else if (attempt.state === "running") {
+      const wasted = engine!.model.cancel(placementRequest.request) ?? 0;
+      this.#recordWaste("late", attempt.arrival, wasted);
+      if (attempt.state === "running") this.#finish(attempt, "timeout");
     }
   }
 
-  #finish(sending: Sending, outcome: AttemptOutcome): void {
-    const { ask, engine, outputTokens } = sending;
-    sending.state = "ended";
-    engine!.running.delete(ask.request);
+  #finish(attempt: CallerAttempt, outcome: AttemptOutcome): void {
+    const { placementRequest, engine, outputTokens } = attempt;
+    attempt.state = "ended";
+    engine!.running.delete(placementRequest.request);
     const { upstream } = engine!.member;
-    this.#follow(this.#scheduler.finish(
-      { request: ask.request, upstream, outcome, outputTokens },
+    this.#applyDecisions(this.#scheduler.finish(
+      { request: placementRequest.request, upstream, outcome, outputTokens },
       this.#timer.now(),
     ));
   }
 
-  #waste(
+  #recordWaste(
     cause: WasteCause,
-    { isPoison: isKiller }: Arrival,
+    { isPoison }: Arrival,
     tokens: number,
   ): void {
-    if (!isKiller) this.stats.wasted[cause] += tokens;
+    if (!isPoison) this.stats.wasted[cause] += tokens;
   }
 
-  #resendAfterLoss(sending: Sending): void {
-    const { arrival, resends } = sending;
-    if (arrival.isPoison) return this.#resendKiller(sending);
+  #resendAfterLoss(attempt: CallerAttempt): void {
+    const { arrival, resends } = attempt;
+    if (arrival.isPoison) return this.#resendPoison(attempt);
     if (!arrival.isIdempotent) {
       this.stats.broken++;
       return;
     }
-    const delay = RESEND_MS * (1 + this.#random.float());
+    const delay = RESEND_DELAY_MS * (1 + this.#random.float());
     if (this.#timer.now() + delay >= arrival.deadline) return;
     this.#timer.after(delay, () => this.#send(arrival, resends + 1));
   }
 
-  #resendKiller({ arrival, resends }: Sending): void {
-    if (resends >= KILLER_RESENDS) return;
+  #resendPoison({ arrival, resends }: CallerAttempt): void {
+    if (resends >= POISON_RESENDS) return;
     this.#timer.after(
-      KILLER_RESEND_MS,
+      POISON_RESEND_DELAY_MS,
       () => this.#send(arrival, resends + 1),
     );
   }
 
-  #crashSoon(engine: Engine): void {
-    this.#timer.after(KILLER_CRASH_AFTER_MS, () => {
+  #scheduleCrash(engine: Engine): void {
+    this.#timer.after(POISON_CRASH_DELAY_MS, () => {
       if (!engine.model.isUp) return;
       this.#crash(engine);
       this.#timer.after(RESTART_AFTER_MS, () => engine.model.restart());
@@ -338,25 +359,27 @@
       case "restart":
         return engine.model.restart();
       case "leave":
-        return this.#leave(engine);
+        return this.#markLeaving(engine);
     }
   }
 
-  #leave(engine: Engine): void {
-    this.#timer.after(HOST_LIST_LAG_MS, () => {
+  #markLeaving(engine: Engine): void {
+    this.#timer.after(HOST_LIST_DELAY_MS, () => {
       const policy = this.#policy(engine);
-      this.#follow(this.#scheduler.setPolicy(policy, this.#timer.now()));
+      this.#applyDecisions(
+        this.#scheduler.setPolicy(policy, this.#timer.now()),
+      );
     });
-    this.#timer.after(LEAVING_MS, () => (engine.isLeaving = true));
+    this.#timer.after(LEAVING_GRACE_MS, () => (engine.isLeaving = true));
   }
 
-  #report(): void {
+  #sendReports(): void {
     for (const engine of this.#engines) {
       const { upstream } = engine.member;
       const now = this.#timer.now();
       const load = engine.model.loadReport();
       if (load === undefined) continue;
-      this.#follow(this.#scheduler.applyLoadReport({
+      this.#applyDecisions(this.#scheduler.applyLoadReport({
         upstream,
         takenAt: load.takenAt,
         runningRequests: load.running,
@@ -374,7 +397,7 @@
     const model = new EngineModel({
       timer: this.#timer,
       random: this.#random,
-      profile: member.speed,
+      profile: member.profile,
       reportLagMs: this.#scenario.reportLagMs,
       cacheEventLagMs: this.#scenario.cacheEventLagMs,
       cacheEventLossRate: CACHE_EVENT_LOSS_RATE,
@@ -411,7 +434,10 @@
   }
 }
 
-function buildAsk(arrival: Arrival, resends: number): PlacementRequest {
+function buildPlacementRequest(
+  arrival: Arrival,
+  resends: number,
+): PlacementRequest {
   return {
     request: asId<RequestId>(`${arrival.id}/${resends}`),
     origin: asId<HostId>("entry"),
--- a/packages/proof/src/experimentMain.ts
+++ b/packages/proof/src/experimentMain.ts
@@ -15,7 +15,7 @@
 
 const DEPLOYMENTS: readonly Deployment[] = ["fukuoka", "cairo"];
 
-/** Reads the command line, runs the experiment and prints what it gave. */
+/** Parses the command line, runs the experiment and prints the results. */
 async function main(): Promise<void> {
   const cli = cac("experiment");
   cli.command("", "Run the decision modules in virtual time")
@@ -25,20 +25,22 @@
     .option("--deployment <name>", "fukuoka or cairo", { default: "fukuoka" })
     .option("--seed <number>", "Seed of arrivals and faults", { default: 1 })
     .option("--json", "Print one JSON object for each pattern")
-    .option("--report <file>", "Write a page with plots")
-    .action(runFlags);
+    .option("--report <file>", "Write an HTML page with plots")
+    .action(runCommand);
   cli.help();
   cli.parse(process.argv, { run: false });
   await cli.runMatchedCommand();
 }
 
-async function runFlags(flags: Flags): Promise<void> {
+async function runCommand(flags: Flags): Promise<void> {
   const patterns = flags.pattern === "all" ? PATTERN_NAMES : [flags.pattern];
   const isKnown =
     patterns.every((name) => PATTERN_NAMES.includes(name as LoadPattern)) &&
     DEPLOYMENTS.includes(flags.deployment as Deployment);
   if (!isKnown || !Number.isInteger(flags.seed)) {
-    process.stderr.write("Name a known pattern, a deployment and a seed\n");
+    process.stderr.write(
+      "Unknown pattern or deployment, or a seed that is not an integer\n",
+    );
     process.exitCode = 2;
     return;
   }
@@ -52,7 +54,7 @@
     return detailed;
   });
   if (flags.report === undefined) return;
-  // The plotting library takes half a second to load, so only when it is needed.
+  // Loaded on demand because the plotting library slows down the start.
   const { writeReport } = await import("./reportPage.ts");
   await writeReport(flags.report, results);
 }
--- a/packages/proof/src/experimentPolicies.ts
+++ b/packages/proof/src/experimentPolicies.ts
@@ -12,7 +12,7 @@
 import { Experiment, type SchedulerFactory } from "./experiment.ts";
 import type { PolicyResult, ResponseSample } from "./experimentStats.ts";
 
-/** The policies that are compared, by name. */
+/** Scheduling policies under comparison, by name. */
 export const POLICIES: Readonly<Record<string, SchedulerFactory>> = {
   naive: (policy) => new RoundRobinScheduler(policy),
   leastOutstanding: (policy, random) =>
@@ -20,7 +20,7 @@
   wasabivane: (policy, random) => new PoolScheduler(policy, { random }),
 };
 
-/** What one pattern gave under each policy. */
+/** Result of one pattern under each policy. */
 export interface ExperimentResult {
   readonly pattern: LoadPattern;
   readonly deployment: Deployment;
@@ -29,13 +29,13 @@
   readonly bound: GoodputBound;
 }
 
-/** A result with the answers behind it. */
+/** An experiment result with its individual responses. */
 export interface DetailedResult {
   readonly result: ExperimentResult;
   readonly responses: Readonly<Record<string, readonly ResponseSample[]>>;
 }
 
-/** Runs one pattern under every policy, or under those that are named. */
+/** Runs a pattern under all policies or under the given ones. */
 export function runExperiment(
   { pattern, deployment, seed, policies = Object.keys(POLICIES) }: {
     pattern: LoadPattern;
@@ -46,7 +46,7 @@
 ): DetailedResult {
   const scenario = buildExperimentScenario({ pattern, deployment, seed });
   const results: Record<string, PolicyResult> = {};
-  const answers: Record<string, readonly ResponseSample[]> = {};
+  const responses: Record<string, readonly ResponseSample[]> = {};
   for (const name of policies) {
     const experiment = new Experiment(scenario, {
       build: POLICIES[name]!,
@@ -54,11 +54,11 @@
     });
     experiment.run();
     results[name] = experiment.stats.result(experiment.engineCounters());
-    answers[name] = experiment.stats.responses;
+    responses[name] = experiment.stats.responses;
   }
   const bound = computeGoodputBound(scenario);
   return {
     result: { pattern, deployment, seed, policies: results, bound },
-    responses: answers,
+    responses,
   };
 }
--- a/packages/proof/src/experimentStats.ts
+++ b/packages/proof/src/experimentStats.ts
@@ -2,13 +2,13 @@
 import type { EngineCounters } from "@wasabivane/engine-model";
 import { type Arrival, TIER_LOADS } from "./arrivals.ts";
 
-/** Why computed prompt tokens were thrown away. */
+/** Why computed prompt tokens were wasted. */
 export type WasteCause = "late" | "broken" | "cancelled" | "shedAfterStart";
 
-/** A count for each tier, by its number. */
+/** Counts by tier number. */
 export type ByTier = Record<string, number>;
 
-/** What callers received under one policy. */
+/** Results of an experiment under one policy. */
 export interface PolicyResult {
   readonly goodputByTier: ByTier;
   readonly offeredByTier: ByTier;
@@ -18,12 +18,12 @@
   readonly ttftP99MsByTier: ByTier;
   readonly refusedByTier: ByTier;
   readonly refusedByReason: Record<string, number>;
-  /** Requests shed while one of a lower tier kept its place in the queue. */
+  /** Requests shed while one of a lower tier stayed queued. */
   readonly tierInversions: number;
   /**
-   * Requests not started by their deadline though, while they waited, a lower
-   * tier was given an upstream that when idle would have answered them in time
-   * at any length: a strict count, since a loaded upstream might not have.
+   * Requests not started by their deadline although a lower tier was meanwhile
+   * given an upstream that, when idle, would have served them in time at any
+   * output length. Overestimates, since that upstream may have been loaded.
    */
   readonly passedOver: number;
   readonly doubleDispatches: number;
@@ -31,27 +31,27 @@
   readonly falseNotRun: number;
   readonly lost: number;
   readonly weightedGoodput: number;
-  /** Answers that broke off with their upstream and were not sent again. */
+  /** Responses cut off by the loss of their upstream and not resent. */
   readonly broken: number;
   readonly upstreamsLost: number;
   readonly dispatches: number;
-  /** Requests as sent by callers, resends included. */
+  /** Requests sent by callers, including resends. */
   readonly sent: number;
 }
 
-/** One whole answer, for the plots. */
+/** A complete response, for the plots. */
 export interface ResponseSample {
   readonly tier: number;
   readonly at: Milliseconds;
-  /** From the arrival to the grant. */
+  /** Time from the arrival to the grant. */
   readonly waited: Milliseconds;
 }
 
-/** Counts what happens in one run of an experiment. */
+/** Collects the counters of one experiment run. */
 export class ExperimentStats {
-  readonly goodput = emptyByTier();
-  readonly offered = emptyByTier();
-  readonly refused = emptyByTier();
+  readonly goodput = zeroByTier();
+  readonly offered = zeroByTier();
+  readonly refused = zeroByTier();
   readonly refusedByReason: Record<string, number> = {};
   readonly wasted: Record<WasteCause, number> = {
     late: 0,
@@ -77,8 +77,8 @@
     this.responses.push(sample);
   }
 
-  recordRefusal({ tier, isPoison: isKiller }: Arrival, reason: string): void {
-    if (isKiller) return;
+  recordRefusal({ tier, isPoison }: Arrival, reason: string): void {
+    if (isPoison) return;
     this.refused[tier]!++;
     this.refusedByReason[reason] = (this.refusedByReason[reason] ?? 0) + 1;
   }
@@ -121,14 +121,14 @@
   }
 }
 
-/** The sum of counts by tier, each with its tier's weight. */
+/** Sums counts by tier, weighted by {@link TIER_LOADS}. */
 export function weightedSum(byTier: ByTier): number {
   return total(
     TIER_LOADS.map(({ tier, weight }) => weight * (byTier[tier] ?? 0)),
   );
 }
 
-function emptyByTier(): ByTier {
+function zeroByTier(): ByTier {
   return Object.fromEntries(TIER_LOADS.map(({ tier }) => [tier, 0]));
 }
 
--- a/packages/proof/src/fakePlatform.ts
+++ b/packages/proof/src/fakePlatform.ts
@@ -11,40 +11,42 @@
 import type { PlatformState } from "./scenario.ts";
 import type { ScenarioProcess } from "./scenarioProcess.ts";
 
-type Answer<Value> = Result<Revisioned<Value> | undefined, PlatformError>;
-type Read = { afterRevision: number; waitMs: Milliseconds };
+type ReadResult<Value> = Result<Revisioned<Value> | undefined, PlatformError>;
+type ReadOptions = { afterRevision: number; waitMs: Milliseconds };
 
-const ONE_WAY_MS = 2;
+const LATENCY_MS = 2;
 const POLL_MS = 50;
 
-/** A published value and the one that a stale service still shows. */
+/** A published value and the older one that a stale service still returns. */
 class PublishedValue<Value> {
   #current: Revisioned<Value> | undefined;
-  #shown: Revisioned<Value> | undefined;
+  #visible: Revisioned<Value> | undefined;
 
   publish(value: Value, { isStale }: { isStale: boolean }): void {
     const revision = (this.#current?.revision ?? 0) + 1;
     this.#current = { revision, value };
-    if (!isStale) this.#shown = this.#current;
+    if (!isStale) this.#visible = this.#current;
   }
 
-  catchUp(): void {
-    this.#shown = this.#current;
+  refresh(): void {
+    this.#visible = this.#current;
   }
 
-  newer(revision: number): Revisioned<Value> | undefined {
-    const shown = this.#shown;
-    return shown !== undefined && shown.revision > revision ? shown : undefined;
+  newerThan(revision: number): Revisioned<Value> | undefined {
+    const visible = this.#visible;
+    return visible !== undefined && visible.revision > revision
+      ? visible
+      : undefined;
   }
 }
 
-/** The platform of a scenario: up, down or stale, for all hosts or for some. */
+/** Simulated platform that is up, down or stale, for all or some hosts. */
 export class FakePlatform {
   readonly #timer: Timer;
   readonly #bundle = new PublishedValue<SignedBundle>();
   readonly #hostList = new PublishedValue<HostList>();
-  readonly #unreadable = new Set<string>();
-  /** Called when a host has read a host list. */
+  readonly #disconnectedHosts = new Set<string>();
+  /** Called after a host reads a host list. */
   onHostListRead: (hostList: HostList) => void = () => {};
   #state: PlatformState = "up";
 
@@ -55,16 +57,16 @@
   setState(state: PlatformState, hosts?: readonly string[]): void {
     if (hosts !== undefined) {
       for (const host of hosts) {
-        if (state === "down") this.#unreadable.add(host);
-        else this.#unreadable.delete(host);
+        if (state === "down") this.#disconnectedHosts.add(host);
+        else this.#disconnectedHosts.delete(host);
       }
       return;
     }
     this.#state = state;
-    this.#unreadable.clear();
+    this.#disconnectedHosts.clear();
     if (state === "stale") return;
-    this.#bundle.catchUp();
-    this.#hostList.catchUp();
+    this.#bundle.refresh();
+    this.#hostList.refresh();
   }
 
   publishBundle(signed: SignedBundle): void {
@@ -75,23 +77,25 @@
     this.#hostList.publish(hostList, { isStale: this.#state === "stale" });
   }
 
-  /** The sources of one host. */
+  /** Creates the bundle and host list sources of a host. */
   sourcesOf(
     host: string,
     process: ScenarioProcess,
   ): { bundleSource: BundleSource; hostListSource: HostListSource } {
-    const bundles = (read: Read): Promise<Answer<SignedBundle>> =>
+    const bundles = (read: ReadOptions): Promise<ReadResult<SignedBundle>> =>
       this.#read(this.#bundle, { ...read, host, process });
-    const hostLists = async (read: Read): Promise<Answer<HostList>> => {
-      const answer = await this.#read(this.#hostList, {
+    const hostLists = async (
+      read: ReadOptions,
+    ): Promise<ReadResult<HostList>> => {
+      const result = await this.#read(this.#hostList, {
         ...read,
         host,
         process,
       });
-      if (answer.isOk() && answer.value !== undefined) {
-        this.onHostListRead(answer.value.value);
+      if (result.isOk() && result.value !== undefined) {
+        this.onHostListRead(result.value.value);
       }
-      return answer;
+      return result;
     };
     return {
       bundleSource: new (class extends BundleSource {
@@ -105,28 +109,28 @@
 
   #read<Value>(
     value: PublishedValue<Value>,
-    { afterRevision, waitMs, host, process }: Read & {
+    { afterRevision, waitMs, host, process }: ReadOptions & {
       host: string;
       process: ScenarioProcess;
     },
-  ): Promise<Answer<Value>> {
+  ): Promise<ReadResult<Value>> {
     const end = this.#timer.now() + waitMs;
     return new Promise((resolve) => {
-      const answer = (result: Answer<Value>): void => {
+      const respond = (result: ReadResult<Value>): void => {
         this.#timer.after(
-          ONE_WAY_MS,
+          LATENCY_MS,
           () => process.run(() => resolve(result)),
         );
       };
-      const look = (): void => {
-        const newer = value.newer(afterRevision);
-        if (this.#state === "down" || this.#unreadable.has(host)) {
-          answer(err({ kind: "unreachable", detail: "Connection refused" }));
+      const poll = (): void => {
+        const newer = value.newerThan(afterRevision);
+        if (this.#state === "down" || this.#disconnectedHosts.has(host)) {
+          respond(err({ kind: "unreachable", detail: "Connection refused" }));
         } else if (newer !== undefined || this.#timer.now() >= end) {
-          answer(ok(newer));
-        } else this.#timer.after(POLL_MS, look);
+          respond(ok(newer));
+        } else this.#timer.after(POLL_MS, poll);
       };
-      this.#timer.after(ONE_WAY_MS, look);
+      this.#timer.after(LATENCY_MS, poll);
     });
   }
 }
--- a/packages/proof/src/fakeUpstreams.ts
+++ b/packages/proof/src/fakeUpstreams.ts
@@ -11,30 +11,30 @@
 import type { ScenarioJournal } from "./scenarioJournal.ts";
 import type { ScenarioProcess } from "./scenarioProcess.ts";
 
-const ONE_WAY_MS = 1;
+const LATENCY_MS = 1;
 const FIRST_TOKEN_MS = 40;
-const TOKEN_MS = 20;
-const PLAIN_WORK_MS = 60;
-const POISON_MS = 30;
-const POISON_DOWN_MS = 2_000;
-/** How long an engine keeps a request whose connection broke. */
+const TOKEN_INTERVAL_MS = 20;
+const PLAIN_RESPONSE_MS = 60;
+const POISON_CRASH_DELAY_MS = 30;
+const POISON_DOWNTIME_MS = 2_000;
+/** Time that an engine keeps a finished request for a resume. */
 const RESUME_WINDOW_MS = 30_000;
 const NONCE_HEADER = "x-request-nonce";
-const MARK = /\[\[(\{.*?\})\]\]/;
+const MARKER_PATTERN = /\[\[(\{.*?\})\]\]/;
 
-/** What a request tells the fakes of itself, in its prompt or its body. */
+/** Test metadata that a request carries in its prompt, path or body. */
 export interface RequestMarker {
   readonly request: string;
   readonly tokens: number;
   readonly isPoison?: boolean;
 }
 
-/** Writes a mark into a text. */
-export function formatMarker(mark: RequestMarker): string {
-  return `[[${JSON.stringify(mark)}]]`;
+/** Formats a marker for embedding in text. */
+export function formatMarker(marker: RequestMarker): string {
+  return `[[${JSON.stringify(marker)}]]`;
 }
 
-/** The answer that belongs to a request of a model engine, and to no other. */
+/** Returns the completion that is unique to a request of a model engine. */
 export function expectedCompletion({ request, tokens }: RequestMarker): string {
   return Array.from({ length: tokens }, (_, index) => tokenOf(request, index))
     .join("");
@@ -44,15 +44,15 @@
   return `${request}.${index} `;
 }
 
-/** One upstream's answer on its way to one process. */
+/** Connection of an upstream call, which delivers the response. */
 class Connection {
   readonly call: UpstreamRequest;
   readonly process: ScenarioProcess;
   readonly #timer: Timer;
   readonly #settle: (result: Result<UpstreamResponse, UpstreamError>) => void;
-  readonly #parts: Buffer[] = [];
+  readonly #chunks: Buffer[] = [];
   #end: Error | "whole" | undefined;
-  #isLeft = false;
+  #isDestroyed = false;
   #wake: (() => void) | undefined;
 
   constructor(
@@ -74,51 +74,51 @@
   }
 
   refuse(): void {
-    this.#carry(() =>
+    this.#deliver(() =>
       this.#settle(err({ kind: "refused", detail: "ECONNREFUSED" }))
     );
   }
 
-  answer(
-    { nonce, status = 200, type, checksNonce }: {
+  respond(
+    { nonce, status = 200, type, shouldCheckNonce }: {
       nonce: string;
       status?: number;
       type: string;
-      checksNonce: boolean;
+      shouldCheckNonce: boolean;
     },
   ): void {
     const headers = { "content-type": type, [NONCE_HEADER]: nonce };
-    const isOwn = nonce === this.call.nonce || !checksNonce;
-    this.#carry(() =>
+    const isExpected = nonce === this.call.nonce || !shouldCheckNonce;
+    this.#deliver(() =>
       this.#settle(
-        isOwn
+        isExpected
           ? ok({ status, headers, body: this.#body() })
-          : err({ kind: "not-own", detail: "The nonce is another's" }),
+          : err({ kind: "not-own", detail: "Nonce of another request" }),
       )
     );
   }
 
   push(text: string): void {
-    this.#carry(() => {
-      this.#parts.push(Buffer.from(text));
+    this.#deliver(() => {
+      this.#chunks.push(Buffer.from(text));
       this.#wake?.();
     });
   }
 
   finish(): void {
-    this.#carry(() => this.#close("whole"));
+    this.#deliver(() => this.#close("whole"));
   }
 
-  /** Bytes of the call had left already. */
+  /** Breaks the connection after the request was sent. */
   break(): void {
-    this.#carry(() => {
+    this.#deliver(() => {
       this.#settle(err({ kind: "broken", detail: "ECONNRESET" }));
       this.#close(new Error("ECONNRESET"));
     });
   }
 
-  #carry(arrive: () => void): void {
-    this.#timer.after(ONE_WAY_MS, () => this.process.run(arrive));
+  #deliver(callback: () => void): void {
+    this.#timer.after(LATENCY_MS, () => this.process.run(callback));
   }
 
   #close(end: Error | "whole"): void {
@@ -129,7 +129,7 @@
   #body(): UpstreamBody {
     return {
       destroy: (): void => {
-        this.#isLeft = true;
+        this.#isDestroyed = true;
         this.#close("whole");
       },
       [Symbol.asyncIterator]: () => ({ next: () => this.#next() }),
@@ -138,8 +138,8 @@
 
   async #next(): Promise<IteratorResult<Buffer, undefined>> {
     while (true) {
-      const part = this.#isLeft ? undefined : this.#parts.shift();
-      if (part !== undefined) return { done: false, value: part };
+      const chunk = this.#isDestroyed ? undefined : this.#chunks.shift();
+      if (chunk !== undefined) return { done: false, value: chunk };
       if (this.#end === "whole") return { done: true, value: undefined };
       if (this.#end !== undefined) throw this.#end;
       await new Promise<void>((resolve) => (this.#wake = resolve));
@@ -149,39 +149,39 @@
 
 interface Run {
   readonly nonce: string;
-  readonly mark: RequestMarker;
+  readonly marker: RequestMarker;
   readonly isStream: boolean;
   produced: number;
   connection: Connection | undefined;
-  /** Tokens that the connection has had; whole answers come at once. */
+  /** Tokens sent on the current connection of a stream. */
   sent: number;
-  /** What the answer claims to be; another run's after a mix-up. */
-  readonly reply: Reply;
+  /** Response identity; that of another run if misrouted. */
+  readonly identity: ResponseIdentity;
 }
 
-interface Reply {
+interface ResponseIdentity {
   readonly headNonce: string;
   readonly nonce: string;
-  readonly mark: RequestMarker;
+  readonly marker: RequestMarker;
 }
 
-/** One upstream: a model engine or a plain service; it forgets all in a crash. */
+/** Simulated model engine or plain service that loses all state in a crash. */
 export class FakeUpstream {
   readonly name: string;
-  readonly #world: UpstreamEnvironment;
+  readonly #environment: UpstreamEnvironment;
   readonly #runs = new Map<string, Run>();
   #isUp = true;
   #slowness = 1;
-  #crossing: "answer" | "body" | undefined;
-  #last: Reply = {
+  #misrouting: "answer" | "body" | undefined;
+  #lastIdentity: ResponseIdentity = {
     headNonce: "stranger",
     nonce: "stranger",
-    mark: { request: "stranger", tokens: 3 },
+    marker: { request: "stranger", tokens: 3 },
   };
 
-  constructor(name: string, world: UpstreamEnvironment) {
+  constructor(name: string, environment: UpstreamEnvironment) {
     this.name = name;
-    this.#world = world;
+    this.#environment = environment;
   }
 
   get isUp(): boolean {
@@ -197,14 +197,14 @@
     const runs = [...this.#runs.values()];
     this.#runs.clear();
     for (const { connection } of runs) connection?.break();
-    this.#world.timer.after(forMs, () => (this.#isUp = true));
+    this.#environment.timer.after(forMs, () => (this.#isUp = true));
   }
 
   slowDown(factor: number): void {
     this.#slowness = factor;
   }
 
-  /** Ends all connections; an engine keeps the requests for a while. */
+  /** Breaks all connections while the requests keep running. */
   breakStreams(): void {
     for (const run of this.#runs.values()) {
       run.connection?.break();
@@ -212,116 +212,119 @@
     }
   }
 
-  /** Gives the next answer to the wrong request, or under the right nonce with a wrong body. */
+  /** Gives the next request a wrong response, or only a wrong body. */
   misrouteNext(what: "answer" | "body"): void {
-    this.#crossing = what;
+    this.#misrouting = what;
   }
 
   receive(connection: Connection, host: string): void {
     if (!this.#isUp) return connection.refuse();
     const { path } = connection.call;
     if (path.endsWith("/resume")) return this.#resume(connection);
-    const mark = JSON.parse(
-      MARK.exec(
+    const marker = JSON.parse(
+      MARKER_PATTERN.exec(
         String(connection.call.body ?? "").replaceAll('\\"', '"') +
           decodeURIComponent(path),
       )![1]!,
     ) as RequestMarker;
     const { nonce } = connection.call;
-    this.#world.journal.add({
+    this.#environment.journal.add({
       kind: "dispatched",
-      request: mark.request,
+      request: marker.request,
       nonce,
       upstream: this.name,
       host,
     });
-    if (mark.isPoison) {
-      this.#world.timer.after(POISON_MS, () => {
-        if (this.#runs.has(nonce)) this.crash(POISON_DOWN_MS);
+    if (marker.isPoison) {
+      this.#environment.timer.after(POISON_CRASH_DELAY_MS, () => {
+        if (this.#runs.has(nonce)) this.crash(POISON_DOWNTIME_MS);
       });
     }
     const isModel = path === "/v1/chat/completions";
-    const run = this.#start(connection, mark);
-    if (isModel) this.#generate(run, FIRST_TOKEN_MS);
-    else this.#workOn(run);
+    const run = this.#start(connection, marker);
+    if (isModel) this.#scheduleToken(run, FIRST_TOKEN_MS);
+    else this.#schedulePlainResponse(run);
   }
 
   cancel(nonce: string): void {
     this.#runs.delete(nonce);
   }
 
-  #start(connection: Connection, mark: RequestMarker): Run {
+  #start(connection: Connection, marker: RequestMarker): Run {
     const { nonce, body } = connection.call;
-    const own: Reply = { headNonce: nonce, nonce, mark };
+    const own: ResponseIdentity = { headNonce: nonce, nonce, marker };
     const run: Run = {
       nonce,
-      mark,
+      marker,
       isStream: String(body ?? "").includes('"stream":true'),
       produced: 0,
       connection,
       sent: 0,
-      reply: this.#replyOf(own),
+      identity: this.#selectIdentity(own),
     };
-    this.#last = own;
+    this.#lastIdentity = own;
     this.#runs.set(nonce, run);
-    if (run.isStream) this.#head(connection, run.reply.headNonce);
+    if (run.isStream) this.#sendHead(connection, run.identity.headNonce);
     return run;
   }
 
-  #replyOf(own: Reply): Reply {
-    const crossing = this.#crossing;
-    this.#crossing = undefined;
-    if (crossing === undefined) return own;
-    return crossing === "answer"
-      ? this.#last
-      : { ...this.#last, headNonce: own.headNonce };
+  #selectIdentity(own: ResponseIdentity): ResponseIdentity {
+    const misrouting = this.#misrouting;
+    this.#misrouting = undefined;
+    if (misrouting === undefined) return own;
+    return misrouting === "answer"
+      ? this.#lastIdentity
+      : { ...this.#lastIdentity, headNonce: own.headNonce };
   }
 
-  #head(connection: Connection, nonce: string, status = 200): void {
-    const { shouldCheckNonce: checksNonce } = this.#world;
+  #sendHead(connection: Connection, nonce: string, status = 200): void {
+    const { shouldCheckNonce } = this.#environment;
     const type = connection.call.path.startsWith("/v1/")
       ? "text/event-stream"
       : "application/json";
-    connection.answer({ nonce, status, type, checksNonce });
+    connection.respond({ nonce, status, type, shouldCheckNonce });
   }
 
-  #generate(run: Run, delay: Milliseconds): void {
-    this.#world.timer.after(delay * this.#slowness, () => {
+  #scheduleToken(run: Run, delay: Milliseconds): void {
+    this.#environment.timer.after(delay * this.#slowness, () => {
       if (this.#runs.get(run.nonce) !== run) return;
       run.produced++;
-      this.#flush(run);
-      if (run.produced < run.mark.tokens) this.#generate(run, TOKEN_MS);
-      else this.#forgetLater(run);
+      this.#sendTokens(run);
+      if (run.produced < run.marker.tokens) {
+        this.#scheduleToken(run, TOKEN_INTERVAL_MS);
+      } else this.#scheduleRemoval(run);
     });
   }
 
-  #forgetLater(run: Run): void {
-    this.#world.timer.after(RESUME_WINDOW_MS, () => {
+  #scheduleRemoval(run: Run): void {
+    this.#environment.timer.after(RESUME_WINDOW_MS, () => {
       if (this.#runs.get(run.nonce) === run) this.#runs.delete(run.nonce);
     });
   }
 
-  #flush(run: Run): void {
+  #sendTokens(run: Run): void {
     const { connection } = run;
     if (connection === undefined) return;
-    const { headNonce, nonce, mark } = run.reply;
-    const isWhole = run.produced === run.mark.tokens;
+    const { headNonce, nonce, marker } = run.identity;
+    const isComplete = run.produced === run.marker.tokens;
     if (!run.isStream) {
-      if (!isWhole) return;
-      this.#head(connection, headNonce);
-      connection.push(wholeCompletion(nonce, mark));
+      if (!isComplete) return;
+      this.#sendHead(connection, headNonce);
+      connection.push(formatCompletion(nonce, marker));
       connection.finish();
       run.connection = undefined;
       return;
     }
     while (run.sent < run.produced) {
       connection.push(
-        chunk(nonce, { content: tokenOf(mark.request, run.sent) }),
+        formatChunk(nonce, { content: tokenOf(marker.request, run.sent) }),
       );
       run.sent++;
     }
-    if (!isWhole) return;
-    connection.push(chunk(nonce, { isLast: true, tokens: run.mark.tokens }));
+    if (!isComplete) return;
+    connection.push(
+      formatChunk(nonce, { isLast: true, tokens: run.marker.tokens }),
+    );
     connection.push("data: [DONE]\n\n");
     connection.finish();
     run.connection = undefined;
@@ -331,7 +334,7 @@
     const nonce = connection.call.path.split("/")[3]!;
     const run = this.#runs.get(nonce);
     if (run === undefined) {
-      this.#head(connection, nonce, 404);
+      this.#sendHead(connection, nonce, 404);
       connection.push("{}");
       connection.finish();
       return;
@@ -342,51 +345,52 @@
     run.connection?.break();
     const resumed = { ...run, isStream: true, connection, sent: offset };
     this.#runs.set(nonce, resumed);
-    this.#head(connection, nonce);
-    this.#flush(resumed);
-    if (resumed.produced < run.mark.tokens) this.#generate(resumed, TOKEN_MS);
-    else this.#forgetLater(resumed);
+    this.#sendHead(connection, nonce);
+    this.#sendTokens(resumed);
+    if (resumed.produced < run.marker.tokens) {
+      this.#scheduleToken(resumed, TOKEN_INTERVAL_MS);
+    } else this.#scheduleRemoval(resumed);
   }
 
-  #workOn(run: Run): void {
-    this.#world.timer.after(PLAIN_WORK_MS * this.#slowness, () => {
+  #schedulePlainResponse(run: Run): void {
+    this.#environment.timer.after(PLAIN_RESPONSE_MS * this.#slowness, () => {
       if (!this.#runs.delete(run.nonce) || run.connection === undefined) return;
-      const { headNonce, mark } = run.reply;
-      this.#head(run.connection, headNonce);
-      run.connection.push(JSON.stringify({ request: mark.request }));
+      const { headNonce, marker } = run.identity;
+      this.#sendHead(run.connection, headNonce);
+      run.connection.push(JSON.stringify({ request: marker.request }));
       run.connection.finish();
     });
   }
 }
 
-/** What all upstreams of a scenario share. */
+/** Environment shared by all upstreams of a scenario. */
 export interface UpstreamEnvironment {
   readonly timer: Timer;
   readonly journal: ScenarioJournal;
-  /** Whether the client compares the nonce of an answer's head, as the HTTP client does. */
+  /** Whether the client verifies the nonce in the response head. */
   readonly shouldCheckNonce: boolean;
 }
 
-/** The client of one entry host's process. */
+/** Simulated upstream client of one entry host process. */
 export class FakeUpstreamClient extends UpstreamClient {
   readonly #host: string;
   readonly #process: ScenarioProcess;
-  readonly #world: UpstreamEnvironment;
+  readonly #environment: UpstreamEnvironment;
   readonly #upstreams: ReadonlyMap<string, FakeUpstream>;
 
   constructor(
-    { host, process, world, upstreams }: {
+    { host, process, environment, upstreams }: {
       host: string;
       process: ScenarioProcess;
-      world: UpstreamEnvironment;
-      /** By url. */
+      environment: UpstreamEnvironment;
+      /** Upstreams by URL. */
       upstreams: ReadonlyMap<string, FakeUpstream>;
     },
   ) {
     super();
     this.#host = host;
     this.#process = process;
-    this.#world = world;
+    this.#environment = environment;
     this.#upstreams = upstreams;
   }
 
@@ -396,7 +400,7 @@
     if (call.signal.aborted) return Promise.resolve(err({ kind: "aborted" }));
     return new Promise((settle) => {
       if (this.#process.isKilled) return;
-      const { timer } = this.#world;
+      const { timer } = this.#environment;
       const connection = new Connection({
         call,
         process: this.#process,
@@ -404,7 +408,7 @@
         settle,
       });
       timer.after(
-        ONE_WAY_MS,
+        LATENCY_MS,
         () => this.#upstreams.get(call.url)!.receive(connection, this.#host),
       );
     });
@@ -414,22 +418,22 @@
     url: string,
     path: string,
   ): Promise<Result<unknown, UpstreamError>> {
-    const { timer } = this.#world;
+    const { timer } = this.#environment;
     const upstream = this.#upstreams.get(url)!;
     return new Promise((resolve) => {
-      timer.after(2 * ONE_WAY_MS, () =>
+      timer.after(2 * LATENCY_MS, () =>
         this.#process.run(() => {
           if (!upstream.isUp) {
             resolve(err({ kind: "refused", detail: "ECONNREFUSED" }));
-          } else resolve(ok(this.#document(upstream, path)));
+          } else resolve(ok(this.#readDocument(upstream, path)));
         }));
     });
   }
 
   override cancel(url: string, nonce: Nonce): Promise<void> {
     if (!this.#process.isKilled) {
-      this.#world.timer.after(
-        ONE_WAY_MS,
+      this.#environment.timer.after(
+        LATENCY_MS,
         () => this.#upstreams.get(url)?.cancel(nonce),
       );
     }
@@ -440,10 +444,10 @@
     return Promise.resolve();
   }
 
-  #document(upstream: FakeUpstream, path: string): unknown {
+  #readDocument(upstream: FakeUpstream, path: string): unknown {
     if (path.startsWith("/v1/cache-events")) return { events: [] };
     return {
-      takenAt: this.#world.timer.wallNow(),
+      takenAt: this.#environment.timer.wallNow(),
       running: upstream.running,
       waiting: 0,
       memoryShare: 0,
@@ -451,7 +455,7 @@
   }
 }
 
-function chunk(
+function formatChunk(
   nonce: string,
   { content, isLast = false, tokens = 0 }: {
     content?: string;
@@ -473,14 +477,14 @@
   }\n\n`;
 }
 
-function wholeCompletion(nonce: string, mark: RequestMarker): string {
+function formatCompletion(nonce: string, marker: RequestMarker): string {
   return JSON.stringify({
     id: `chatcmpl-${nonce}`,
     choices: [{
       index: 0,
-      message: { role: "assistant", content: expectedCompletion(mark) },
+      message: { role: "assistant", content: expectedCompletion(marker) },
       finish_reason: "stop",
     }],
-    usage: { "prompt_tokens": 8, "completion_tokens": mark.tokens },
+    usage: { "prompt_tokens": 8, "completion_tokens": marker.tokens },
   });
 }
--- a/packages/proof/src/faultsMain.ts
+++ b/packages/proof/src/faultsMain.ts
@@ -22,10 +22,10 @@
   readonly replay?: number;
 }
 
-/** Schedules that one process takes at a time, so that none is left with all the slow ones. */
+/** Schedules per worker process; small batches balance the load. */
 const BATCH = 100;
 
-/** Reads the command line and runs what it names. */
+/** Parses the command line and runs or replays schedules. */
 async function main(): Promise<void> {
   if (process.send !== undefined) {
     process.on(
@@ -41,14 +41,14 @@
     .option("--runs <number>", "How many schedules", { default: 100 })
     .option("--jobs <number>", "Processes that share the work", { default: 1 })
     .option("--json", "Print one JSON object")
-    .option("--replay <index>", "Run one schedule alone and tell what happens")
-    .action(runFlags);
+    .option("--replay <index>", "Run one schedule and print its events")
+    .action(runCommand);
   cli.help();
   cli.parse(process.argv, { run: false });
   await cli.runMatchedCommand();
 }
 
-async function runFlags(flags: Flags): Promise<void> {
+async function runCommand(flags: Flags): Promise<void> {
   if (flags.replay !== undefined) {
     await replay(flags.seed, flags.replay);
     return;
@@ -60,8 +60,10 @@
   const seconds = (performance.now() - startedAt) / 1_000;
   if (flags.json) print(JSON.stringify(report));
   else printReadable(report, seconds);
-  const isSound = INVARIANTS.every((promise) => report[promise] === 0);
-  process.exitCode = isSound ? 0 : 1;
+  const hasNoViolation = INVARIANTS.every((invariant) =>
+    report[invariant] === 0
+  );
+  process.exitCode = hasNoViolation ? 0 : 1;
 }
 
 async function replay(seed: number, index: number): Promise<void> {
@@ -71,10 +73,10 @@
   for (const [name, request] of Object.entries(requests)) {
     print(`${name} ${JSON.stringify(request)}`);
   }
-  print(`${story.length} steps; milliseconds, then what happened`);
+  print(`${story.length} steps; time in ms, then event`);
   const { journal, origin, verdict } = await runScenario(scenario);
-  for (const fact of journal.events) print(formatEvent(fact, origin));
-  for (const finding of verdict.findings) print(`BROKEN ${finding}`);
+  for (const event of journal.events) print(formatEvent(event, origin));
+  for (const finding of verdict.findings) print(`VIOLATION ${finding}`);
   process.exitCode = verdict.findings.length === 0 ? 0 : 1;
 }
 
@@ -93,7 +95,7 @@
   return report;
 }
 
-/** A process of its own for each batch, whose memory goes with it. */
+/** Runs a batch in a separate process, which frees its memory on exit. */
 function runInProcess(options: FaultsOptions): Promise<FaultsReport> {
   const worker = fork(fileURLToPath(import.meta.url), {
     execArgv: process.execArgv,
@@ -103,7 +105,7 @@
       worker.disconnect();
       resolve(report);
     });
-    worker.once("exit", () => reject(new Error("A worker process ended")));
+    worker.once("exit", () => reject(new Error("Worker process exited early")));
     worker.send(options);
   });
 }
--- a/packages/proof/src/faultsReport.ts
+++ b/packages/proof/src/faultsReport.ts
@@ -7,34 +7,34 @@
 } from "./checkScenario.ts";
 import { runScenario } from "./scenarioRunner.ts";
 
-/** A schedule that broke a promise. */
+/** A schedule that violated an invariant. */
 export interface FailedSchedule {
-  /** The fewest steps that still break it. */
+  /** The schedule, shrunk to the steps that reproduce the violation. */
   readonly schedule: FaultScenario;
   readonly what: string;
-  /** Runs the schedule alone, as it was drawn. */
+  /** Command that replays the original schedule. */
   readonly replay: string;
 }
 
-/** What the `faults` command prints. */
+/** Output of the `faults` command. */
 export interface FaultsReport extends Omit<ScenarioVerdict, "findings"> {
   readonly seed: number;
   runs: number;
   readonly failures: FailedSchedule[];
 }
 
-/** Shrinking takes as long as dozens of schedules; a few show what is wrong. */
+/** Maximum number of shrunk schedules, since shrinking is slow. */
 const MAX_SHRUNK = 3;
 
-/** Which schedules of a seed to run. */
+/** Range of schedules of a seed to run. */
 export interface FaultsOptions {
   readonly seed: number;
   readonly from: number;
-  /** The first one that is left out. */
+  /** Index after the last schedule. */
   readonly to: number;
 }
 
-/** Runs schedules one after the other and shrinks those that break a promise. */
+/** Runs schedules in order and shrinks the first failed ones. */
 export async function runFaults(
   { seed, from, to }: FaultsOptions,
 ): Promise<FaultsReport> {
@@ -55,13 +55,13 @@
   return report;
 }
 
-/** A report without runs. */
+/** Creates a report without runs. */
 export function emptyReport(seed: number): FaultsReport {
   const { findings: _findings, ...counts } = emptyVerdict();
   return { seed, runs: 0, ...counts, failures: [] };
 }
 
-/** Adds what another process found. */
+/** Adds the counts and failures of a part to a report. */
 export function addReport(sum: FaultsReport, part: FaultsReport): void {
   addVerdict(sum, part);
   sum.runs += part.runs;
@@ -77,10 +77,10 @@
   sum.notRun += part.notRun;
   sum.unknown += part.unknown;
   sum.unknownThatHadNotRun += part.unknownThatHadNotRun;
-  for (const promise of INVARIANTS) sum[promise] += part[promise];
+  for (const invariant of INVARIANTS) sum[invariant] += part[invariant];
 }
 
-/** Leaves out every step without which the schedule still breaks a promise. */
+/** Removes each step that is not needed to reproduce a violation. */
 export async function shrinkSchedule(
   scenario: FaultScenario,
 ): Promise<FaultScenario> {
@@ -88,7 +88,7 @@
   for (let index = scenario.story.length - 1; index >= 0; index--) {
     const story = smallest.story.filter((_, position) => position !== index);
     const smaller = { ...smallest, story };
-    if (await isBroken(smaller)) smallest = smaller;
+    if (await hasViolation(smaller)) smallest = smaller;
   }
   const sent = new Set(
     smallest.story.map((step) => step.do === "send" ? step.request : ""),
@@ -99,7 +99,7 @@
   return { ...smallest, requests };
 }
 
-async function isBroken(scenario: FaultScenario): Promise<boolean> {
+async function hasViolation(scenario: FaultScenario): Promise<boolean> {
   const { verdict } = await runScenario(scenario);
   return verdict.findings.length > 0;
 }
--- a/packages/proof/src/fleet.ts
+++ b/packages/proof/src/fleet.ts
@@ -27,20 +27,20 @@
 const START_TIMEOUT_MS = 15_000;
 const READY_POLL_MS = 50;
 const ADDRESS = "127.0.0.1";
-const FIRST_PORT = 15_000;
-const LAST_PORT = 32_000;
+const MIN_PORT = 15_000;
+const MAX_PORT = 32_000;
 const MAX_PORT_ATTEMPTS = 100;
 
 /** Options of {@link startFleet}. */
 export interface FleetOptions {
   readonly deployment: ExampleDeployment;
   readonly hosts?: number;
-  /** How many times as fast as real time the engines work. */
+  /** Speed of the engines as a multiple of real time. */
   readonly timeScale?: number;
   readonly logLevel?: "info" | "warn" | "error" | "silent";
 }
 
-/** One entry host's process. */
+/** A running entry host process. */
 export interface EntryProcess {
   readonly host: string;
   readonly callerUrl: string;
@@ -50,21 +50,21 @@
   process: ChildProcess;
 }
 
-/** Stand-ins and entry hosts of one deployment, on loopback. */
+/** Stand-ins and entry host processes of a deployment on loopback. */
 export interface Fleet {
   readonly bundle: Bundle;
   readonly deployment: RunningDeployment;
   readonly entries: EntryProcess[];
-  /** Publishes a changed bundle under the next version. */
+  /** Publishes a changed bundle with the next version. */
   publish(change: (bundle: Bundle) => Bundle): Bundle;
-  /** Publishes the entry hosts that are alive, and the upstreams. */
+  /** Publishes a host list of all entry hosts and upstreams. */
   publishHosts(options?: { leaving?: ReadonlySet<string> }): void;
-  /** Starts an entry's process again, as another incarnation on the same ports. */
+  /** Starts a new incarnation of an entry host on the same ports. */
   restart(entry: EntryProcess): Promise<void>;
   stop(): Promise<void>;
 }
 
-/** Starts the stand-ins of a deployment and entry hosts in front of them. */
+/** Starts the stand-ins of a deployment and its entry hosts. */
 export async function startFleet(options: FleetOptions): Promise<Fleet> {
   const deployment = await startDeployment(options);
   const folder = await mkdtemp(join(tmpdir(), "wasabivane-"));
@@ -95,11 +95,15 @@
   deployment.platform.setBundle(sign(bundle));
   publishHosts();
   for (const entry of entries) entry.process = spawnEntry(entry.settingsFile);
-  await Promise.all(entries.map(untilReady)).catch(async (thrown: unknown) => {
-    // Processes that started would outlive this one and keep their ports.
-    await Promise.all(entries.map(({ process: child }) => ended(child)));
-    throw thrown;
-  });
+  await Promise.all(entries.map(waitUntilReady)).catch(
+    async (thrown: unknown) => {
+      // Otherwise the started processes would outlive this one.
+      await Promise.all(
+        entries.map(({ process: child }) => killProcess(child)),
+      );
+      throw thrown;
+    },
+  );
   return {
     get bundle(): Bundle {
       return bundle;
@@ -110,10 +114,12 @@
     publishHosts,
     async restart(entry: EntryProcess): Promise<void> {
       entry.process = spawnEntry(entry.settingsFile);
-      await untilReady(entry);
+      await waitUntilReady(entry);
     },
     async stop(): Promise<void> {
-      await Promise.all(entries.map(({ process: child }) => ended(child)));
+      await Promise.all(
+        entries.map(({ process: child }) => killProcess(child)),
+      );
       await deployment.stop();
       await rm(folder, { recursive: true });
     },
@@ -195,27 +201,32 @@
   });
 }
 
-async function untilReady(
+async function waitUntilReady(
   { host, operatorUrl, process: child }: EntryProcess,
 ): Promise<void> {
-  await firstLine(child, host);
+  await readFirstLine(child, host);
   const deadline = Date.now() + START_TIMEOUT_MS;
   while (Date.now() < deadline) {
-    const answer = await fetch(`${operatorUrl}/ready`).catch(() => undefined);
-    if (answer?.ok) return;
+    const response = await fetch(`${operatorUrl}/ready`).catch(() => undefined);
+    if (response?.ok) return;
     await new Promise((resolve) => setTimeout(resolve, READY_POLL_MS));
   }
-  throw new Error(`${host} did not become ready within ${START_TIMEOUT_MS} ms`);
+  throw new Error(
+    `Entry host ${host} did not become ready within ${START_TIMEOUT_MS} ms`,
+  );
 }
 
-async function firstLine(child: ChildProcess, host: string): Promise<string> {
+async function readFirstLine(
+  child: ChildProcess,
+  host: string,
+): Promise<string> {
   for await (const line of createInterface({ input: child.stdout! })) {
     return line;
   }
-  throw new Error(`${host} ended before it listened`);
+  throw new Error(`Entry host ${host} exited before it listened`);
 }
 
-function ended(child: ChildProcess): Promise<void> {
+function killProcess(child: ChildProcess): Promise<void> {
   if (child.exitCode !== null || child.signalCode !== null) {
     return Promise.resolve();
   }
@@ -226,7 +237,9 @@
 }
 
 async function freePorts(count: number): Promise<number[]> {
-  const servers = await Promise.all(Array.from({ length: count }, listenOnAny));
+  const servers = await Promise.all(
+    Array.from({ length: count }, listenOnFreePort),
+  );
   const ports = servers.map((server) =>
     (server.address() as { port: number }).port
   );
@@ -237,19 +250,18 @@
 }
 
 /**
- * Listens below the range that the kernel takes outgoing connections' ports
- * from. Out of that range a port could be lost between its choice and the start
- * or the restart of the process that is to listen on it.
+ * Listens on a random port below the ephemeral range, so that no outgoing
+ * connection takes the port before the entry host listens on it.
  */
-async function listenOnAny(): Promise<ReturnType<typeof createServer>> {
+async function listenOnFreePort(): Promise<ReturnType<typeof createServer>> {
   for (let attempt = 0; attempt < MAX_PORT_ATTEMPTS; attempt++) {
     const server = createServer();
-    const port = randomInt(FIRST_PORT, LAST_PORT);
+    const port = randomInt(MIN_PORT, MAX_PORT);
     const isListening = await new Promise<boolean>((resolve) => {
       server.once("error", () => resolve(false));
       server.listen(port, ADDRESS, () => resolve(true));
     });
     if (isListening) return server;
   }
-  throw new Error("No port is free");
+  throw new Error("No free port was found");
 }
--- a/packages/proof/src/goodputBound.ts
+++ b/packages/proof/src/goodputBound.ts
@@ -8,62 +8,62 @@
 } from "./arrivals.ts";
 import { allocateGreedily, type WindowedJob } from "./allocateGreedily.ts";
 
-/** What no scheduler could exceed on a scenario; see docs/DECISIONS/0003. */
+/** Upper bounds on goodput in a scenario; see docs/DECISIONS/0003. */
 export interface GoodputBound {
-  /** For schedulers that serve a higher tier first, whatever it costs the lower. */
+  /** Bound for schedulers with strict tier priority. */
   readonly goodputByTier: Readonly<Record<string, number>>;
-  /** For any scheduler, with the weights of {@link TIER_LOADS}. */
+  /** Bound for any scheduler, weighted by {@link TIER_LOADS}. */
   readonly weightedGoodput: number;
 }
 
-/** Windows are widened to whole slots, which keeps the bound a bound. */
-const SLOT_MS = 1_000;
-/** Prompt tokens that an output token is counted as; each choice gives a valid bound. */
+/** Time windows are rounded outwards to steps, so the bound stays valid. */
+const TIME_STEP_MS = 1_000;
+/** Costs of an output token in prompt tokens; each gives a valid bound. */
 const OUTPUT_COSTS = [3.8, 4.1, 6];
 
 interface Job extends WindowedJob {
   readonly tier: Tier;
 }
 
-/** Works out the bound of a scenario. */
+/** Computes the tightest goodput bounds over {@link OUTPUT_COSTS}. */
 export function computeGoodputBound(
   scenario: ExperimentScenario,
 ): GoodputBound {
-  const options = OUTPUT_COSTS.map((outputCost) =>
-    boundFor(scenario, outputCost)
+  const bounds = OUTPUT_COSTS.map((outputCost) =>
+    computeBoundAt(scenario, outputCost)
   );
   const goodputByTier =
-    options.reduce((least, option) =>
-      option.byTier[1]! < least.byTier[1]! ? option : least
+    bounds.reduce((minimum, bound) =>
+      bound.byTier[1]! < minimum.byTier[1]! ? bound : minimum
     ).byTier;
   return {
     goodputByTier,
-    weightedGoodput: Math.min(...options.map(({ weighted }) => weighted)),
+    weightedGoodput: Math.min(...bounds.map(({ weighted }) => weighted)),
   };
 }
 
-function boundFor(
+function computeBoundAt(
   scenario: ExperimentScenario,
   outputCost: number,
 ): { byTier: Record<string, number>; weighted: number } {
-  const sharedBlocks = blocksOfSeveral(scenario.arrivals);
+  const sharedBlocks = findSharedBlocks(scenario.arrivals);
   const jobs = scenario.arrivals
-    .filter((arrival) => isPossible(arrival, scenario, sharedBlocks))
+    .filter((arrival) => isFeasible(arrival, scenario, sharedBlocks))
     .map((arrival) => buildJob(arrival, { outputCost, sharedBlocks }));
-  const slots = Math.max(0, ...jobs.map(({ due }) => due)) + 1;
-  const capacity = capacityBySlot(scenario, outputCost, slots);
+  const steps = Math.max(0, ...jobs.map(({ due }) => due)) + 1;
+  const capacity = capacityByStep(scenario, outputCost, steps);
   const byTier = Object.fromEntries(TIER_LOADS.map(({ tier }) => [tier, 0]));
-  const strict = jobs.toSorted((left, right) =>
+  const byPriority = jobs.toSorted((left, right) =>
     left.tier - right.tier || left.work - right.work
   );
-  allocateGreedily(strict, capacity).forEach((share, index) => {
-    byTier[strict[index]!.tier]! += share;
+  allocateGreedily(byPriority, capacity).forEach((share, index) => {
+    byTier[byPriority[index]!.tier]! += share;
   });
-  const dense = jobs.toSorted((left, right) =>
+  const byDensity = jobs.toSorted((left, right) =>
     weightOf(right) / right.work - weightOf(left) / left.work
   );
-  const weighted = allocateGreedily(dense, capacity).reduce(
-    (sum, share, index) => sum + share * weightOf(dense[index]!),
+  const weighted = allocateGreedily(byDensity, capacity).reduce(
+    (sum, share, index) => sum + share * weightOf(byDensity[index]!),
     0,
   );
   return { byTier, weighted };
@@ -78,15 +78,15 @@
 ): Job {
   return {
     tier: arrival.tier,
-    work: leastPrefill(arrival, sharedBlocks) +
+    work: minimumPrefill(arrival, sharedBlocks) +
       outputCost * (arrival.outputTokens - 1),
-    release: Math.floor(arrival.at / SLOT_MS),
-    due: Math.floor(arrival.deadline / SLOT_MS),
+    release: Math.floor(arrival.at / TIME_STEP_MS),
+    due: Math.floor(arrival.deadline / TIME_STEP_MS),
   };
 }
 
-/** Prompt tokens that must be computed even if every shared block is cached. */
-function leastPrefill(
+/** Prompt tokens to prefill when every shared block is cached. */
+function minimumPrefill(
   { promptTokens, prefixDigests }: Arrival,
   sharedBlocks: ReadonlySet<string>,
 ): number {
@@ -94,7 +94,7 @@
   return Math.max(1, promptTokens - shared.length * TOKENS_PER_BLOCK);
 }
 
-function blocksOfSeveral(arrivals: readonly Arrival[]): Set<string> {
+function findSharedBlocks(arrivals: readonly Arrival[]): Set<string> {
   const seen = new Set<string>();
   const shared = new Set<string>();
   for (const { prefixDigests } of arrivals) {
@@ -106,63 +106,66 @@
   return shared;
 }
 
-/** Whether the fastest engine alone could answer in time. */
-function isPossible(
+/** Whether an idle engine of the fastest kind would meet the deadline. */
+function isFeasible(
   arrival: Arrival,
   { fleet }: ExperimentScenario,
   sharedBlocks: ReadonlySet<string>,
 ): boolean {
   if (arrival.isPoison) return false;
-  const prefill = leastPrefill(arrival, sharedBlocks);
-  const least = Math.min(
-    ...fleet.map(({ speed }) =>
-      computeUnloadedTime(speed, prefill, arrival.outputTokens)
+  const prefill = minimumPrefill(arrival, sharedBlocks);
+  const minimum = Math.min(
+    ...fleet.map(({ profile }) =>
+      computeUnloadedTime(profile, prefill, arrival.outputTokens)
     ),
   );
-  return arrival.at + least <= arrival.deadline;
+  return arrival.at + minimum <= arrival.deadline;
 }
 
-/** Time of a request on an engine that runs nothing else. */
+/** Returns the duration of a request on an otherwise idle engine. */
 export function computeUnloadedTime(
-  speed: EngineProfile,
+  profile: EngineProfile,
   promptTokens: number,
   outputTokens: number,
 ): Milliseconds {
-  const step = speed.decodeStepMs + speed.decodeStepPerRequestMs;
-  return promptTokens / speed.prefillTokensPerSecond * 1_000 +
-    (outputTokens - 1) * step;
+  const decodeStepMs = profile.decodeStepMs + profile.decodeStepPerRequestMs;
+  return promptTokens / profile.prefillTokensPerSecond * 1_000 +
+    (outputTokens - 1) * decodeStepMs;
 }
 
-/** Work that the engines which are up can do in each slot, at most. */
-function capacityBySlot(
+/** Upper bound on the work of the running engines in each time step. */
+function capacityByStep(
   { fleet, faults }: ExperimentScenario,
   outputCost: number,
-  slots: number,
+  steps: number,
 ): Float64Array {
-  const capacity = new Float64Array(slots);
-  fleet.forEach(({ speed }, upstream) => {
+  const capacity = new Float64Array(steps);
+  fleet.forEach(({ profile }, upstream) => {
     const rate = Math.max(
-      speed.prefillTokensPerSecond,
-      outputCost * 1_000 / fullBatchStepMs(speed),
+      profile.prefillTokensPerSecond,
+      outputCost * 1_000 / fullBatchStepMs(profile),
     );
-    const own = faults.filter((fault) => fault.upstream === upstream);
-    for (let slot = 0; slot < slots; slot++) {
-      capacity[slot]! += rate * SLOT_MS / 1_000 * usableShare(own, slot);
+    const upstreamFaults = faults.filter((fault) =>
+      fault.upstream === upstream
+    );
+    for (let step = 0; step < steps; step++) {
+      capacity[step]! += rate * TIME_STEP_MS / 1_000 *
+        usableShare(upstreamFaults, step);
     }
   });
   return capacity;
 }
 
-/** The best share of its speed that an engine has at any moment of a slot. */
+/** Highest share of its full speed that an engine reaches in a time step. */
 function usableShare(
   faults: readonly { at: Milliseconds; kind: string; factor?: number }[],
-  slot: number,
+  step: number,
 ): number {
-  const start = slot * SLOT_MS;
+  const start = step * TIME_STEP_MS;
   let share = 1;
   let best = 0;
   for (const { at, kind, factor = 1 } of faults) {
-    if (at >= start + SLOT_MS) break;
+    if (at >= start + TIME_STEP_MS) break;
     if (at > start) best = Math.max(best, share);
     if (kind === "crash") share = 0;
     if (kind === "restart") share = 1;
--- a/packages/proof/src/liveFaults.ts
+++ b/packages/proof/src/liveFaults.ts
@@ -6,7 +6,7 @@
 } from "@wasabivane/common";
 import type { EntryProcess, Fleet } from "./fleet.ts";
 
-/** What the faults of a run did. */
+/** Number of injected faults by kind. */
 export interface LiveFaultCounts {
   kills: number;
   pauses: number;
@@ -20,45 +20,47 @@
   readonly forMs: Milliseconds;
 }
 
-const MEAN_GAP_MS: Milliseconds = 2_500;
+const MEAN_FAULT_INTERVAL_MS: Milliseconds = 2_500;
 const MEAN_DOWN_MS: Milliseconds = 2_000;
 const MEAN_PAUSE_MS: Milliseconds = 3_000;
-const ROLL_PERIOD_MS: Milliseconds = 7_000;
-/** A rare long wait would leave the rest of a short run without faults. */
-const LONGEST_WAIT = 3;
-/** Entry hosts that may be down or paused at once. */
-const MAX_DISTURBED = 3;
+const PUBLISH_PERIOD_MS: Milliseconds = 7_000;
+/** Upper limit of a drawn time as a multiple of its mean. */
+const MAX_MEAN_MULTIPLE = 3;
+/** Maximum number of entry hosts down or paused at once. */
+const MAX_FAULTY_HOSTS = 3;
 
-/** Kills, pauses and restarts entry processes at seeded moments; all run in the end. */
+/** Kills and pauses entry processes at random times; all run at the end. */
 export async function injectFaults(
   { fleet, random, forMs }: LiveFaultOptions,
 ): Promise<LiveFaultCounts> {
   const timer = new SystemTimer();
   const counts = { kills: 0, pauses: 0, rolls: 0 };
-  const disturbed = new Map<EntryProcess, Promise<void>>();
+  const faultyHosts = new Map<EntryProcess, Promise<void>>();
   const end = timer.now() + forMs;
-  const rolling = timer.every(ROLL_PERIOD_MS, () => {
+  const publishTimer = timer.every(PUBLISH_PERIOD_MS, () => {
     fleet.publish((bundle) => bundle);
     counts.rolls++;
   });
   while (timer.now() < end) {
-    await sleep(timer, draw(random, MEAN_GAP_MS));
+    await sleep(timer, drawDuration(random, MEAN_FAULT_INTERVAL_MS));
     const entry = random.pick(fleet.entries);
-    if (disturbed.has(entry) || disturbed.size >= MAX_DISTURBED) continue;
+    if (faultyHosts.has(entry) || faultyHosts.size >= MAX_FAULTY_HOSTS) {
+      continue;
+    }
     const isKill = random.float() < 0.5;
     if (isKill) counts.kills++;
     else counts.pauses++;
-    const back = isKill
-      ? killForWhile(entry, { fleet, random, timer })
-      : pauseForWhile(entry, { random, timer });
-    disturbed.set(entry, back.finally(() => disturbed.delete(entry)));
+    const recovery = isKill
+      ? killAndRestart(entry, { fleet, random, timer })
+      : pauseAndResume(entry, { random, timer });
+    faultyHosts.set(entry, recovery.finally(() => faultyHosts.delete(entry)));
   }
-  rolling.cancel();
-  await Promise.all(disturbed.values());
+  publishTimer.cancel();
+  await Promise.all(faultyHosts.values());
   return counts;
 }
 
-async function killForWhile(
+async function killAndRestart(
   entry: EntryProcess,
   { fleet, random, timer }: {
     fleet: Fleet;
@@ -66,7 +68,7 @@
     timer: SystemTimer;
   },
 ): Promise<void> {
-  const downMs = draw(random, MEAN_DOWN_MS);
+  const downMs = drawDuration(random, MEAN_DOWN_MS);
   const exited = new Promise((resolve) => entry.process.once("exit", resolve));
   entry.process.kill("SIGKILL");
   await exited;
@@ -74,16 +76,16 @@
   await fleet.restart(entry);
 }
 
-async function pauseForWhile(
+async function pauseAndResume(
   { process: child }: EntryProcess,
   { random, timer }: { random: Random; timer: SystemTimer },
 ): Promise<void> {
-  const pauseMs = draw(random, MEAN_PAUSE_MS);
+  const pauseMs = drawDuration(random, MEAN_PAUSE_MS);
   child.kill("SIGSTOP");
   await sleep(timer, pauseMs);
   child.kill("SIGCONT");
 }
 
-function draw(random: Random, mean: Milliseconds): Milliseconds {
-  return Math.min(LONGEST_WAIT * mean, random.exponential(mean));
+function drawDuration(random: Random, mean: Milliseconds): Milliseconds {
+  return Math.min(MAX_MEAN_MULTIPLE * mean, random.exponential(mean));
 }
--- a/packages/proof/src/liveMain.ts
+++ b/packages/proof/src/liveMain.ts
@@ -22,12 +22,12 @@
 const TIME_SCALE = 10;
 const SECOND = 1_000;
 const STATUS_PERIOD_MS = 500;
-/** Homes of keys take no keys from before their tenure. */
+/** Time until key homes start their tenure; earlier keys are refused. */
 const START_MS = 8_000;
-/** Silence after which a caller gives a connection up and asks elsewhere. */
-const SILENCE_MS = 5_000;
+/** Idle time after which a caller resends through another host. */
+const IDLE_TIMEOUT_MS = 5_000;
 
-/** Reads the command line, runs real processes under load and faults, and prints what callers saw. */
+/** Runs entry processes under load and faults and prints a report. */
 async function main(): Promise<void> {
   const cli = cac("live");
   cli.command("", "Kill and pause real entry processes under load")
@@ -37,13 +37,13 @@
     .option("--seed <number>", "Seed of load and faults", { default: 1 })
     .option("--rate <number>", "Calls per second", { default: 20 })
     .option("--json", "Print one JSON object")
-    .action(runFlags);
+    .action(runCommand);
   cli.help();
   cli.parse(process.argv, { run: false });
   await cli.runMatchedCommand();
 }
 
-async function runFlags(flags: Flags): Promise<void> {
+async function runCommand(flags: Flags): Promise<void> {
   const fleet = await startFleet({
     deployment: "fukuoka",
     hosts: HOSTS,
@@ -53,9 +53,9 @@
     const report = await runLive(flags, fleet);
     print(report, flags.json === true);
     const { doubleDispatches, doubleRuns, crossed, cut, falseNotRun } = report;
-    const broken = doubleDispatches + doubleRuns + crossed + cut +
+    const violations = doubleDispatches + doubleRuns + crossed + cut +
       falseNotRun + report.configurationReversions;
-    process.exitCode = broken === 0 ? 0 : 1;
+    process.exitCode = violations === 0 ? 0 : 1;
   } finally {
     await fleet.stop();
   }
@@ -76,7 +76,7 @@
   });
   const options = resolveLoadOptions(settings)._unsafeUnwrap();
   await sleep(new SystemTimer(), START_MS);
-  const versions = new VersionWatch(fleet);
+  const versionMonitor = new BundleVersionMonitor(fleet);
   const [faults] = await Promise.all([
     injectFaults({
       fleet,
@@ -85,26 +85,28 @@
     }),
     runLoad({
       ...options,
-      idleTimeoutMs: SILENCE_MS,
+      idleTimeoutMs: IDLE_TIMEOUT_MS,
       onEnd: (call) => calls.push(call),
     }),
   ]);
-  const configurationReversions = versions.stop();
+  const configurationReversions = versionMonitor.stop();
   return checkLiveRun(
     { seed, seconds, ...faults, configurationReversions },
     { calls, fleet },
   );
 }
 
-/** Asks every host which bundle it has in force, and counts steps back. */
-class VersionWatch {
+/** Polls the bundle version in force on each host and counts reversions. */
+class BundleVersionMonitor {
   readonly #newest = new Map<string, number>();
   readonly #polling: { cancel(): void };
   #reversions = 0;
 
   constructor({ entries }: Fleet) {
     this.#polling = new SystemTimer().every(STATUS_PERIOD_MS, () => {
-      for (const { operatorUrl } of entries) void this.#ask(operatorUrl);
+      for (const { operatorUrl } of entries) {
+        void this.#checkVersion(operatorUrl);
+      }
     });
   }
 
@@ -113,11 +115,11 @@
     return this.#reversions;
   }
 
-  async #ask(operatorUrl: string): Promise<void> {
-    const answer = await fetch(`${operatorUrl}/status`, {
+  async #checkVersion(operatorUrl: string): Promise<void> {
+    const response = await fetch(`${operatorUrl}/status`, {
       signal: AbortSignal.timeout(STATUS_PERIOD_MS),
     }).catch(() => undefined);
-    const status = await answer?.json().catch(() => undefined) as
+    const status = await response?.json().catch(() => undefined) as
       | { incarnation: string; bundle: { version: number } | null }
       | undefined;
     if (status === undefined || status.bundle === null) return;
--- a/packages/proof/src/loggedRequests.ts
+++ b/packages/proof/src/loggedRequests.ts
@@ -1,7 +1,7 @@
 import type { LogLine } from "@wasabivane/ctl";
 import type { EpochMilliseconds, Milliseconds } from "@wasabivane/common";
 
-/** How a request went, as its caller saw it. */
+/** Outcome of a request as observed by its caller. */
 export type LoggedOutcome =
   | "on time"
   | "late by its first event"
@@ -9,30 +9,30 @@
   | "refused"
   | "broken off";
 
-/** One request that reached a service, by what the hosts logged of it. */
+/** A request to a service, reconstructed from host logs. */
 export interface LoggedRequest {
   readonly tier: number;
   readonly at: EpochMilliseconds;
-  /** Time until its first event, or whole plain answer, that is on time. */
+  /** Latency target of its first event or complete plain response. */
   readonly target: Milliseconds;
-  /** Upstream that it was sent to last; `undefined` when none got it. */
+  /** Upstream of its last attempt; `undefined` if it was never sent. */
   readonly upstream: string | undefined;
-  /** Places that this upstream has. */
+  /** Number of slots of this upstream. */
   readonly slots: number;
-  /** Time that it held a place, or would have been expected to. */
+  /** Time that it occupied a slot, or was expected to if refused. */
   readonly held: Milliseconds;
-  /** Time between its events; `undefined` with fewer than three. */
+  /** Mean interval between its events; `undefined` for fewer than three. */
   readonly pace: Milliseconds | undefined;
   readonly outcome: LoggedOutcome;
 }
 
-/** Requests of each service in the lines of one or more hosts, in order of time. */
+/** Reconstructs the requests of each service from ordered log lines. */
 export function readLoggedRequests(
   lines: readonly LogLine[],
 ): Map<string, LoggedRequest[]> {
   const sends = new Map<string, LogLine>();
   const services = new Map<string, LoggedRequest[]>();
-  const add = (service: string, request: LoggedRequest): void => {
+  const addRequest = (service: string, request: LoggedRequest): void => {
     services.set(service, [...services.get(service) ?? [], request]);
   };
   for (const line of lines) {
@@ -41,60 +41,60 @@
     const sent = sends.get(id);
     if (line.event === "request_refused" && sent === undefined) {
       if (typeof line.values.hold !== "number") continue;
-      add(String(line.values.service), refusedRequest(line));
+      addRequest(String(line.values.service), createRefusedRequest(line));
     }
     if (line.event === "request_ended" && sent !== undefined) {
       sends.delete(id);
-      add(String(sent.values.service), endedRequest(sent, line));
+      addRequest(String(sent.values.service), createEndedRequest(sent, line));
     }
   }
   return services;
 }
 
-function refusedRequest({ time, values }: LogLine): LoggedRequest {
+function createRefusedRequest({ time, values }: LogLine): LoggedRequest {
   return {
-    tier: numberIn(values.tier),
-    at: time - numberIn(values.held),
-    target: numberIn(values.target),
+    tier: toNumber(values.tier),
+    at: time - toNumber(values.held),
+    target: toNumber(values.target),
     upstream: undefined,
     slots: 0,
-    held: numberIn(values.hold),
+    held: toNumber(values.hold),
     pace: undefined,
     outcome: "refused",
   };
 }
 
-function endedRequest(sent: LogLine, ended: LogLine): LoggedRequest {
+function createEndedRequest(sent: LogLine, ended: LogLine): LoggedRequest {
   const { waited, target, pauseTarget, tier, slots, upstream } = sent.values;
   const { first, took, parts } = ended.values;
-  const events = numberIn(parts);
-  const answering = numberIn(took) - numberIn(first);
+  const events = toNumber(parts);
+  const responseDuration = toNumber(took) - toNumber(first);
   return {
-    tier: numberIn(tier),
-    at: sent.time - numberIn(waited),
-    target: numberIn(target),
+    tier: toNumber(tier),
+    at: sent.time - toNumber(waited),
+    target: toNumber(target),
     upstream: String(upstream),
-    slots: numberIn(slots),
+    slots: toNumber(slots),
     held: ended.time - sent.time,
-    pace: events > 2 ? answering / (events - 1) : undefined,
-    outcome: endingOf(ended, {
-      target: numberIn(target),
-      pauseTarget: numberIn(pauseTarget),
+    pace: events > 2 ? responseDuration / (events - 1) : undefined,
+    outcome: classifyOutcome(ended, {
+      target: toNumber(target),
+      pauseTarget: toNumber(pauseTarget),
     }),
   };
 }
 
-function endingOf(
+function classifyOutcome(
   { values: { ending, first, pause } }: LogLine,
   { target, pauseTarget }: { target: number; pauseTarget: number },
 ): LoggedOutcome {
-  const isWhole = ending === "whole" || ending === "status-200";
-  if (!isWhole) return "broken off";
-  if (numberIn(first) > target) return "late by its first event";
-  const isPaused = pauseTarget > 0 && numberIn(pause) > pauseTarget;
-  return isPaused ? "late by a pause" : "on time";
+  const isComplete = ending === "whole" || ending === "status-200";
+  if (!isComplete) return "broken off";
+  if (toNumber(first) > target) return "late by its first event";
+  const isPauseTooLong = pauseTarget > 0 && toNumber(pause) > pauseTarget;
+  return isPauseTooLong ? "late by a pause" : "on time";
 }
 
-function numberIn(value: unknown): number {
+function toNumber(value: unknown): number {
   return typeof value === "number" ? value : 0;
 }
