--- a/packages/proof/src/modelCheck.ts
+++ b/packages/proof/src/modelCheck.ts
@@ -21,16 +21,16 @@
   TICK_MS,
 } from "./modelState.ts";
 
-/** One thing that may happen, with the state after it. */
-interface Step {
+/** A possible transition and its resulting state. */
+interface Transition {
   readonly name: string;
   readonly next: ModelState;
 }
 
-/** What an exploration found. */
+/** Result of an exploration. */
 export interface ModelResult {
   readonly states: number;
-  /** False when the bound on states was reached first. */
+  /** Whether all reachable states were explored within the limit. */
   readonly isComplete: boolean;
   readonly violation?: {
     readonly what: string;
@@ -38,33 +38,34 @@
   };
 }
 
-/** How to explore. */
+/** Options of {@link checkModel}. */
 export interface ModelOptions {
   readonly bounds: ModelBounds;
-  /** The home of the key in each list, by list index. */
+  /** Home of the key in each host list, by list index. */
   readonly homes: readonly HostId[];
   readonly components?: ModelComponents;
   readonly maximumStates?: number;
 }
 
-interface Visit {
+interface VisitedState {
   readonly state: ModelState;
-  readonly parent: Visit | undefined;
+  readonly parent: VisitedState | undefined;
   readonly step: string;
 }
 
 const MAX_STATES = 5_000_000;
 
 /**
- * Explores every order of messages, restarts, list readings and steps of time
- * within the bounds, over the state machines that the daemons run. A pause of a
- * process is an order in which nothing happens at it while time goes on.
+ * Explores all interleavings of messages, restarts, host list reads and time
+ * steps within the bounds, using the production state machines. A process pause
+ * is an interleaving in which time advances without transitions at that
+ * process.
  */
 export function checkModel(options: ModelOptions): ModelResult {
-  return new ModelCheck(options).run();
+  return new StateExplorer(options).run();
 }
 
-/** A key whose home is the given host in each of the views. */
+/** Finds a key whose home in each view is the given host. */
 export function findKey(
   views: readonly View[],
   homes: readonly HostId[],
@@ -76,10 +77,10 @@
   }
 }
 
-class ModelCheck {
+class StateExplorer {
   readonly #bounds: ModelBounds;
-  readonly #machines: ModelComponents;
-  readonly #maximum: number;
+  readonly #components: ModelComponents;
+  readonly #maximumStates: number;
   readonly #key: IdempotencyKey;
   readonly #seen = new Set<string>();
   readonly #digests = new StateDigests();
@@ -88,18 +89,18 @@
     {
       bounds,
       homes,
-      components: machines = PRODUCTION_COMPONENTS,
+      components = PRODUCTION_COMPONENTS,
       maximumStates = MAX_STATES,
     }: ModelOptions,
   ) {
     this.#bounds = bounds;
-    this.#machines = machines;
-    this.#maximum = maximumStates;
+    this.#components = components;
+    this.#maximumStates = maximumStates;
     this.#key = findKey(bounds.lists, homes);
   }
 
   run(): ModelResult {
-    const stack: Visit[] = [
+    const stack: VisitedState[] = [
       { state: this.#initial(), parent: undefined, step: "start" },
     ];
     while (stack.length > 0) {
@@ -108,17 +109,18 @@
       if (this.#seen.has(digest)) continue;
       this.#seen.add(digest);
       const states = this.#seen.size;
-      const violation = visit.state.violation ?? activeViewsClash(visit.state);
+      const violation = visit.state.violation ??
+        findConflictingViews(visit.state);
       if (violation !== undefined) {
-        const trace = traceOf(visit);
+        const trace = buildTrace(visit);
         return {
           states,
           isComplete: false,
           violation: { what: violation, trace },
         };
       }
-      if (states >= this.#maximum) return { states, isComplete: false };
-      for (const { name, next } of this.#steps(visit.state)) {
+      if (states >= this.#maximumStates) return { states, isComplete: false };
+      for (const { name, next } of this.#transitions(visit.state)) {
         stack.push({ state: next, parent: visit, step: name });
       }
     }
@@ -137,7 +139,7 @@
         startedAt: -100 * TICK_MS,
         isJoined: true,
         firstView: lists[0],
-        machines: this.#machines,
+        components: this.#components,
         host,
       }),
     ]));
@@ -156,20 +158,20 @@
     };
   }
 
-  #steps(state: ModelState): Step[] {
+  #transitions(state: ModelState): Transition[] {
     return [
-      ...this.#timeSteps(state),
-      ...this.#listSteps(state),
-      ...this.#restartSteps(state),
-      ...this.#roundSteps(state),
-      ...this.#leaseSteps(state),
-      ...this.#claimSteps(state),
-      ...this.#answerSteps(state),
-      ...this.#ownerSteps(state),
+      ...this.#timeTransitions(state),
+      ...this.#listTransitions(state),
+      ...this.#restartTransitions(state),
+      ...this.#leaseRoundTransitions(state),
+      ...this.#leaseMessageTransitions(state),
+      ...this.#claimTransitions(state),
+      ...this.#claimReplyTransitions(state),
+      ...this.#claimantTransitions(state),
     ];
   }
 
-  #timeSteps(state: ModelState): Step[] {
+  #timeTransitions(state: ModelState): Transition[] {
     if (state.tick >= this.#bounds.ticks) return [];
     const tick = state.tick + 1;
     const hosts = new Map([...state.hosts].map(([name, host]) => {
@@ -179,38 +181,41 @@
       process.keyTable.expire(tick * TICK_MS);
       return [name, copy];
     }));
-    return [{ name: `time is ${tick}`, next: { ...state, tick, hosts } }];
+    return [{
+      name: `time advances to tick ${tick}`,
+      next: { ...state, tick, hosts },
+    }];
   }
 
-  #listSteps(state: ModelState): Step[] {
-    const steps: Step[] = [];
+  #listTransitions(state: ModelState): Transition[] {
+    const transitions: Transition[] = [];
     for (const host of this.#bounds.readers) {
       const { lease } = state.hosts.get(host)!;
       for (const view of this.#bounds.lists) {
         const { version } = view;
         const isKnown = lease.views.has(version) || lease.retired.has(version);
         if (isKnown) continue;
-        const next = this.#change(state, host, (process) => {
+        const next = this.#update(state, host, (process) => {
           process.lease.addView(view);
         });
-        steps.push({ name: `${host} reads list ${version}`, next });
+        transitions.push({ name: `${host} reads list ${version}`, next });
       }
     }
-    return steps;
+    return transitions;
   }
 
-  #restartSteps(state: ModelState): Step[] {
+  #restartTransitions(state: ModelState): Transition[] {
     return state.restartsLeft.map((host) => {
       const hosts = new Map(state.hosts);
-      const former = state.hosts.get(host)!;
+      const previous = state.hosts.get(host)!;
       hosts.set(
         host,
         createHostState({
-          incarnation: former.incarnation + 1,
+          incarnation: previous.incarnation + 1,
           startedAt: state.tick * TICK_MS,
           isJoined: false,
           firstView: this.#bounds.lists[0],
-          machines: this.#machines,
+          components: this.#components,
           host,
         }),
       );
@@ -224,24 +229,25 @@
     });
   }
 
-  #roundSteps(state: ModelState): Step[] {
-    const steps: Step[] = [];
+  #leaseRoundTransitions(state: ModelState): Transition[] {
+    const transitions: Transition[] = [];
     for (const [host, left] of state.roundsLeft) {
       const { lease } = state.hosts.get(host)!;
-      const isDone = lease.sentAt.get(lease.serial) === state.tick * TICK_MS;
-      if (left === 0 || isDone) continue;
-      steps.push({
-        name: `${host} asks for leases`,
-        next: this.#ask(state, host),
+      const hasRequested =
+        lease.sentAt.get(lease.serial) === state.tick * TICK_MS;
+      if (left === 0 || hasRequested) continue;
+      transitions.push({
+        name: `${host} requests leases`,
+        next: this.#requestLeases(state, host),
       });
     }
-    return steps;
+    return transitions;
   }
 
-  #ask(state: ModelState, host: HostId): ModelState {
+  #requestLeases(state: ModelState, host: HostId): ModelState {
     const now = state.tick * TICK_MS;
     const leaseMessages = new Map(state.leaseMessages);
-    const next = this.#change(state, host, ({ lease }) => {
+    const next = this.#update(state, host, ({ lease }) => {
       const request = lease.nextRequest(now);
       for (const target of lease.targets()) {
         if (target === host) {
@@ -254,15 +260,19 @@
     return { ...next, roundsLeft, leaseMessages };
   }
 
-  #leaseSteps(state: ModelState): Step[] {
-    return [...state.leaseMessages].map(([way, message]) => {
-      const [from, to] = way.split(">") as [HostId, HostId];
+  #leaseMessageTransitions(state: ModelState): Transition[] {
+    return [...state.leaseMessages].map(([route, message]) => {
+      const [from, to] = route.split(">") as [HostId, HostId];
       const leaseMessages = new Map(state.leaseMessages);
-      leaseMessages.delete(way);
+      leaseMessages.delete(route);
       const base = { ...state, leaseMessages };
       return "isJoined" in (message as object)
-        ? this.#takeAnswer(base, { from, to, answer: message as LeaseReply })
-        : this.#takeRequest(base, {
+        ? this.#deliverLeaseReply(base, {
+          from,
+          to,
+          reply: message as LeaseReply,
+        })
+        : this.#deliverLeaseRequest(base, {
           from,
           to,
           request: message as LeaseRequest,
@@ -270,74 +280,74 @@
     });
   }
 
-  #takeRequest(
+  #deliverLeaseRequest(
     state: ModelState,
     { from, to, request }: { from: HostId; to: HostId; request: LeaseRequest },
-  ): Step {
+  ): Transition {
     const now = state.tick * TICK_MS;
-    let answer: LeaseReply | undefined;
-    const next = this.#change(state, to, ({ lease }) => {
-      answer = lease.handleRequest(from, request, now);
+    let reply: LeaseReply | undefined;
+    const next = this.#update(state, to, ({ lease }) => {
+      reply = lease.handleRequest(from, request, now);
     });
-    const name = `${to} hears ${from}`;
+    const name = `${to} receives the lease request of ${from}`;
     if (!this.#bounds.hasDelayedReplies) {
-      const step = this.#takeAnswer(next, {
+      const step = this.#deliverLeaseReply(next, {
         from: to,
         to: from,
-        answer: answer!,
+        reply: reply!,
       });
       return { name, next: step.next };
     }
-    next.leaseMessages.set(`${to}>${from}`, answer);
+    next.leaseMessages.set(`${to}>${from}`, reply);
     return { name, next };
   }
 
-  #takeAnswer(
+  #deliverLeaseReply(
     state: ModelState,
-    { from, to, answer }: { from: HostId; to: HostId; answer: LeaseReply },
-  ): Step {
-    const next = this.#change(state, to, ({ lease }) => {
-      lease.applyReply(from, answer, state.tick * TICK_MS);
+    { from, to, reply }: { from: HostId; to: HostId; reply: LeaseReply },
+  ): Transition {
+    const next = this.#update(state, to, ({ lease }) => {
+      lease.applyReply(from, reply, state.tick * TICK_MS);
     });
-    return { name: `${to} gets the answer of ${from}`, next };
+    return { name: `${to} receives the lease reply of ${from}`, next };
   }
 
-  #claimSteps(state: ModelState): Step[] {
-    const steps: Step[] = state.entriesLeft.map((entry) => ({
-      name: `the caller asks ${entry}`,
-      next: this.#beginClaim(state, entry),
+  #claimTransitions(state: ModelState): Transition[] {
+    const transitions: Transition[] = state.entriesLeft.map((entry) => ({
+      name: `the caller sends the request to ${entry}`,
+      next: this.#sendClaim(state, entry),
     }));
     for (const claimId of state.claimMessages.keys()) {
-      steps.push(this.#decideClaim(state, claimId));
+      transitions.push(this.#decideClaim(state, claimId));
     }
-    return steps;
+    return transitions;
   }
 
-  #decideClaim(state: ModelState, claimId: string): Step {
+  #decideClaim(state: ModelState, claimId: string): Transition {
     const message = state.claimMessages.get(claimId)!;
     const { claim, home, left } = message;
     const claimMessages = new Map(state.claimMessages);
     if (left === 1) claimMessages.delete(claimId);
     else claimMessages.set(claimId, { ...message, left: left - 1 });
-    let answer: ClaimReply | undefined;
-    const decided = this.#change(state, home, (process) => {
-      answer = process.decide(claim, {
-        isGone: (host, incarnation) =>
+    let reply: ClaimReply | undefined;
+    const decided = this.#update(state, home, (process) => {
+      reply = process.decide(claim, {
+        isTerminated: (host, incarnation) =>
           String(state.hosts.get(host)!.incarnation) !== incarnation,
       });
     });
-    const answers = new Map(state.claimReplies);
-    const way = `${claimId} ${left}`;
+    const claimReplies = new Map(state.claimReplies);
+    const route = `${claimId} ${left}`;
     const to = claim.claimant.host;
-    answers.set(way, { answer: answer!, to, from: home });
-    const next = { ...decided, claimMessages, claimReplies: answers };
-    const name = `${home} decides about ${claimId}: ${JSON.stringify(answer)}`;
+    claimReplies.set(route, { reply: reply!, to, from: home });
+    const next = { ...decided, claimMessages, claimReplies };
+    const name = `${home} decides ${claimId}: ${JSON.stringify(reply)}`;
     return this.#bounds.hasDelayedReplies
       ? { name, next }
-      : { name, next: this.#hearAnswer(next, way) };
+      : { name, next: this.#deliverClaimReply(next, route) };
   }
 
-  #beginClaim(state: ModelState, entry: HostId): ModelState {
+  #sendClaim(state: ModelState, entry: HostId): ModelState {
     const issued = {
       ...state,
       issuedAt: state.issuedAt ?? state.tick * TICK_MS,
@@ -347,12 +357,12 @@
       bounds: this.#bounds,
     });
     const claimMessages = new Map(state.claimMessages);
-    const next = this.#change(issued, entry, ({ lease, claimTable: owner }) => {
+    const next = this.#update(issued, entry, ({ lease, claimTable }) => {
       const home = homeOf(
         this.#key,
         lease.newestView ?? this.#bounds.lists[0]!,
       )!;
-      owner.add(claim, home);
+      claimTable.add(claim, home);
       const left = this.#bounds.claimDeliveries;
       claimMessages.set(claim.claimId, { claim, home, left });
     });
@@ -360,86 +370,100 @@
     return { ...next, entriesLeft, claimMessages };
   }
 
-  #answerSteps(state: ModelState): Step[] {
-    return [...state.claimReplies].map(([way, { answer, to }]) => ({
-      name: `${to} hears of its claim: ${answer.kind}`,
-      next: this.#hearAnswer(state, way),
+  #claimReplyTransitions(state: ModelState): Transition[] {
+    return [...state.claimReplies].map(([route, { reply, to }]) => ({
+      name: `${to} receives the claim reply: ${reply.kind}`,
+      next: this.#deliverClaimReply(state, route),
     }));
   }
 
-  #hearAnswer(state: ModelState, way: string): ModelState {
-    const { answer, to, from } = state.claimReplies.get(way)!;
-    const claimId = way.split(" ")[0]!;
-    const answers = new Map(state.claimReplies);
-    answers.delete(way);
-    let isGivenBack = false;
-    const taken = this.#change(
-      { ...state, claimReplies: answers },
+  #deliverClaimReply(state: ModelState, route: string): ModelState {
+    const { reply, to, from } = state.claimReplies.get(route)!;
+    const claimId = route.split(" ")[0]!;
+    const claimReplies = new Map(state.claimReplies);
+    claimReplies.delete(route);
+    let isReturned = false;
+    const applied = this.#update(
+      { ...state, claimReplies },
       to,
-      ({ claimTable: owner }) => {
-        isGivenBack =
-          owner.applyReply(claimId, answer, { from }) === "give-back";
+      ({ claimTable }) => {
+        isReturned =
+          claimTable.applyReply(claimId, reply, { from }) === "give-back";
       },
     );
-    return isGivenBack ? this.#release(taken, { claimId, home: from }) : taken;
+    return isReturned
+      ? this.#release(applied, { claimId, home: from })
+      : applied;
   }
 
-  #ownerSteps(state: ModelState): Step[] {
-    const steps: Step[] = [];
+  #claimantTransitions(state: ModelState): Transition[] {
+    const transitions: Transition[] = [];
     for (const [host, { claims }] of state.hosts) {
       for (const [claimId, own] of claims) {
         if (own.state === "owned") {
-          steps.push(...this.#useSteps(state, { host, claimId }));
+          transitions.push(
+            ...this.#ownedClaimTransitions(state, { host, claimId }),
+          );
         }
         if (own.state === "pending" && this.#bounds.hasAbandonment) {
-          const next = this.#change(state, host, ({ claimTable: owner }) => {
-            owner.abandon(claimId);
+          const next = this.#update(state, host, ({ claimTable }) => {
+            claimTable.abandon(claimId);
           });
-          steps.push({ name: `${host} waits no longer`, next });
+          transitions.push({ name: `${host} abandons the claim`, next });
         }
       }
     }
-    return steps;
+    return transitions;
   }
 
-  #useSteps(
+  #ownedClaimTransitions(
     state: ModelState,
     { host, claimId }: { host: HostId; claimId: string },
-  ): Step[] {
-    const written = this.#write(state, { host, claimId, isTold: false });
-    const told = this.#write(state, { host, claimId, isTold: true });
-    const steps = [
-      { name: `${host} writes, its home does not hear`, next: written },
-      { name: `${host} writes, its home hears`, next: told },
+  ): Transition[] {
+    const unreported = this.#dispatch(state, {
+      host,
+      claimId,
+      isReported: false,
+    });
+    const reported = this.#dispatch(state, { host, claimId, isReported: true });
+    const transitions = [
+      {
+        name: `${host} dispatches, its update to the home is lost`,
+        next: unreported,
+      },
+      { name: `${host} dispatches and updates the home`, next: reported },
     ];
-    if (!this.#bounds.hasAbandonment) return steps;
-    const released = this.#giveUp(state, host, claimId);
-    return [...steps, { name: `${host} gives up`, next: released }];
+    if (!this.#bounds.hasAbandonment) return transitions;
+    const released = this.#abandonGrant(state, host, claimId);
+    return [...transitions, {
+      name: `${host} releases the grant`,
+      next: released,
+    }];
   }
 
-  #write(
+  #dispatch(
     state: ModelState,
-    { host, claimId, isTold }: {
+    { host, claimId, isReported }: {
       host: HostId;
       claimId: string;
-      isTold: boolean;
+      isReported: boolean;
     },
   ): ModelState {
     const now = state.tick * TICK_MS;
-    let isWritten = false;
-    const spent = this.#change(state, host, ({ claimTable: owner }) => {
-      isWritten = owner.consumeGrant(claimId, now);
+    let isDispatched = false;
+    const consumed = this.#update(state, host, ({ claimTable }) => {
+      isDispatched = claimTable.consumeGrant(claimId, now);
     });
-    if (!isWritten) return spent;
+    if (!isDispatched) return consumed;
     const { claim, home } = state.hosts.get(host)!.claims.get(claimId)!;
-    const next = isTold
-      ? this.#change(spent, home, (process) => {
+    const next = isReported
+      ? this.#update(consumed, home, (process) => {
         process.keyTable.markDispatched(
           { ...claim, sequence: 1 },
           modelDispatch(),
         );
       })
-      : spent;
+      : consumed;
     const dispatches = state.dispatches + 1;
     const isSecond = dispatches > 1 && !this.#bounds.isIdempotent;
     return isSecond
@@ -447,19 +471,19 @@
       : { ...next, dispatches };
   }
 
-  #giveUp(state: ModelState, host: HostId, claimId: string): ModelState {
+  #abandonGrant(state: ModelState, host: HostId, claimId: string): ModelState {
     const { home } = state.hosts.get(host)!.claims.get(claimId)!;
     let isReleased = false;
-    const released = this.#change(state, host, ({ claimTable: owner }) => {
-      isReleased = owner.release(claimId);
+    const released = this.#update(state, host, ({ claimTable }) => {
+      isReleased = claimTable.release(claimId);
     });
     if (!isReleased) return released;
-    const told = this.#release(released, { claimId, home });
+    const reported = this.#release(released, { claimId, home });
     const isFalse = state.dispatches > 0;
     const violation = isFalse
-      ? "Not run was said of a key that ran"
+      ? "A request that ran was reported as not run"
       : undefined;
-    const next = { ...told, hasReportedNotRun: true };
+    const next = { ...reported, hasReportedNotRun: true };
     return violation === undefined ? next : { ...next, violation };
   }
 
@@ -470,7 +494,7 @@
     const account =
       createClaim(home, state, { key: this.#key, bounds: this.#bounds })
         .account;
-    return this.#change(state, home, (process) => {
+    return this.#update(state, home, (process) => {
       process.keyTable.release({
         account,
         key: this.#key,
@@ -480,7 +504,7 @@
     });
   }
 
-  #change(
+  #update(
     state: ModelState,
     host: HostId,
     apply: (process: ModelProcess) => void,
@@ -500,13 +524,13 @@
     return new ModelProcess(host, state, {
       now: tick * TICK_MS,
       bounds: this.#bounds,
-      machines: this.#machines,
+      components: this.#components,
     });
   }
 }
 
-/** Two hosts that act under different views could each be the home of one key. */
-function activeViewsClash(state: ModelState): string | undefined {
+/** Finds hosts active in different views, which could both be a key's home. */
+function findConflictingViews(state: ModelState): string | undefined {
   const now = state.tick * TICK_MS;
   const versions = new Set<number>();
   for (const { lease } of state.hosts.values()) {
@@ -517,9 +541,13 @@
   return versions.size > 1 ? "Two views were active at once" : undefined;
 }
 
-function traceOf(visit: Visit): string[] {
+function buildTrace(visit: VisitedState): string[] {
   const trace: string[] = [];
-  for (let at: Visit | undefined = visit; at !== undefined; at = at.parent) {
+  for (
+    let at: VisitedState | undefined = visit;
+    at !== undefined;
+    at = at.parent
+  ) {
     trace.unshift(at.step);
   }
   return trace;
--- a/packages/proof/src/modelCheckMain.ts
+++ b/packages/proof/src/modelCheckMain.ts
@@ -2,10 +2,10 @@
 import { checkModel } from "./modelCheck.ts";
 import { LARGE_SCOPES, SMALL_SCOPES } from "./modelScopes.ts";
 
-/** States after which a larger exploration is cut off and says so. */
+/** Limit of explored states; a larger exploration is reported as incomplete. */
 const MAX_STATES = 400_000;
 
-/** Explores every scope and prints one line of JSON for each. */
+/** Explores all scopes and prints one JSON line for each. */
 function main(): void {
   const scopes = [
     ...Object.entries(SMALL_SCOPES).map(([name, scope]) => ({
--- a/packages/proof/src/modelScopes.ts
+++ b/packages/proof/src/modelScopes.ts
@@ -6,31 +6,31 @@
 const B = asId<HostId>("b");
 const D = asId<HostId>("d");
 
-/** The key's home moves from one host to another, and nobody stays. */
+/** Host lists that replace the only host, and with it the key's home. */
 const REPLACED: readonly View[] = [
   { version: 1, hosts: [A] },
   { version: 2, hosts: [B] },
 ];
-/** The key's home leaves a list of three. */
+/** Host lists that remove the key's home from three hosts. */
 const SHRUNK: readonly View[] = [
   { version: 1, hosts: [A, B, D] },
   { version: 2, hosts: [B, D] },
 ];
-const NOTHING = { restarts: [], entries: [], claimDeliveries: 1 } as const;
+const NO_EVENTS = { restarts: [], entries: [], claimDeliveries: 1 } as const;
 
-/** Names of the explorations. */
+/** Name of an exploration. */
 export type ModelScopeName =
   | "viewChange"
   | "homeChange"
   | "granterRestart"
   | "keyExpiry";
 
-/** Explorations that end within seconds; each reaches what one safeguard is for. */
+/** Fast explorations, each covering the states that one safeguard protects. */
 export const SMALL_SCOPES: Readonly<Record<ModelScopeName, ModelOptions>> = {
   viewChange: {
     homes: [A, D],
     bounds: {
-      ...NOTHING,
+      ...NO_EVENTS,
       lists: SHRUNK,
       readers: [D],
       ticks: 1,
@@ -40,7 +40,7 @@
   homeChange: {
     homes: [A, B],
     bounds: {
-      ...NOTHING,
+      ...NO_EVENTS,
       lists: REPLACED,
       readers: [B],
       ticks: 2,
@@ -51,7 +51,7 @@
   granterRestart: {
     homes: [A, D],
     bounds: {
-      ...NOTHING,
+      ...NO_EVENTS,
       lists: SHRUNK,
       readers: [D],
       ticks: 0,
@@ -62,7 +62,7 @@
   keyExpiry: {
     homes: [A],
     bounds: {
-      ...NOTHING,
+      ...NO_EVENTS,
       lists: REPLACED.slice(0, 1),
       readers: [],
       ticks: 3,
@@ -75,19 +75,19 @@
   },
 };
 
-/** The same with more of everything, for `npm run modelcheck`. */
+/** Explorations with wider bounds, for `npm run modelcheck`. */
 export const LARGE_SCOPES: Readonly<Record<ModelScopeName, ModelOptions>> = {
-  viewChange: widened("viewChange", { ticks: 2, readers: [B, D] }),
-  homeChange: widened("homeChange", {
+  viewChange: widenScope("viewChange", { ticks: 2, readers: [B, D] }),
+  homeChange: widenScope("homeChange", {
     rounds: { a: 1, b: 2 },
     readers: [A, B],
     hasDelayedReplies: true,
   }),
-  granterRestart: widened("granterRestart", { ticks: 1 }),
-  keyExpiry: widened("keyExpiry", { hasDelayedReplies: true }),
+  granterRestart: widenScope("granterRestart", { ticks: 1 }),
+  keyExpiry: widenScope("keyExpiry", { hasDelayedReplies: true }),
 };
 
-function widened(
+function widenScope(
   name: ModelScopeName,
   changes: Partial<ModelOptions["bounds"]>,
 ): ModelOptions {
--- a/packages/proof/src/modelState.ts
+++ b/packages/proof/src/modelState.ts
@@ -25,48 +25,48 @@
   type ViewLeaseState,
 } from "@wasabivane/coordination";
 
-/** Milliseconds of one step of time in the model. */
+/** Duration of one time step of the model. */
 export const TICK_MS = 1_000;
-/** A lease lasts two steps, so that it can be cut short and outlasted. */
+/** Two steps, so that events occur both within a lease and after it. */
 const LEASE_MS = 2 * TICK_MS;
 
-/** Which machines the model runs; tests replace one by a weaker one. */
+/** Factories of the state machines; tests substitute weakened ones. */
 export interface ModelComponents {
   readonly createLease: (options: ViewLeaseOptions) => ViewLease;
   readonly createKeyTable: (options: KeyTableOptions) => KeyTable;
 }
 
-/** The machines as they ship. */
+/** Factories of the production state machines. */
 export const PRODUCTION_COMPONENTS: ModelComponents = {
   createLease: (options) => new ViewLease(options),
   createKeyTable: (options) => new KeyTable(options),
 };
 
-/** What may happen in one exploration; all counts are upper bounds. */
+/** Bounds of an exploration; all counts are upper limits. */
 export interface ModelBounds {
-  /** Published lists, oldest first; every host knows the first at the start. */
+  /** Published host lists, oldest first; all hosts start with the first. */
   readonly lists: readonly View[];
-  /** Hosts that read the platform; the others hear of lists from their peers. */
+  /** Hosts that read lists from the platform. */
   readonly readers: readonly HostId[];
-  /** Steps of time. */
+  /** Number of time steps. */
   readonly ticks: number;
-  /** Rounds of lease requests of each host, by list index of the host's name. */
+  /** Number of lease request rounds by host. */
   readonly rounds: Readonly<Record<string, number>>;
-  /** Hosts that may restart once, without memory. */
+  /** Hosts that may restart once and lose their state. */
   readonly restarts: readonly HostId[];
-  /** Hosts at which the caller sends its request, once each. */
+  /** Hosts that receive the caller's request, once each. */
   readonly entries: readonly HostId[];
-  /** Times that one claim message may arrive. */
+  /** Number of deliveries of a claim message. */
   readonly claimDeliveries: number;
   readonly isIdempotent?: boolean;
   readonly lifetimeTicks?: number;
-  /** Lets entries give up waiting and give up grants. */
+  /** Whether claimants may abandon pending claims and release grants. */
   readonly hasAbandonment?: boolean;
-  /** Lets answers arrive apart from requests; more states. */
+  /** Whether replies arrive as separate transitions. */
   readonly hasDelayedReplies?: boolean;
 }
 
-/** One host's process, as plain data. */
+/** State of one host process as plain data. */
 export interface ModelHost {
   readonly incarnation: number;
   readonly startedAt: number;
@@ -75,28 +75,28 @@
   readonly claims: Map<string, OwnClaim>;
 }
 
-/** The whole state of an exploration. */
+/** State of the model in an exploration. */
 export interface ModelState {
   readonly tick: number;
   readonly hosts: Map<HostId, ModelHost>;
   readonly roundsLeft: Map<HostId, number>;
   readonly restartsLeft: readonly HostId[];
   readonly entriesLeft: readonly HostId[];
-  /** Lease requests and answers on their way, by sender and receiver. */
+  /** Lease messages in flight, by sender and receiver. */
   readonly leaseMessages: Map<string, unknown>;
-  /** Claims on their way with the deliveries that are left. */
+  /** Claims in flight with their remaining deliveries. */
   readonly claimMessages: Map<
     string,
     { claim: Claim; home: HostId; left: number }
   >;
   readonly claimReplies: Map<
     string,
-    { answer: ClaimReply; to: HostId; from: HostId }
+    { reply: ClaimReply; to: HostId; from: HostId }
   >;
   readonly issuedAt: number | undefined;
   readonly dispatches: number;
   readonly hasReportedNotRun: boolean;
-  /** What was broken, if anything. */
+  /** Description of the violated invariant. */
   readonly violation?: string;
 }
 
@@ -107,7 +107,7 @@
   nonce: asId<Nonce>("nonce"),
 };
 
-/** Builds machines over one host's plain state. */
+/** Runs the state machines of a host over its plain state. */
 export class ModelProcess {
   readonly lease: ViewLease;
   readonly keyTable: KeyTable;
@@ -118,12 +118,12 @@
   constructor(
     host: HostId,
     state: ModelHost,
-    options: { now: number; bounds: ModelBounds; machines: ModelComponents },
+    options: { now: number; bounds: ModelBounds; components: ModelComponents },
   ) {
-    const { now, bounds, machines } = options;
+    const { now, bounds, components } = options;
     this.#host = host;
     this.#now = now;
-    this.lease = machines.createLease({
+    this.lease = components.createLease({
       host,
       incarnation: asId<Incarnation>(String(state.incarnation)),
       startedAt: state.startedAt,
@@ -131,40 +131,42 @@
       driftMs: 0,
       state: state.lease,
     });
-    this.keyTable = machines.createKeyTable({
+    this.keyTable = components.createKeyTable({
       records: state.records,
       tenureMarginMs: 0,
       lifetimeMs: lifetimeOf(bounds),
-      // Claims overtake nothing here: the model asks what a grant right after
-      // a release can do at worst.
+      // Without a grace period the model covers a grant right after a release.
       releaseGraceMs: 0,
     });
     this.claimTable = new ClaimTable({ claims: state.claims });
   }
 
-  /** Decides a claim as the key's home, as the controller does. */
-  decide(claim: Claim, { isGone }: { isGone: ClaimGone }): ClaimReply {
-    const activity = this.lease.activeView(this.#now);
-    const isHome = activity !== undefined &&
-      homeOf(claim.key, activity.view) === this.#host;
+  /** Decides a claim as the key's home, like the controller. */
+  decide(
+    claim: Claim,
+    { isTerminated }: { isTerminated: TerminationCheck },
+  ): ClaimReply {
+    const activeView = this.lease.activeView(this.#now);
+    const isHome = activeView !== undefined &&
+      homeOf(claim.key, activeView.view) === this.#host;
     if (!isHome) return { kind: "unknown", reason: "home-inactive" };
-    const { tenures } = activity;
+    const { tenures } = activeView;
     return this.keyTable.claim(claim, {
       wallNow: this.#now,
       tenureStartedAt: tenureStartOf(claim.key, { host: this.#host, tenures }),
-      isTerminated: isGone,
+      isTerminated,
     });
   }
 }
 
-type ClaimGone = (host: HostId, incarnation: Incarnation) => boolean;
+type TerminationCheck = (host: HostId, incarnation: Incarnation) => boolean;
 
-/** The key's lifetime in milliseconds. */
+/** Returns the lifetime of a key in milliseconds. */
 export function lifetimeOf({ lifetimeTicks = 100 }: ModelBounds): number {
   return lifetimeTicks * TICK_MS;
 }
 
-/** The claim of the one key of the model through an entry. */
+/** Creates the claim of the model's key by an entry host. */
 export function createClaim(
   entry: HostId,
   state: ModelState,
@@ -187,23 +189,23 @@
   };
 }
 
-/** The dispatch that every write of the model makes. */
+/** Returns the dispatch that all claims of the model record. */
 export function modelDispatch(): typeof DISPATCH {
   return DISPATCH;
 }
 
-/** A process without memory; `firstView` is what it read at its start. */
+/** Creates the state of a new process that has read `firstView`. */
 export function createHostState(
-  { incarnation, startedAt, isJoined, firstView, machines, host }: {
+  { incarnation, startedAt, isJoined, firstView, components, host }: {
     incarnation: number;
     startedAt: number;
     isJoined: boolean;
     firstView: View | undefined;
-    machines: ModelComponents;
+    components: ModelComponents;
     host: HostId;
   },
 ): ModelHost {
-  const lease = machines.createLease({
+  const lease = components.createLease({
     host,
     incarnation: asId<Incarnation>(String(incarnation)),
     startedAt,
@@ -215,7 +217,7 @@
   return { incarnation, startedAt, lease: lease.state, records, claims };
 }
 
-/** Copies a host so that the copy may change. */
+/** Copies the mutable state of a host. */
 export function copyHost(host: ModelHost): ModelHost {
   const { lease } = host;
   return {
@@ -235,33 +237,33 @@
   };
 }
 
-/** Short names of states; hosts that did not change are digested once. */
+/** Computes compact state digests and caches those of unchanged hosts. */
 export class StateDigests {
   readonly #hosts = new WeakMap<ModelHost, number>();
-  readonly #numbers = new Map<string, number>();
+  readonly #ids = new Map<string, number>();
 
   of(state: ModelState): string {
     const { hosts, ...rest } = state;
     const numbers = [...hosts.values()].map((host) => this.#hostNumber(host));
-    return `${numbers.join(" ")} ${this.#numberOf(digestOf(rest))}`;
+    return `${numbers.join(" ")} ${this.#intern(serialize(rest))}`;
   }
 
   #hostNumber(host: ModelHost): number {
-    const known = this.#hosts.get(host);
-    if (known !== undefined) return known;
-    const number = this.#numberOf(digestOf(host));
+    const existing = this.#hosts.get(host);
+    if (existing !== undefined) return existing;
+    const number = this.#intern(serialize(host));
     this.#hosts.set(host, number);
     return number;
   }
 
-  #numberOf(digest: string): number {
-    const number = this.#numbers.get(digest) ?? this.#numbers.size;
-    this.#numbers.set(digest, number);
+  #intern(digest: string): number {
+    const number = this.#ids.get(digest) ?? this.#ids.size;
+    this.#ids.set(digest, number);
     return number;
   }
 }
 
-function digestOf(value: unknown): string {
+function serialize(value: unknown): string {
   return JSON.stringify(value, (_name, part: unknown) => {
     if (part instanceof Map) {
       return [...part].sort(([left], [right]) => left < right ? -1 : 1);
--- a/packages/proof/src/registerCheck.ts
+++ b/packages/proof/src/registerCheck.ts
@@ -16,49 +16,41 @@
   startProposal,
 } from "@wasabivane/coordination";
 
-/**
- * Explores every run of one job register with three members, two of which
- * propose: the holder, which wants to dispatch and later to move, and a copy
- * that believes the holder dead and wants to move the job to itself.
- *
- * The network is a set of messages that were ever sent; any of them may arrive
- * now, later, again or never. A crash is a process that takes no further step,
- * and one that lost its memory is no member any more, so that both are among
- * the runs. The functions are those that the entry hosts run.
- */
+/** Protocol functions of the job register; tests substitute weakened ones. */
 export interface RegisterRules {
   readonly handleRequest: typeof handleRegisterRequest;
   readonly applyReply: typeof applyRegisterReply;
-  /** Whether the holder may use its own round twice with other values. */
+  /** Whether the holder may use its own round twice with different values. */
   readonly canRepeatHolderRound: boolean;
 }
 
-/** The rules as they are. */
+/** The production rules. */
 export const REGISTER_RULES: RegisterRules = {
   handleRequest: handleRegisterRequest,
   applyReply: applyRegisterReply,
   canRepeatHolderRound: false,
 };
 
-/** How far a check goes. */
+/** Bounds of a check. */
 export interface RegisterCheckOptions {
   readonly rules?: RegisterRules;
-  /** Attempts of the holder after its own round. */
+  /** Number of proposals by the holder after its own round. */
   readonly holderProposals?: number;
-  /** Attempts of the copy. */
+  /** Number of proposals by the replica. */
   readonly copyProposals?: number;
   readonly maximumStates?: number;
 }
 
-/** What a check found. */
+/** Result of a check. */
 export interface RegisterCheckReport {
   readonly states: number;
   readonly steps: number;
   readonly isComplete: boolean;
-  /** States in which the dispatch was chosen, and in which a move was. */
+  /** Number of states in which the dispatch was chosen. */
   readonly dispatched: number;
+  /** Number of states in which a move was chosen. */
   readonly moved: number;
-  /** Steps to the first state in which two values were chosen. */
+  /** Trace to the first state in which two values were chosen. */
   readonly violation?: readonly string[];
 }
 
@@ -72,18 +64,18 @@
   readonly content: RegisterReply;
 }
 
-/** A member with the replies that it ever gave and that still matter. */
+/** Acceptor state of a member and its replies that may still have an effect. */
 interface Member {
   readonly acceptor: AcceptorState;
   readonly replies: readonly number[];
 }
 
 interface State {
-  /** In sorted order: members differ in what they remember, not in their names. */
+  /** Sorted, since states that differ by member order are equivalent. */
   readonly members: readonly number[];
-  readonly attempts: readonly number[];
-  /** Attempts made by each proposer; the holder's own round counts apart. */
-  readonly made: readonly number[];
+  readonly proposals: readonly number[];
+  /** Proposals started by each proposer, without the holder's own round. */
+  readonly proposalCounts: readonly number[];
   readonly holderRounds: number;
   readonly requests: readonly number[];
 }
@@ -101,20 +93,22 @@
   by: HOLDER,
 };
 
-/** Bound of interned values of one kind; a factor in keys of pairs. */
+/** Limit of interned values of one kind; also the radix of combined keys. */
 const MAX_VALUES = 65_536;
 
-/** Gives equal values equal small numbers. */
-class Interned<Value> {
+/** Assigns a number to each distinct value. */
+class InternedValues<Value> {
   readonly #numbers = new Map<string, number>();
   readonly #values: Value[] = [];
 
-  numberOf(value: Value): number {
+  intern(value: Value): number {
     const key = JSON.stringify(value);
-    const known = this.#numbers.get(key);
-    if (known !== undefined) return known;
+    const existing = this.#numbers.get(key);
+    if (existing !== undefined) return existing;
     if (this.#values.length >= MAX_VALUES) {
-      throw new Error("The check has more values than its keys can hold");
+      throw new Error(
+        "The check has more distinct values than its keys can represent",
+      );
     }
     this.#numbers.set(key, this.#values.length);
     return this.#values.push(value) - 1;
@@ -125,27 +119,37 @@
   }
 }
 
-/** Explores all runs within the options' bounds. */
+/**
+ * Explores all runs of a job register with three members and two proposers: the
+ * holder, which proposes to dispatch and later to move, and a replica that
+ * suspects the holder and proposes to move the job to itself.
+ *
+ * Messages may be delayed, duplicated, reordered or lost. A crash is a run in
+ * which a process takes no further step.
+ */
 export function checkRegister(
   options: RegisterCheckOptions = {},
 ): RegisterCheckReport {
-  return new RegisterCheck(options).run();
+  return new RegisterExplorer(options).run();
 }
 
-class RegisterCheck {
+class RegisterExplorer {
   readonly #rules: RegisterRules;
-  readonly #maximumAttempts: readonly number[];
+  readonly #maximumProposals: readonly number[];
   readonly #maximumStates: number;
-  readonly #members = new Interned<Member>();
-  readonly #attempts = new Interned<ProposerState | null>();
-  readonly #requests = new Interned<Request>();
-  readonly #replies = new Interned<Reply>();
+  readonly #members = new InternedValues<Member>();
+  readonly #proposals = new InternedValues<ProposerState | null>();
+  readonly #requests = new InternedValues<Request>();
+  readonly #replies = new InternedValues<Reply>();
   readonly #seen = new Set<string>();
   readonly #queue: State[] = [];
   readonly #parents: number[] = [];
   readonly #labels: string[] = [];
-  readonly #answers = new Map<number, { member: number; label: string }>();
-  readonly #taken = new Map<number, number>();
+  readonly #handledRequests = new Map<
+    number,
+    { member: number; label: string }
+  >();
+  readonly #appliedReplies = new Map<number, number>();
   readonly #pruned = new Map<number, number>();
   #current = 0;
   #steps = 0;
@@ -153,13 +157,13 @@
   constructor(
     {
       rules = REGISTER_RULES,
-      holderProposals: holderAttempts = 1,
-      copyProposals: copyAttempts = 1,
+      holderProposals = 1,
+      copyProposals = 1,
       maximumStates = 2_000_000,
     }: RegisterCheckOptions,
   ) {
     this.#rules = rules;
-    this.#maximumAttempts = [holderAttempts, copyAttempts];
+    this.#maximumProposals = [holderProposals, copyProposals];
     this.#maximumStates = maximumStates;
   }
 
@@ -179,12 +183,12 @@
   }
 
   #start(): State {
-    const blank = this.#members.numberOf({ acceptor: {}, replies: [] });
-    const none = this.#attempts.numberOf(null);
+    const emptyMember = this.#members.intern({ acceptor: {}, replies: [] });
+    const none = this.#proposals.intern(null);
     return {
-      members: MEMBERS.map(() => blank),
-      attempts: PROPOSERS.map(() => none),
-      made: PROPOSERS.map(() => 0),
+      members: MEMBERS.map(() => emptyMember),
+      proposals: PROPOSERS.map(() => none),
+      proposalCounts: PROPOSERS.map(() => 0),
       holderRounds: 0,
       requests: [],
     };
@@ -214,134 +218,154 @@
   #expand(state: State): void {
     this.#startHolderRound(state);
     PROPOSERS.forEach((_, proposer) => {
-      this.#startNext(state, proposer);
-      this.#hearReplies(state, proposer);
+      this.#startProposal(state, proposer);
+      this.#deliverReplies(state, proposer);
     });
     for (const request of state.requests) this.#deliver(state, request);
   }
 
   #startHolderRound(state: State): void {
     const maximum = this.#rules.canRepeatHolderRound ? 2 : 1;
-    if (state.holderRounds >= maximum || state.made[0]! > 0) return;
-    const wish = state.holderRounds === 0 ? DISPATCH : moveTo(HOLDER);
+    if (state.holderRounds >= maximum || state.proposalCounts[0]! > 0) return;
+    const value = state.holderRounds === 0 ? DISPATCH : createMove(HOLDER);
     const holderRounds = state.holderRounds + 1;
     this.#propose({ ...state, holderRounds }, {
       proposer: 0,
-      attempt: startHolderProposal(EPOCH, wish),
-      label: `holder proposes ${wish.kind} in its own round`,
+      proposal: startHolderProposal(EPOCH, value),
+      label: `holder proposes ${value.kind} in its own round`,
     });
   }
 
-  #startNext(state: State, proposer: number): void {
-    const made = state.made[proposer]!;
-    if (made >= this.#maximumAttempts[proposer]!) return;
+  #startProposal(state: State, proposer: number): void {
+    const count = state.proposalCounts[proposer]!;
+    if (count >= this.#maximumProposals[proposer]!) return;
     if (proposer === 0 && state.holderRounds === 0) return;
-    const former = this.#attempts.get(state.attempts[proposer]!);
-    if (former?.phase === "chosen") return;
+    const previous = this.#proposals.get(state.proposals[proposer]!);
+    if (previous?.phase === "chosen") return;
     const self = PROPOSERS[proposer]!;
-    const highest = Math.max(former?.ballot.round ?? 0, former?.outbidBy ?? 0);
-    const ballot = { round: highest + 1, proposer: self };
-    const attempt = startProposal(EPOCH, { ballot, wish: moveTo(self) });
-    const next = { ...state, made: replaced(state.made, proposer, made + 1) };
+    const highestRound = Math.max(
+      previous?.ballot.round ?? 0,
+      previous?.outbidBy ?? 0,
+    );
+    const ballot = { round: highestRound + 1, proposer: self };
+    const proposal = startProposal(EPOCH, { ballot, wish: createMove(self) });
+    const next = {
+      ...state,
+      proposalCounts: replaceAt(state.proposalCounts, proposer, count + 1),
+    };
     const label = `${self} prepares round ${ballot.round}`;
-    this.#propose(next, { proposer, attempt, label });
+    this.#propose(next, { proposer, proposal, label });
   }
 
   #propose(
     state: State,
-    { proposer, attempt, label }: {
+    { proposer, proposal, label }: {
       proposer: number;
-      attempt: ProposerState;
+      proposal: ProposerState;
       label: string;
     },
   ): void {
-    const number = this.#attempts.numberOf(forgetful(attempt));
-    const content = pendingRequest(attempt);
-    const requests = content === undefined ? state.requests : withNumber(
+    const number = this.#proposals.intern(withoutPhaseState(proposal));
+    const content = pendingRequest(proposal);
+    const requests = content === undefined ? state.requests : insertSorted(
       state.requests,
-      this.#requests.numberOf({ from: proposer, content }),
+      this.#requests.intern({ from: proposer, content }),
     );
-    const attempts = replaced(state.attempts, proposer, number);
-    this.#add({ ...state, attempts, requests }, label);
+    const proposals = replaceAt(state.proposals, proposer, number);
+    this.#add({ ...state, proposals, requests }, label);
   }
 
   #deliver(state: State, request: number): void {
     state.members.forEach((before, index) => {
-      const { member, label } = this.#answer(before, request);
-      const members = replaced(state.members, index, member);
+      const { member, label } = this.#handleRequest(before, request);
+      const members = replaceAt(state.members, index, member);
       this.#add({ ...state, members }, `member ${label}`);
     });
   }
 
-  #answer(before: number, number: number): { member: number; label: string } {
+  #handleRequest(
+    before: number,
+    number: number,
+  ): { member: number; label: string } {
     const key = before * MAX_VALUES + number;
-    const known = this.#answers.get(key);
-    if (known !== undefined) return known;
-    const former = this.#members.get(before);
+    const existing = this.#handledRequests.get(key);
+    if (existing !== undefined) return existing;
+    const previous = this.#members.get(before);
     const { from, content } = this.#requests.get(number);
     const { acceptor, reply } = this.#rules.handleRequest(
-      former.acceptor,
+      previous.acceptor,
       content,
     );
-    const replyNumber = this.#replies.numberOf({ to: from, content: reply });
-    const replies = withNumber(former.replies, replyNumber);
+    const replyNumber = this.#replies.intern({ to: from, content: reply });
+    const replies = insertSorted(previous.replies, replyNumber);
     const { round, proposer } = content.ballot;
-    const answer = {
-      member: this.#members.numberOf({ acceptor, replies }),
+    const result = {
+      member: this.#members.intern({ acceptor, replies }),
       label: `gets ${content.kind} ${round} of ${proposer}: ${reply.kind}`,
     };
-    this.#answers.set(key, answer);
-    return answer;
+    this.#handledRequests.set(key, result);
+    return result;
   }
 
   /**
-   * A reply that does not change the phase is seen by nobody else, so it may as
-   * well be heard right before the one that does: one reply, or two of them.
+   * Delivers one or two replies up to a phase change. Replies that do not
+   * change the phase have no visible effect, so the interleavings between are
+   * skipped.
    */
-  #hearReplies(state: State, proposer: number): void {
-    const before = state.attempts[proposer]!;
-    if (this.#attempts.get(before) === null) return;
+  #deliverReplies(state: State, proposer: number): void {
+    const before = state.proposals[proposer]!;
+    if (this.#proposals.get(before) === null) return;
     state.members.forEach((_, first) => {
-      for (const once of this.#hear(before, { state, proposer, from: first })) {
-        if (this.#turn(state, { proposer, before, after: once })) continue;
+      for (
+        const once of this.#applyReplies(before, {
+          state,
+          proposer,
+          from: first,
+        })
+      ) {
+        if (this.#addIfPhaseChanged(state, { proposer, before, after: once })) {
+          continue;
+        }
         state.members.forEach((_, from) => {
           if (from === first) return;
-          for (const twice of this.#hear(once, { state, proposer, from })) {
-            this.#turn(state, { proposer, before, after: twice });
+          for (
+            const twice of this.#applyReplies(once, { state, proposer, from })
+          ) {
+            this.#addIfPhaseChanged(state, { proposer, before, after: twice });
           }
         });
       }
     });
   }
 
-  #hear(
+  #applyReplies(
     before: number,
     { state, proposer, from }: { state: State; proposer: number; from: number },
   ): number[] {
     const { replies } = this.#members.get(state.members[from]!);
     return replies
       .filter((reply) => this.#replies.get(reply).to === proposer)
-      .map((reply) => this.#take(before, { reply, from }))
+      .map((reply) => this.#applyReply(before, { reply, from }))
       .filter((after) => after !== before);
   }
 
-  #take(
+  #applyReply(
     before: number,
     { reply, from }: { reply: number; from: number },
   ): number {
     const key = (before * MAX_VALUES + reply) * MEMBERS.length + from;
-    const known = this.#taken.get(key);
-    if (known !== undefined) return known;
-    const attempt = this.#rules.applyReply(this.#attempts.get(before)!, {
+    const existing = this.#appliedReplies.get(key);
+    if (existing !== undefined) return existing;
+    const proposal = this.#rules.applyReply(this.#proposals.get(before)!, {
       from: MEMBERS[from]!,
       reply: this.#replies.get(reply).content,
     });
-    const number = this.#attempts.numberOf(attempt);
-    this.#taken.set(key, number);
+    const number = this.#proposals.intern(proposal);
+    this.#appliedReplies.set(key, number);
     return number;
   }
 
-  #turn(
+  #addIfPhaseChanged(
     state: State,
     { proposer, before, after }: {
       proposer: number;
@@ -349,45 +373,48 @@
       after: number;
     },
   ): boolean {
-    const attempt = this.#attempts.get(after)!;
-    if (attempt.phase === this.#attempts.get(before)!.phase) return false;
-    const label = `${PROPOSERS[proposer]} is ${attempt.phase} in round ` +
-      attempt.ballot.round;
-    this.#propose(state, { proposer, attempt, label });
+    const proposal = this.#proposals.get(after)!;
+    if (proposal.phase === this.#proposals.get(before)!.phase) return false;
+    const label = `${PROPOSERS[proposer]} is ${proposal.phase} in round ` +
+      proposal.ballot.round;
+    this.#propose(state, { proposer, proposal, label });
     return true;
   }
 
-  /** Drops replies that can no longer change anything. */
-  #withoutIdleReplies(number: number, attempts: readonly number[]): number {
-    const [first, second] = attempts as [number, number];
+  /** Removes replies that can no longer have an effect. */
+  #withoutObsoleteReplies(
+    number: number,
+    proposals: readonly number[],
+  ): number {
+    const [first, second] = proposals as [number, number];
     const key = (number * MAX_VALUES + first) * MAX_VALUES + second;
-    const known = this.#pruned.get(key);
-    if (known !== undefined) return known;
-    const pruned = this.#prune(number, attempts);
+    const existing = this.#pruned.get(key);
+    if (existing !== undefined) return existing;
+    const pruned = this.#prune(number, proposals);
     this.#pruned.set(key, pruned);
     return pruned;
   }
 
-  #prune(number: number, attempts: readonly number[]): number {
+  #prune(number: number, proposals: readonly number[]): number {
     const member = this.#members.get(number);
     const replies = member.replies.filter((reply) => {
       const { to, content } = this.#replies.get(reply);
       if (content.kind === "accepted") return true;
-      return isAwaited(content, this.#attempts.get(attempts[to]!));
+      return isAwaited(content, this.#proposals.get(proposals[to]!));
     });
     if (replies.length === member.replies.length) return number;
-    return this.#members.numberOf({ ...member, replies });
+    return this.#members.intern({ ...member, replies });
   }
 
   #add(state: State, label: string): void {
     this.#steps++;
     const members = state.members
-      .map((member) => this.#withoutIdleReplies(member, state.attempts))
+      .map((member) => this.#withoutObsoleteReplies(member, state.proposals))
       .sort((left, right) => left - right);
     const key = String.fromCharCode(
       ...members,
-      ...state.attempts,
-      ...state.made,
+      ...state.proposals,
+      ...state.proposalCounts,
       state.holderRounds,
       ...state.requests,
     );
@@ -398,14 +425,14 @@
     this.#labels.push(label);
   }
 
-  /** Names of the values that a majority accepted in one round, or that a proposer takes for chosen. */
+  /** Values that a majority accepted in one round or a proposer has chosen. */
   #chosenValues(state: State): Set<string> {
     const votes = new Map<string, number>();
     for (const member of state.members) {
       for (const reply of this.#members.get(member).replies) {
         const { content } = this.#replies.get(reply);
         if (content.kind !== "accepted") continue;
-        const ballot = keyOf(content.ballot);
+        const ballot = ballotKey(content.ballot);
         votes.set(ballot, (votes.get(ballot) ?? 0) + 1);
       }
     }
@@ -413,48 +440,52 @@
     for (const request of state.requests) {
       const { content } = this.#requests.get(request);
       if (content.kind !== "accept") continue;
-      const count = votes.get(keyOf(content.ballot)) ?? 0;
-      if (count * 2 > MEMBERS.length) chosen.add(nameOf(content.value));
+      const count = votes.get(ballotKey(content.ballot)) ?? 0;
+      if (count * 2 > MEMBERS.length) chosen.add(describeValue(content.value));
     }
-    for (const number of state.attempts) {
-      const attempt = this.#attempts.get(number);
-      if (attempt?.phase === "chosen") chosen.add(nameOf(attempt.value!));
+    for (const number of state.proposals) {
+      const proposal = this.#proposals.get(number);
+      if (proposal?.phase === "chosen") {
+        chosen.add(describeValue(proposal.value!));
+      }
     }
     return chosen;
   }
 }
 
-/** Whether an attempt may still change by a reply of this kind. */
+/** Whether a reply may still change the proposal. */
 function isAwaited(
   reply: RegisterReply,
-  attempt: ProposerState | null,
+  proposal: ProposerState | null,
 ): boolean {
-  if (attempt === null || keyOf(reply.ballot) !== keyOf(attempt.ballot)) {
+  if (
+    proposal === null || ballotKey(reply.ballot) !== ballotKey(proposal.ballot)
+  ) {
     return false;
   }
-  if (reply.kind === "promised") return attempt.phase === "preparing";
-  return attempt.phase === "preparing" || attempt.phase === "accepting";
+  if (reply.kind === "promised") return proposal.phase === "preparing";
+  return proposal.phase === "preparing" || proposal.phase === "accepting";
 }
 
-/** The attempt without what it no longer looks at after a change of phase. */
-function forgetful(attempt: ProposerState): ProposerState {
-  const { latest: _latest, ...rest } = attempt;
+/** Drops the proposal fields that are unused after a phase change. */
+function withoutPhaseState(proposal: ProposerState): ProposerState {
+  const { latest: _latest, ...rest } = proposal;
   return { ...rest, promises: [], acceptances: [] };
 }
 
-function keyOf({ round, proposer }: Ballot): string {
+function ballotKey({ round, proposer }: Ballot): string {
   return `${round} ${proposer}`;
 }
 
-function moveTo(holder: MemberId): RegisterValue {
+function createMove(holder: MemberId): RegisterValue {
   return { kind: "move", epoch: { ...EPOCH, number: 1, holder } };
 }
 
-function nameOf(value: RegisterValue): string {
+function describeValue(value: RegisterValue): string {
   return value.kind === "move" ? `move ${value.epoch.holder}` : value.kind;
 }
 
-function withNumber(
+function insertSorted(
   numbers: readonly number[],
   number: number,
 ): readonly number[] {
@@ -462,10 +493,10 @@
   return [...numbers, number].sort((left, right) => left - right);
 }
 
-function replaced(
+function replaceAt(
   numbers: readonly number[],
   index: number,
   number: number,
 ): readonly number[] {
-  return numbers.map((former, at) => at === index ? number : former);
+  return numbers.map((previous, at) => at === index ? number : previous);
 }
--- a/packages/proof/src/reportPage.ts
+++ b/packages/proof/src/reportPage.ts
@@ -4,13 +4,13 @@
 import type { DetailedResult } from "./experimentPolicies.ts";
 import { formatTable } from "./reportTable.ts";
 
-const SLOT_MS = 5_000;
+const INTERVAL_MS = 5_000;
 const PLOT_WIDTH = 900;
 const PLOT_HEIGHT = 260;
 
 const { document } = parseHTML("<!doctype html><html><body></body></html>");
 
-/** Writes a page with the plots of some results. */
+/** Writes an HTML page with tables and plots of the results. */
 export async function writeReport(
   file: string,
   results: readonly DetailedResult[],
@@ -18,7 +18,7 @@
   await writeFile(file, buildReport(results));
 }
 
-/** The page as HTML; it loads nothing. */
+/** Builds the page as self-contained HTML. */
 export function buildReport(results: readonly DetailedResult[]): string {
   const sections = results.map(buildSection).join("\n");
   return `<!doctype html>
@@ -35,27 +35,27 @@
   const { pattern, deployment, seed } = detailed.result;
   return `<h2>${pattern}, ${deployment}, seed ${seed}</h2>
 <pre>${formatTable(detailed.result)}</pre>
-<h3>Whole answers in time by tier</h3>
+<h3>Goodput by tier</h3>
 ${plotGoodput(detailed)}
 <h3>Wasted prefill by cause</h3>
 ${plotWaste(detailed)}
-<h3>Waiting time before the start</h3>
+<h3>Queueing time</h3>
 ${plotWaiting(detailed)}`;
 }
 
-function plotGoodput({ responses: answers }: DetailedResult): string {
-  const rows = Object.entries(answers).flatMap(([policy, samples]) =>
+function plotGoodput({ responses }: DetailedResult): string {
+  const rows = Object.entries(responses).flatMap(([policy, samples]) =>
     samples.map(({ tier, at }) => ({
       policy,
       tier: `tier ${tier}`,
-      second: Math.floor(at / SLOT_MS) * SLOT_MS / 1_000,
+      second: Math.floor(at / INTERVAL_MS) * INTERVAL_MS / 1_000,
     }))
   );
-  return draw({
+  return renderPlot({
     color: { legend: false },
     fx: { label: null },
     x: { label: "time, s" },
-    y: { label: "answers in 5 s", grid: true },
+    y: { label: "responses in 5 s", grid: true },
     marks: [
       Plot.lineY(
         rows,
@@ -78,7 +78,7 @@
       tokens,
     }))
   );
-  return draw({
+  return renderPlot({
     marginLeft: 130,
     x: { label: "prompt tokens", grid: true },
     y: { label: null },
@@ -86,18 +86,18 @@
   });
 }
 
-function plotWaiting({ responses: answers }: DetailedResult): string {
-  const rows = Object.entries(answers).flatMap(([policy, samples]) =>
+function plotWaiting({ responses }: DetailedResult): string {
+  const rows = Object.entries(responses).flatMap(([policy, samples]) =>
     samples.map(({ tier, waited }) => ({
       policy,
       tier: `tier ${tier}`,
       seconds: waited / 1_000,
     }))
   );
-  return draw({
+  return renderPlot({
     fx: { label: null },
     x: { label: "waited, s" },
-    y: { label: "answers", grid: true },
+    y: { label: "responses", grid: true },
     marks: [
       Plot.rectY(
         rows,
@@ -110,7 +110,7 @@
   });
 }
 
-function draw(options: Plot.PlotOptions): string {
+function renderPlot(options: Plot.PlotOptions): string {
   const figure = Plot.plot({
     ...options,
     width: PLOT_WIDTH,
--- a/packages/proof/src/reportTable.ts
+++ b/packages/proof/src/reportTable.ts
@@ -14,7 +14,7 @@
 ];
 const COLUMN_WIDTH = 17;
 
-/** A result as a table for a terminal; goodput with its share of the bound. */
+/** Formats a result as a text table, with goodput as a share of the bound. */
 export function formatTable(
   { pattern, deployment, seed, policies, bound }: ExperimentResult,
 ): string {
@@ -27,11 +27,11 @@
   const rows = Object.entries(policies).map(([name, result]) => [
     name,
     ...tiers.map((tier) =>
-      withShare(result.goodputByTier[tier]!, bound.goodputByTier[tier]!)
+      formatShare(result.goodputByTier[tier]!, bound.goodputByTier[tier]!)
     ),
-    withShare(weightedSum(result.goodputByTier), bound.weightedGoodput),
-    String(weightless(result.refusedByTier)),
-    percent(result.wastedPrefillTokens, result.prefillTokens),
+    formatShare(weightedSum(result.goodputByTier), bound.weightedGoodput),
+    String(sum(result.refusedByTier)),
+    formatPercent(result.wastedPrefillTokens, result.prefillTokens),
     String(result.tierInversions),
   ]);
   return [
@@ -44,14 +44,14 @@
   return cells.map((cell) => cell.padEnd(COLUMN_WIDTH)).join("").trimEnd();
 }
 
-function withShare(value: number, bound: number): string {
-  return `${value} (${percent(value, bound)})`;
+function formatShare(value: number, bound: number): string {
+  return `${value} (${formatPercent(value, bound)})`;
 }
 
-function percent(value: number, whole: number): string {
-  return `${(100 * value / Math.max(1, whole)).toFixed(1)}%`;
+function formatPercent(value: number, total: number): string {
+  return `${(100 * value / Math.max(1, total)).toFixed(1)}%`;
 }
 
-function weightless(counts: Readonly<Record<string, number>>): number {
+function sum(counts: Readonly<Record<string, number>>): number {
   return Object.values(counts).reduce((sum, count) => sum + count, 0);
 }
--- a/packages/proof/src/resourceMeasurement.ts
+++ b/packages/proof/src/resourceMeasurement.ts
@@ -1,42 +1,44 @@
 import process from "node:process";
 
-const MICROSECONDS = 1_000;
+const MICROSECONDS_PER_MS = 1_000;
 
-/** Bytes on the heap after a forced collection; needs `--expose-gc`. */
+/** Returns the heap size after a forced collection; requires `--expose-gc`. */
 export function heapBytes(): number {
   if (globalThis.gc === undefined) {
-    throw new Error("Start node with --expose-gc");
+    throw new Error(
+      "Garbage collection is not exposed: run node with --expose-gc",
+    );
   }
   for (let pass = 0; pass < 3; pass++) globalThis.gc();
   const { heapUsed, arrayBuffers } = process.memoryUsage();
   return heapUsed + arrayBuffers;
 }
 
-/** Heap that stays as long as what `build` returns lives. */
+/** Returns the heap bytes retained by the value that `build` returns. */
 export function retainedBytes(build: () => unknown): number {
   const before = heapBytes();
-  const kept = [build()];
+  const retained = [build()];
   const after = heapBytes();
-  kept.pop();
+  retained.pop();
   return after - before;
 }
 
-/** Milliseconds of processor time of this process since a reading. */
+/** Returns the processor time of this process since `start`. */
 export function processorMsSince(start: NodeJS.CpuUsage): number {
   const { user, system } = process.cpuUsage(start);
-  return (user + system) / MICROSECONDS;
+  return (user + system) / MICROSECONDS_PER_MS;
 }
 
-/** Processor time of one call in milliseconds: the least of several, which other load disturbs least. */
+/** Returns the minimum processor time of a call over several rounds. */
 export function minimumProcessorMs(
   call: () => void,
   { rounds = 5 }: { rounds?: number } = {},
 ): number {
-  let least = Infinity;
+  let minimum = Infinity;
   for (let round = 0; round < rounds; round++) {
     const start = process.cpuUsage();
     call();
-    least = Math.min(least, processorMsSince(start));
+    minimum = Math.min(minimum, processorMsSince(start));
   }
-  return least;
+  return minimum;
 }
--- a/packages/proof/src/scenario.ts
+++ b/packages/proof/src/scenario.ts
@@ -1,32 +1,33 @@
 import type { Milliseconds } from "@wasabivane/common";
 
 /**
- * The language of the scenarios: plain data, so that a seeded generator writes
- * it, a failing one is shrunk by leaving steps out, and one file holds one story.
+ * Fault scenario as plain data, so that it can be generated from a seed, stored
+ * as JSON and shrunk by removing steps.
  */
 export interface FaultScenario {
-  /** Names the failure. */
+  /** Name of the fault or of the generated schedule. */
   readonly name: string;
-  /** Entry hosts `entry-1` and so on, spread over three failure domains. */
+  /** Number of entry hosts `entry-1`, `entry-2` and so on, in three domains. */
   readonly hosts?: number;
-  /** Decides everything that is left to chance. */
+  /** Seed of all random choices. */
   readonly seed?: number;
   readonly link?: ScenarioLink;
-  /** How a host's wall clock differs from the true time. */
+  /** Offset of each host's wall clock from the true time. */
   readonly clockSkewMs?: Readonly<Record<string, Milliseconds>>;
-  /** Bound on waiting work of each service, for bursts. */
+  /** Limit of queued tokens of each service. */
   readonly maximumWaitingTokens?: number;
-  /** Requests that one upstream runs at once. */
+  /** Number of slots of each upstream. */
   readonly concurrency?: number;
-  /** Whether the platform answers from the start. */
+  /** State of the platform at the start; `up` by default. */
   readonly platformAtStart?: PlatformState;
   readonly requests: Readonly<Record<string, ScenarioRequest>>;
+  /** Steps in any order. */
   readonly story: readonly ScenarioStep[];
-  /** What the caller of a request must see beyond the promises that hold for all. */
+  /** Expected results of requests, in addition to the invariants. */
   readonly expect?: Readonly<Record<string, Expectation>>;
 }
 
-/** Faults of the network among entry hosts, for the whole scenario. */
+/** Conditions of the network between entry hosts. */
 export interface ScenarioLink {
   readonly delayMs?: Milliseconds;
   readonly jitterMs?: Milliseconds;
@@ -34,16 +35,18 @@
   readonly duplicateShare?: number;
 }
 
-/** Whether hosts can read the platform, and what they read. */
+/** Availability of the platform; `stale` returns outdated values. */
 export type PlatformState = "up" | "down" | "stale";
 
 /**
- * - `draft`: a streamed completion; may be repeated by its caller.
- * - `answer`: a completion that comes whole.
- * - `save`: a call of the plain service that must not run twice.
- * - `lookup`: a call of the plain service that may be repeated.
- * - `review`: a completion in the job form.
- * - `export`: a call of the plain service in the job form.
+ * Kind of a request:
+ *
+ * - `draft`: streamed completion
+ * - `answer`: unary completion
+ * - `save`: non-idempotent call of the plain service
+ * - `lookup`: idempotent call of the plain service
+ * - `review`: completion as a job
+ * - `export`: call of the plain service as a job
  */
 export type RequestKind =
   | "draft"
@@ -53,23 +56,23 @@
   | "review"
   | "export";
 
-/** One request of a caller; every resend is the same request. */
+/** A caller's request, shared by all of its resends. */
 export interface ScenarioRequest {
   readonly kind: RequestKind;
-  /** Without a key the request is never sent again. */
+  /** Whether it carries an idempotency key; required for resends. */
   readonly hasKey?: boolean;
   readonly tier?: number;
   readonly account?: string;
-  /** Tokens of the answer of a model engine. */
+  /** Output tokens of a completion. */
   readonly tokens?: number;
-  /** Tokens of the prompt, about. */
+  /** Approximate prompt tokens. */
   readonly promptTokens?: number;
   readonly deadlineMs?: Milliseconds;
-  /** Crashes the upstream that runs it. */
+  /** Whether it crashes the upstream that runs it. */
   readonly isPoison?: boolean;
 }
 
-/** When a step happens: at a time from the start of the story, or after an event. */
+/** Trigger of a step: a time since the start, or an event. */
 export type StepTrigger =
   | { readonly at: Milliseconds }
   | {
@@ -80,7 +83,7 @@
     readonly after?: Milliseconds;
   };
 
-/** What happens. */
+/** Action of a step. */
 export type ScenarioAction =
   | { readonly do: "send"; readonly request: string; readonly via: string }
   | { readonly do: "hang-up"; readonly request: string }
@@ -123,24 +126,25 @@
   | {
     readonly do: "platform";
     readonly state: PlatformState;
-    /** Only these hosts; all when left out. */
+    /** Affected hosts; all by default. */
     readonly hosts?: readonly string[];
   };
 
-/** One step of a story. */
+/** A step of a scenario: its trigger and its action. */
 export type ScenarioStep = StepTrigger & ScenarioAction;
 
-/** How a request ended for its caller. */
+/** Outcome of a request as observed by its caller. */
 export type ObservedOutcome = "whole" | "not-run" | "unknown";
 
-/** What must be true of one request in the end. */
+/** Expected result of a request. */
 export interface Expectation {
+  /** Allowed outcomes. */
   readonly ends?: readonly ObservedOutcome[];
-  /** Dispatches that reached upstreams. */
+  /** Number of dispatches that reach an upstream. */
   readonly dispatches?: number;
 }
 
-/** Upstreams that every scenario has. */
+/** Names of the upstreams of every scenario. */
 export const SCENARIO_UPSTREAMS = [
   "drafter-01",
   "drafter-02",
@@ -148,7 +152,7 @@
   "casefile-1",
   "casefile-2",
 ] as const;
-/** Tokens of an answer that says nothing else. */
+/** Output tokens of a completion by default. */
 export const DEFAULT_TOKENS = 8;
-/** Bounds every request, so that a story has an end. */
+/** Deadline of a request by default. */
 export const DEFAULT_DEADLINE_MS: Milliseconds = 15_000;
--- a/packages/proof/src/scenarioCaller.ts
+++ b/packages/proof/src/scenarioCaller.ts
@@ -15,28 +15,28 @@
 
 const DEFAULT_ACCOUNT = "hakata-mediation";
 const BYTES_PER_TOKEN = 4;
-const END_MARK = "data: [DONE]\n\n";
+const STREAM_END = "data: [DONE]\n\n";
 
-/** How one attempt ended, judged by the bytes that the caller got. */
+/** Result of an attempt, derived from the bytes that the caller received. */
 export interface AttemptResult {
   readonly ending: ObservedOutcome | "accepted";
   readonly detail: string;
-  /** What the problem says beyond its kind. */
+  /** Detail of the problem, or the id of an accepted job. */
   readonly reason?: string;
-  /** A broken promise that the bytes alone show. */
+  /** Violation that is evident from the response. */
   readonly fault?: "crossed" | "cut";
-  /** Only of an accepted job. */
+  /** Id of an accepted job. */
   readonly job?: string;
 }
 
-interface Shape {
+interface RequestShape {
   readonly method: string;
   readonly isModel: boolean;
   readonly isStream: boolean;
   readonly isJob: boolean;
 }
 
-const SHAPES: Readonly<Record<RequestKind, Shape>> = {
+const REQUEST_SHAPES: Readonly<Record<RequestKind, RequestShape>> = {
   draft: { method: "POST", isModel: true, isStream: true, isJob: false },
   answer: { method: "POST", isModel: true, isStream: false, isJob: false },
   save: { method: "POST", isModel: false, isStream: false, isJob: false },
@@ -45,30 +45,30 @@
   export: { method: "POST", isModel: false, isStream: false, isJob: true },
 };
 
-/** Whether a kind is accepted now and fetched later. */
+/** Whether requests of a kind are jobs, fetched after acceptance. */
 export function isJobKind(kind: RequestKind): boolean {
-  return SHAPES[kind].isJob;
+  return REQUEST_SHAPES[kind].isJob;
 }
 
-/** Whether upstreams may run a kind more than once. */
+/** Whether upstreams may run requests of a kind more than once. */
 export function isIdempotentKind(kind: RequestKind): boolean {
-  return SHAPES[kind].isModel || SHAPES[kind].method === "GET";
+  return REQUEST_SHAPES[kind].isModel || REQUEST_SHAPES[kind].method === "GET";
 }
 
-/** The bytes that a caller sends for a request; the same for every resend. */
+/** Builds the HTTP request, which is identical for every resend. */
 export function buildCall(
   name: string,
   { request, key }: { request: ScenarioRequest; key: string | undefined },
 ): ScenarioCall {
   const { kind, account = DEFAULT_ACCOUNT, tier = 2 } = request;
-  const { method, isModel, isJob } = SHAPES[kind];
-  const mark = formatMarker(markFor(name, request));
+  const { method, isModel, isJob } = REQUEST_SHAPES[kind];
+  const marker = formatMarker(createMarker(name, request));
   return {
     method,
     path: isModel
       ? "/v1/chat/completions"
       : `/casefile/records/${
-        method === "GET" ? encodeURIComponent(mark) : name
+        method === "GET" ? encodeURIComponent(marker) : name
       }`,
     headers: {
       "authorization": `Bearer ${demoApiKey(account)}`,
@@ -78,11 +78,11 @@
       ...(key === undefined ? {} : { "idempotency-key": key }),
       ...(isJob ? { "prefer": "respond-async" } : {}),
     },
-    ...(method === "GET" ? {} : { body: bodyOf(mark, request) }),
+    ...(method === "GET" ? {} : { body: buildBody(marker, request) }),
   };
 }
 
-/** The call that asks what became of a job. */
+/** Builds the HTTP request that polls a job. */
 export function buildJobPoll(
   id: string,
   request: ScenarioRequest,
@@ -95,7 +95,7 @@
   };
 }
 
-/** Judges what arrived for an attempt. */
+/** Evaluates the response to an attempt. */
 export function evaluateAttempt(
   connection: CallerConnection,
   { name, request }: { name: string; request: ScenarioRequest },
@@ -103,26 +103,26 @@
   const { status, headers, text, isFinished } = connection;
   if (!isFinished) return { ending: "unknown", detail: "connection-broken" };
   const type = String(headers["content-type"] ?? "");
-  if (type.startsWith("application/problem+json")) return problemEnding(text);
-  if (status === 202) return { ...jobOf(text), ending: "accepted" };
-  const own = markFor(name, request);
-  if (type.startsWith("text/event-stream")) return streamEnding(text, own);
-  return SHAPES[request.kind].isModel
-    ? judge(completionOf(text), expectedCompletion(own))
-    : judge(recordOf(text), name);
+  if (type.startsWith("application/problem+json")) return evaluateProblem(text);
+  if (status === 202) return { ...parseAcceptedJob(text), ending: "accepted" };
+  const marker = createMarker(name, request);
+  if (type.startsWith("text/event-stream")) return evaluateStream(text, marker);
+  return REQUEST_SHAPES[request.kind].isModel
+    ? compareContent(parseCompletion(text), expectedCompletion(marker))
+    : compareContent(parseRecord(text), name);
 }
 
-/** Judges the answer to a question about a job; undefined while it has not ended. */
+/** Evaluates the response to a job poll; `undefined` while the job runs. */
 export function evaluateJobPoll(
   connection: CallerConnection,
   options: { name: string; request: ScenarioRequest },
 ): AttemptResult | undefined {
-  const ending = evaluateAttempt(connection, options);
-  if (connection.headers["x-job-ending"] !== undefined) return ending;
-  return ending.detail === "unknown-job" ? ending : undefined;
+  const result = evaluateAttempt(connection, options);
+  if (connection.headers["x-job-ending"] !== undefined) return result;
+  return result.detail === "unknown-job" ? result : undefined;
 }
 
-function markFor(name: string, request: ScenarioRequest): RequestMarker {
+function createMarker(name: string, request: ScenarioRequest): RequestMarker {
   return {
     request: name,
     tokens: request.tokens ?? DEFAULT_TOKENS,
@@ -130,19 +130,19 @@
   };
 }
 
-function bodyOf(mark: string, request: ScenarioRequest): string {
-  const { isModel, isStream } = SHAPES[request.kind];
+function buildBody(marker: string, request: ScenarioRequest): string {
+  const { isModel, isStream } = REQUEST_SHAPES[request.kind];
   const padding = "x".repeat((request.promptTokens ?? 0) * BYTES_PER_TOKEN);
-  if (!isModel) return JSON.stringify({ mark });
+  if (!isModel) return JSON.stringify({ mark: marker });
   return JSON.stringify({
     model: "drafter",
-    messages: [{ role: "user", content: `${mark}${padding}` }],
+    messages: [{ role: "user", content: `${marker}${padding}` }],
     max_tokens: request.tokens ?? DEFAULT_TOKENS,
     stream: isStream,
   });
 }
 
-function problemEnding(text: string): AttemptResult {
+function evaluateProblem(text: string): AttemptResult {
   const { type, ending, detail } = JSON.parse(text) as {
     type: string;
     ending: ObservedOutcome;
@@ -152,44 +152,51 @@
   return { ending, detail: type.split(":").at(-1)!, ...reason };
 }
 
-function jobOf(text: string): Omit<AttemptResult, "ending"> {
+function parseAcceptedJob(text: string): Omit<AttemptResult, "ending"> {
   const { id, status } = JSON.parse(text) as { id: string; status: string };
   return { detail: status, reason: id, job: id };
 }
 
-function streamEnding(text: string, own: RequestMarker): AttemptResult {
+function evaluateStream(text: string, marker: RequestMarker): AttemptResult {
   const [events, error] = text.split("event: error\ndata: ");
-  if (error !== undefined) return problemEnding(error);
+  if (error !== undefined) return evaluateProblem(error);
   const tokens = [...events!.matchAll(/"content":"([^"]*)"/g)];
   const content = tokens.map(([, token]) => token).join("");
-  const judged = judge(content, expectedCompletion(own));
-  if (judged.ending !== "whole" || text.endsWith(END_MARK)) return judged;
-  return { ending: "unknown", detail: "no end mark", fault: "cut" };
+  const result = compareContent(content, expectedCompletion(marker));
+  if (result.ending !== "whole" || text.endsWith(STREAM_END)) return result;
+  return {
+    ending: "unknown",
+    detail: "stream ended without [DONE]",
+    fault: "cut",
+  };
 }
 
-/** A part of the expected answer is cut; anything else is another's. */
-function judge(got: string | undefined, expected: string): AttemptResult {
-  if (got === expected) return { ending: "whole", detail: "" };
-  const isPart = got === undefined || expected.startsWith(got);
+/** Classifies a prefix of the expected content as cut, the rest as crossed. */
+function compareContent(
+  received: string | undefined,
+  expected: string,
+): AttemptResult {
+  if (received === expected) return { ending: "whole", detail: "" };
+  const isPrefix = received === undefined || expected.startsWith(received);
   return {
     ending: "unknown",
-    detail: `got ${got ?? "nothing"}`,
-    fault: isPart ? "cut" : "crossed",
+    detail: `received ${received ?? "nothing"}`,
+    fault: isPrefix ? "cut" : "crossed",
   };
 }
 
-function completionOf(text: string): string | undefined {
-  const completion = parse(text) as
+function parseCompletion(text: string): string | undefined {
+  const completion = parseJson(text) as
     | { choices?: { message?: { content?: string } }[] }
     | undefined;
   return completion?.choices?.[0]?.message?.content;
 }
 
-function recordOf(text: string): string | undefined {
-  return (parse(text) as { request?: string } | undefined)?.request;
+function parseRecord(text: string): string | undefined {
+  return (parseJson(text) as { request?: string } | undefined)?.request;
 }
 
-function parse(text: string): unknown {
+function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
   } catch {
--- a/packages/proof/src/scenarioFleet.ts
+++ b/packages/proof/src/scenarioFleet.ts
@@ -35,12 +35,12 @@
 import { ScenarioProcess } from "./scenarioProcess.ts";
 
 const DEFAULT_HOSTS = 4;
-/** Time until the platform's host list shows a change. */
-const HOST_LIST_LAG_MS: Milliseconds = 1_000;
+/** Delay until the platform's host list reflects a change. */
+const HOST_LIST_DELAY_MS: Milliseconds = 1_000;
 const SIGNING_KEY = exampleSigningKey();
-const SIGNED = new Map<string, SignedBundle>();
+const SIGNED_BUNDLES = new Map<string, SignedBundle>();
 
-/** One start of an entry host. */
+/** An incarnation of an entry host. */
 export interface ScenarioHost {
   readonly host: string;
   readonly incarnation: string;
@@ -51,17 +51,17 @@
   isPaused: boolean;
 }
 
-/** Safeguards that a test turns off to see the fault found. */
+/** Overrides that disable safeguards, to test that violations are detected. */
 export interface Safeguards {
-  /** The client compares the nonce of an answer's head. */
+  /** Whether the client verifies the nonce in the response head. */
   readonly shouldCheckNonce?: boolean;
-  /** Changes the options of every entry host. */
+  /** Overrides the options of every entry host. */
   readonly overrideOptions?: (options: EntryHostOptions) => EntryHostOptions;
-  /** Runs on every entry host before it starts. */
+  /** Called with every entry host before it starts. */
   readonly beforeStart?: (entry: EntryHost) => void;
 }
 
-/** The entry hosts, upstreams, platform and network of one scenario. */
+/** Simulated entry hosts, upstreams, platform and network of a scenario. */
 export class ScenarioFleet {
   readonly platform: FakePlatform;
   readonly network: MemoryNetwork;
@@ -73,7 +73,7 @@
   readonly #random: Random;
   readonly #journal: ScenarioJournal;
   readonly #safeguards: Safeguards;
-  readonly #world: UpstreamEnvironment;
+  readonly #environment: UpstreamEnvironment;
   readonly #leaving = new Set<string>();
   #hostListVersion = 0;
   #starts = 0;
@@ -99,24 +99,24 @@
       jitterMs: 1,
       ...scenario.link,
     });
-    const checksNonce = safeguards.shouldCheckNonce ?? true;
-    this.#world = { timer, journal, shouldCheckNonce: checksNonce };
-    for (const { upstream, url } of this.#bundle(1).upstreams) {
-      const fake = new FakeUpstream(upstream, this.#world);
+    const shouldCheckNonce = safeguards.shouldCheckNonce ?? true;
+    this.#environment = { timer, journal, shouldCheckNonce };
+    for (const { upstream, url } of this.#createBundle(1).upstreams) {
+      const fake = new FakeUpstream(upstream, this.#environment);
       this.upstreams.set(upstream, fake);
       this.#byUrl.set(url, fake);
     }
     this.platform.onHostListRead = ({ upstreams }) =>
-      this.#noteLeaving(upstreams);
+      this.#recordLeaving(upstreams);
   }
 
-  /** Names of all hosts, running or not. */
+  /** Names of all hosts, whether running or not. */
   get hostNames(): string[] {
     const count = this.#scenario.hosts ?? DEFAULT_HOSTS;
     return Array.from({ length: count }, (_, index) => `entry-${index + 1}`);
   }
 
-  /** Hosts that run now. */
+  /** Hosts that are running and not paused. */
   get running(): ScenarioHost[] {
     return [...this.hosts.values()].filter(({ isPaused }) => !isPaused);
   }
@@ -125,10 +125,10 @@
     this.platform.setState(this.#scenario.platformAtStart ?? "up");
     this.publishBundle(1);
     for (const host of this.hostNames) this.startHost(host);
-    this.#publishHosts();
+    this.#publishHostList();
   }
 
-  /** Starts a process that knows nothing; one that ran there is gone. */
+  /** Starts a host without state and kills its previous process. */
   startHost(host: string): void {
     if (this.hosts.has(host)) this.killHost(host);
     const skewMs = this.#scenario.clockSkewMs?.[host];
@@ -136,7 +136,7 @@
     const link = this.network.join(asId<HostId>(host));
     const incarnation = `start-${++this.#starts}`;
     const options: EntryHostOptions = {
-      settings: this.#settingsOf(host),
+      settings: this.#createSettings(host),
       incarnation: asId<Incarnation>(incarnation),
       timer: process,
       random: this.#random,
@@ -144,11 +144,11 @@
       client: new FakeUpstreamClient({
         host,
         process,
-        world: this.#world,
+        environment: this.#environment,
         upstreams: this.#byUrl,
       }),
       ...this.platform.sourcesOf(host, process),
-      log: this.#logOf(host, incarnation),
+      log: this.#createLog(host, incarnation),
     };
     const entry = new EntryHost(
       this.#safeguards.overrideOptions?.(options) ?? options,
@@ -166,10 +166,10 @@
       isPaused: false,
     });
     this.#journal.add({ kind: "disturbed", how: "started", hosts: [host] });
-    this.#publishHostsLater();
+    this.#scheduleHostList();
   }
 
-  /** Ends a process at once: nothing leaves it and nothing reaches it any more. */
+  /** Kills a host process; it sends and receives nothing afterwards. */
   killHost(host: string): void {
     const killed = this.hosts.get(host);
     if (killed === undefined) return;
@@ -178,7 +178,7 @@
     killed.process.kill();
     killed.entry.stop();
     this.#journal.add({ kind: "disturbed", how: "killed", hosts: [host] });
-    this.#publishHostsLater();
+    this.#scheduleHostList();
   }
 
   pauseHost(host: string, forMs: Milliseconds): void {
@@ -201,21 +201,21 @@
   }
 
   publishBundle(version: number): void {
-    this.platform.publishBundle(this.#signed(version));
+    this.platform.publishBundle(this.#signedBundle(version));
   }
 
   markLeaving(upstreams: readonly string[]): void {
     for (const upstream of upstreams) this.#leaving.add(upstream);
-    this.#publishHosts();
+    this.#publishHostList();
   }
 
-  #publishHostsLater(): void {
+  #scheduleHostList(): void {
     if (this.#hostListVersion === 0) return;
-    this.#timer.after(HOST_LIST_LAG_MS, () => this.#publishHosts());
+    this.#timer.after(HOST_LIST_DELAY_MS, () => this.#publishHostList());
   }
 
-  #publishHosts(): void {
-    const { failureDomains, upstreams } = this.#bundle(1);
+  #publishHostList(): void {
+    const { failureDomains, upstreams } = this.#createBundle(1);
     const hostList: HostList = {
       version: ++this.#hostListVersion,
       entryHosts: this.hostNames.filter((host) => this.hosts.has(host)).map((
@@ -234,7 +234,7 @@
     this.platform.publishHosts(hostList);
   }
 
-  #noteLeaving(upstreams: HostList["upstreams"]): void {
+  #recordLeaving(upstreams: HostList["upstreams"]): void {
     const leaving = upstreams.filter(({ state }) => state === "leaving");
     if (leaving.length === 0) return;
     this.#journal.add({
@@ -244,17 +244,17 @@
   }
 
   #domainIndex(host: string): number {
-    const { failureDomains } = this.#bundle(1);
+    const { failureDomains } = this.#createBundle(1);
     return Number(host.slice("entry-".length)) % failureDomains.length;
   }
 
-  #bundle(version: number): Bundle {
+  #createBundle(version: number): Bundle {
     const { maximumWaitingTokens, concurrency } = this.#scenario;
-    const whole = exampleBundle("fukuoka", { version });
+    const example = exampleBundle("fukuoka", { version });
     return {
-      ...whole,
+      ...example,
       version: asBundleVersion(version),
-      services: whole.services.map((service) => ({
+      services: example.services.map((service) => ({
         ...service,
         ...(maximumWaitingTokens === undefined ? {} : { maximumWaitingTokens }),
         ...(concurrency === undefined ? {} : {
@@ -262,23 +262,23 @@
           maximumConcurrency: concurrency,
         }),
       })),
-      upstreams: whole.upstreams.filter(({ upstream }) =>
+      upstreams: example.upstreams.filter(({ upstream }) =>
         SCENARIO_UPSTREAMS.some((name) => name === upstream)
       ),
     };
   }
 
-  #signed(version: number): SignedBundle {
+  #signedBundle(version: number): SignedBundle {
     const { maximumWaitingTokens, concurrency } = this.#scenario;
     const key = `${version} ${maximumWaitingTokens} ${concurrency}`;
-    const signed = SIGNED.get(key) ??
-      signBundle(this.#bundle(version), SIGNING_KEY)._unsafeUnwrap();
-    SIGNED.set(key, signed);
+    const signed = SIGNED_BUNDLES.get(key) ??
+      signBundle(this.#createBundle(version), SIGNING_KEY)._unsafeUnwrap();
+    SIGNED_BUNDLES.set(key, signed);
     return signed;
   }
 
-  #settingsOf(host: string): Settings {
-    const { failureDomains } = this.#bundle(1);
+  #createSettings(host: string): Settings {
+    const { failureDomains } = this.#createBundle(1);
     return settingsSchema.parse({
       host,
       failureDomain: failureDomains[this.#domainIndex(host)]!.failureDomain,
@@ -293,8 +293,8 @@
     });
   }
 
-  #logOf(host: string, incarnation: string): EntryHostOptions["log"] {
-    const note = (
+  #createLog(host: string, incarnation: string): EntryHostOptions["log"] {
+    const recordInForce = (
       line: { kind?: string; mark?: { version: number } },
     ): void => {
       if (line.kind !== "in-force" || line.mark === undefined) return;
@@ -303,7 +303,7 @@
     };
     const ignore = (): void => {};
     return {
-      info: note,
+      info: recordInForce,
       warn: ignore,
       error: ignore,
       debug: ignore,
--- a/packages/proof/src/scenarioJournal.ts
+++ b/packages/proof/src/scenarioJournal.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds, Timer } from "@wasabivane/common";
 import type { ObservedOutcome } from "./scenario.ts";
 
-/** Something that happened, as an observer who sees everything notes it. */
+/** An event of a scenario, recorded with full knowledge of all processes. */
 export type ScenarioEvent =
   | {
     readonly kind: "sent";
@@ -14,7 +14,7 @@
     readonly request: string;
     readonly attempt: number;
     readonly ending: ObservedOutcome | "accepted";
-    /** Problem, or what is wrong with the answer. */
+    /** Problem type, or the error in the response. */
     readonly detail: string;
     readonly reason?: string;
     readonly fault?: "crossed" | "cut";
@@ -34,59 +34,59 @@
   }
   | { readonly kind: "leaving-read"; readonly upstreams: readonly string[] }
   | { readonly kind: "step"; readonly text: string }
-  /** Hosts that were killed, paused or cut off, or that came back. */
+  /** Hosts that were killed, paused or cut off, or that recovered. */
   | {
     readonly kind: "disturbed";
     readonly how: "killed" | "paused" | "woken" | "cut" | "healed" | "started";
     readonly hosts: readonly string[];
   };
 
-/** A fact with its time. */
+/** An event with its time. */
 export type TimedScenarioEvent = ScenarioEvent & { readonly at: Milliseconds };
 
-/** Everything that happened in one scenario, in order. */
+/** All events of a scenario in order. */
 export class ScenarioJournal {
   readonly events: TimedScenarioEvent[] = [];
   readonly #timer: Timer;
-  readonly #listeners = new Set<(fact: TimedScenarioEvent) => void>();
+  readonly #listeners = new Set<(event: TimedScenarioEvent) => void>();
 
   constructor(timer: Timer) {
     this.#timer = timer;
   }
 
-  add(fact: ScenarioEvent): void {
-    const dated = { ...fact, at: this.#timer.now() };
-    this.events.push(dated);
-    for (const listener of this.#listeners) listener(dated);
+  add(event: ScenarioEvent): void {
+    const timed = { ...event, at: this.#timer.now() };
+    this.events.push(timed);
+    for (const listener of this.#listeners) listener(timed);
   }
 
-  /** Calls back at each fact. */
-  subscribe(listener: (fact: TimedScenarioEvent) => void): void {
+  /** Calls a listener for each new event. */
+  subscribe(listener: (event: TimedScenarioEvent) => void): void {
     this.#listeners.add(listener);
   }
 
-  /** Facts of one kind. */
+  /** Returns the events of a kind. */
   ofKind<Kind extends ScenarioEvent["kind"]>(
     kind: Kind,
   ): Extract<TimedScenarioEvent, { kind: Kind }>[] {
-    return this.events.filter((fact) => fact.kind === kind) as Extract<
+    return this.events.filter((event) => event.kind === kind) as Extract<
       TimedScenarioEvent,
       { kind: Kind }
     >[];
   }
 }
 
-/** One line of a readable trace; times count from `origin`. */
+/** Formats an event as a trace line, with its time relative to `origin`. */
 export function formatEvent(
-  fact: TimedScenarioEvent,
+  event: TimedScenarioEvent,
   origin: Milliseconds,
 ): string {
-  const { at, kind, ...rest } = fact;
+  const { at, kind, ...rest } = event;
   const time = (at - origin).toFixed(0).padStart(7);
-  const words = Object.entries(rest).map(([name, value]) =>
+  const fields = Object.entries(rest).map(([name, value]) =>
     `${name}=${Array.isArray(value) ? value.join(",") : value}`
   );
   return kind === "step"
-    ? `${time} > ${fact.kind === "step" ? fact.text : ""}`
-    : `${time}   ${kind} ${words.join(" ")}`;
+    ? `${time} > ${event.kind === "step" ? event.text : ""}`
+    : `${time}   ${kind} ${fields.join(" ")}`;
 }
--- a/packages/proof/src/scenarioProcess.ts
+++ b/packages/proof/src/scenarioProcess.ts
@@ -6,23 +6,23 @@
 } from "@wasabivane/common";
 
 /**
- * One entry host's process over the time that all share. What reaches a paused
- * process waits and runs when it wakes, the monotonic clock having jumped on; a
- * killed process does nothing more.
+ * Timer of a simulated entry host process on the shared clock. Callbacks of a
+ * paused process are deferred until it resumes; those of a killed one are
+ * dropped.
  */
 export class ScenarioProcess extends Timer {
-  readonly #world: Timer;
+  readonly #sharedTimer: Timer;
   readonly #skewMs: Milliseconds;
-  readonly #held: (() => void)[] = [];
+  readonly #deferred: (() => void)[] = [];
   #isPaused = false;
   #isKilled = false;
 
   constructor(
-    world: Timer,
+    sharedTimer: Timer,
     { skewMs = 0 }: { skewMs?: Milliseconds | undefined } = {},
   ) {
     super();
-    this.#world = world;
+    this.#sharedTimer = sharedTimer;
     this.#skewMs = skewMs;
   }
 
@@ -31,20 +31,20 @@
   }
 
   override now(): Milliseconds {
-    return this.#world.now();
+    return this.#sharedTimer.now();
   }
 
   override wallNow(): EpochMilliseconds {
-    return this.#world.wallNow() + this.#skewMs;
+    return this.#sharedTimer.wallNow() + this.#skewMs;
   }
 
   override after(delay: Milliseconds, callback: () => void): TimerSubscription {
     let isCancelled = false;
-    const due = (): void => {
+    const runUnlessCancelled = (): void => {
       if (!isCancelled) callback();
     };
-    const subscription = this.#world.after(delay, () => {
-      if (!isCancelled) this.run(due);
+    const subscription = this.#sharedTimer.after(delay, () => {
+      if (!isCancelled) this.run(runUnlessCancelled);
     });
     return {
       cancel: (): void => {
@@ -73,10 +73,10 @@
     };
   }
 
-  /** Lets something from outside reach the process, as soon as it runs. */
+  /** Runs a callback in the process, deferred while the process is paused. */
   run(callback: () => void): void {
     if (this.#isKilled) return;
-    if (this.#isPaused) this.#held.push(callback);
+    if (this.#isPaused) this.#deferred.push(callback);
     else callback();
   }
 
@@ -86,11 +86,11 @@
 
   resume(): void {
     this.#isPaused = false;
-    for (const callback of this.#held.splice(0)) this.run(callback);
+    for (const callback of this.#deferred.splice(0)) this.run(callback);
   }
 
   kill(): void {
     this.#isKilled = true;
-    this.#held.length = 0;
+    this.#deferred.length = 0;
   }
 }
--- a/packages/proof/src/scenarioRunner.ts
+++ b/packages/proof/src/scenarioRunner.ts
@@ -28,24 +28,24 @@
 import { ScenarioJournal } from "./scenarioJournal.ts";
 import { checkScenario, type ScenarioVerdict } from "./checkScenario.ts";
 
-/** Time for the hosts to find each other and for homes of keys to start their tenure. */
+/** Time until membership settles and key homes start their tenure. */
 const START_MS: Milliseconds = 8_000;
-/** How long faults go on after the last step. */
-const FAULTY_TAIL_MS: Milliseconds = 10_000;
-/** Longest time until everything has ended once all is healed. */
-const HEALED_TAIL_MS: Milliseconds = 60_000;
-const TAIL_STEP_MS: Milliseconds = 500;
-const FETCH_PERIOD_MS: Milliseconds = 1_000;
+/** Maximum time that faults persist after the last step. */
+const FAULTY_PERIOD_MS: Milliseconds = 10_000;
+/** Maximum time for requests to end after all faults are healed. */
+const HEALED_TIMEOUT_MS: Milliseconds = 60_000;
+const END_CHECK_PERIOD_MS: Milliseconds = 500;
+const JOB_POLL_PERIOD_MS: Milliseconds = 1_000;
 
-/** A scenario that ran. */
+/** Result of a scenario run. */
 export interface ScenarioResult {
   readonly verdict: ScenarioVerdict;
   readonly journal: ScenarioJournal;
-  /** When the story began. */
+  /** Virtual time that step times are relative to. */
   readonly origin: Milliseconds;
 }
 
-/** Runs a scenario in virtual time and judges it. */
+/** Runs a scenario in virtual time and checks the invariants. */
 export async function runScenario(
   scenario: FaultScenario,
   safeguards: Safeguards = {},
@@ -74,7 +74,7 @@
   readonly #fleet: ScenarioFleet;
   readonly #keys = new Map<string, string>();
   readonly #attempts = new Map<string, number>();
-  readonly #open = new Set<OpenAttempt>();
+  readonly #openAttempts = new Set<OpenAttempt>();
   readonly #jobs = new Map<string, string>();
   #pendingSteps: number;
 
@@ -95,13 +95,13 @@
     this.#fleet.start();
     await this.#advance(START_MS);
     const origin = this.#timer.now();
-    for (const step of this.#scenario.story) this.#arm(step);
+    for (const step of this.#scenario.story) this.#scheduleStep(step);
     const lastAt = Math.max(
       0,
       ...this.#scenario.story.map((step) => "at" in step ? step.at : 0),
     );
     await this.#advance(lastAt);
-    await this.#endStory();
+    await this.#runUntilEnded();
     for (const { entry, process } of this.#fleet.hosts.values()) {
       process.kill();
       entry.stop();
@@ -110,22 +110,22 @@
     return { verdict, journal: this.#journal, origin };
   }
 
-  /** Faults last until everything ended, or for a while; then all is made whole. */
-  async #endStory(): Promise<void> {
-    await this.#advanceUntilEnded(FAULTY_TAIL_MS);
+  /** Keeps the faults until all requests end or a timeout, then heals them. */
+  async #runUntilEnded(): Promise<void> {
+    await this.#advanceUntilEnded(FAULTY_PERIOD_MS);
     this.#heal();
-    await this.#advanceUntilEnded(HEALED_TAIL_MS);
+    await this.#advanceUntilEnded(HEALED_TIMEOUT_MS);
   }
 
   async #advanceUntilEnded(span: Milliseconds): Promise<void> {
     const end = this.#timer.now() + span;
     while (this.#timer.now() < end && !this.#isOver) {
-      await this.#advance(TAIL_STEP_MS);
+      await this.#advance(END_CHECK_PERIOD_MS);
     }
   }
 
   get #isOver(): boolean {
-    return this.#pendingSteps === 0 && this.#open.size === 0 &&
+    return this.#pendingSteps === 0 && this.#openAttempts.size === 0 &&
       this.#jobs.size === 0;
   }
 
@@ -139,10 +139,10 @@
     for (const name of this.#fleet.hostNames) {
       if (!hosts.has(name)) this.#fleet.startHost(name);
     }
-    this.#noteLinks("healed");
+    this.#recordLinkChange("healed");
   }
 
-  /** Moves virtual time; promises settle after each call that is due. */
+  /** Advances virtual time, letting promises settle after each callback. */
   async #advance(span: Milliseconds): Promise<void> {
     let isOver = false;
     this.#timer.after(span, () => (isOver = true));
@@ -152,40 +152,42 @@
     }
   }
 
-  #arm(step: ScenarioStep): void {
-    const play = (): void => {
+  #scheduleStep(step: ScenarioStep): void {
+    const run = (): void => {
       this.#pendingSteps--;
-      this.#play(step);
+      this.#runStep(step);
     };
     if ("at" in step) {
-      this.#timer.after(step.at, play);
+      this.#timer.after(step.at, run);
       return;
     }
     const { request, is } = step.once;
-    let isSeen = false;
-    this.#journal.subscribe((fact) => {
-      const name = fact.kind === "ended" && fact.ending === "accepted"
+    let hasTriggered = false;
+    this.#journal.subscribe((event) => {
+      const name = event.kind === "ended" && event.ending === "accepted"
         ? "accepted"
-        : fact.kind;
-      if (isSeen || name !== is || !("request" in fact)) return;
-      if (fact.request !== request) return;
-      isSeen = true;
-      this.#timer.after(step.after ?? 0, play);
+        : event.kind;
+      if (hasTriggered || name !== is || !("request" in event)) return;
+      if (event.request !== request) return;
+      hasTriggered = true;
+      this.#timer.after(step.after ?? 0, run);
     });
   }
 
-  #play(step: ScenarioStep): void {
+  #runStep(step: ScenarioStep): void {
     const { do: name, ...rest } = step;
-    const words = Object.entries(rest).filter(([key]) =>
+    const fields = Object.entries(rest).filter(([key]) =>
       key !== "at" && key !== "once" && key !== "after"
     ).map(([, value]) => JSON.stringify(value));
-    this.#journal.add({ kind: "step", text: [name, ...words].join(" ") });
-    this.#act(step);
+    this.#journal.add({ kind: "step", text: [name, ...fields].join(" ") });
+    this.#runAction(step);
   }
 
-  #act(action: ScenarioAction): void {
-    const act = this.#actions[action.do] as (action: ScenarioAction) => void;
-    act(action);
+  #runAction(action: ScenarioAction): void {
+    const runAction = this.#actions[action.do] as (
+      action: ScenarioAction,
+    ) => void;
+    runAction(action);
   }
 
   readonly #actions: Actions = {
@@ -198,17 +200,17 @@
     "stop": ({ hosts }) => hosts.forEach((host) => this.#stop(host)),
     "partition": ({ groups }) => {
       this.#fleet.network.partition(groups as readonly HostId[][]);
-      this.#noteLinks("cut");
+      this.#recordLinkChange("cut");
     },
     "cut": ({ from, to }) => {
       for (const peer of to as readonly HostId[]) {
         this.#fleet.network.blockDirection(from as HostId, peer);
       }
-      this.#noteLinks("cut");
+      this.#recordLinkChange("cut");
     },
     "heal": () => {
       this.#fleet.network.heal();
-      this.#noteLinks("healed");
+      this.#recordLinkChange("healed");
     },
     "crash": ({ upstream, forMs }) => this.#upstream(upstream).crash(forMs),
     "slow": ({ upstream, factor }) => this.#upstream(upstream).slowDown(factor),
@@ -232,14 +234,14 @@
 
   #stop(host: string): void {
     const entry = this.#fleet.hosts.get(host)?.entry;
-    // A daemon ends its process when its planned stop has ended.
+    // A daemon exits once its graceful stop has ended.
     entry?.onStopPhase(({ kind }) => {
       if (kind === "ended") this.#kill(host);
     });
     entry?.requestStop();
   }
 
-  #noteLinks(how: "cut" | "healed"): void {
+  #recordLinkChange(how: "cut" | "healed"): void {
     const hosts = this.#fleet.hostNames;
     this.#journal.add({ kind: "disturbed", how, hosts });
   }
@@ -247,7 +249,7 @@
   #kill(host: string): void {
     const killed = this.#fleet.hosts.get(host);
     this.#fleet.killHost(host);
-    for (const open of [...this.#open]) {
+    for (const open of [...this.#openAttempts]) {
       if (open.host === killed) open.connection.disconnect();
     }
   }
@@ -259,22 +261,22 @@
     this.#attempts.set(name, attempt);
     this.#journal.add({ kind: "sent", request: name, attempt, host: via });
     if (host === undefined) {
-      this.#end(name, { attempt, ending: REFUSED });
+      this.#recordEnd(name, { attempt, result: CONNECTION_REFUSED });
       return;
     }
     const connection = new CallerConnection(
       buildCall(name, { request, key: this.#keyOf(name) }),
       {
         onEnd: () => {
-          this.#open.delete(open);
-          const ending = evaluateAttempt(connection, { name, request });
-          this.#end(name, { attempt, ending });
-          if (ending.job !== undefined) this.#follow(name, ending.job);
+          this.#openAttempts.delete(open);
+          const result = evaluateAttempt(connection, { name, request });
+          this.#recordEnd(name, { attempt, result });
+          if (result.job !== undefined) this.#pollLater(name, result.job);
         },
       },
     );
     const open = { request: name, attempt, host, connection };
-    this.#open.add(open);
+    this.#openAttempts.add(open);
     host.process.run(() => this.#handle(host, connection));
   }
 
@@ -285,53 +287,53 @@
   }
 
   #hangUp(name: string): void {
-    for (const { request, host, connection } of [...this.#open]) {
+    for (const { request, host, connection } of [...this.#openAttempts]) {
       if (request !== name) continue;
       connection.disconnect();
       host.process.run(() => connection.destroy());
     }
   }
 
-  #end(
+  #recordEnd(
     request: string,
-    { attempt, ending }: { attempt: number; ending: AttemptResult },
+    { attempt, result }: { attempt: number; result: AttemptResult },
   ): void {
-    const { ending: kind, detail, reason, fault } = ending;
+    const { ending, detail, reason, fault } = result;
     this.#journal.add({
       kind: "ended",
       request,
       attempt,
-      ending: kind,
+      ending,
       detail,
       ...(reason === undefined ? {} : { reason }),
       ...(fault === undefined ? {} : { fault }),
     });
   }
 
-  /** Asks for an accepted job until it has ended, through any host that answers. */
-  #follow(name: string, id: string): void {
+  /** Polls an accepted job through random hosts until it ends. */
+  #pollLater(name: string, id: string): void {
     this.#jobs.set(name, id);
-    this.#timer.after(FETCH_PERIOD_MS, () => this.#fetch(name, id));
+    this.#timer.after(JOB_POLL_PERIOD_MS, () => this.#pollJob(name, id));
   }
 
-  #fetch(name: string, id: string): void {
+  #pollJob(name: string, id: string): void {
     const request = this.#scenario.requests[name]!;
     const running = this.#fleet.running;
-    if (running.length === 0) return this.#follow(name, id);
+    if (running.length === 0) return this.#pollLater(name, id);
     const host = this.#random.pick(running);
     const connection = new CallerConnection(buildJobPoll(id, request), {
       onEnd: () => {
-        this.#open.delete(open);
-        const ending = evaluateJobPoll(connection, { name, request });
-        if (ending === undefined || ending.detail === "unknown-job") {
-          return this.#follow(name, id);
+        this.#openAttempts.delete(open);
+        const result = evaluateJobPoll(connection, { name, request });
+        if (result === undefined || result.detail === "unknown-job") {
+          return this.#pollLater(name, id);
         }
         this.#jobs.delete(name);
-        this.#end(name, { attempt: 1, ending });
+        this.#recordEnd(name, { attempt: 1, result });
       },
     });
     const open = { request: name, attempt: 0, host, connection };
-    this.#open.add(open);
+    this.#openAttempts.add(open);
     this.#handle(host, connection);
   }
 
@@ -345,8 +347,8 @@
   }
 }
 
-/** A connection that no process took: the request did not run. */
-const REFUSED: AttemptResult = {
+/** Result of a send to a host that is not running. */
+const CONNECTION_REFUSED: AttemptResult = {
   ending: "unknown",
   detail: "connection-refused",
 };
--- a/packages/proof/src/serviceUsage.ts
+++ b/packages/proof/src/serviceUsage.ts
@@ -2,63 +2,66 @@
 import type { LoggedOutcome, LoggedRequest } from "./loggedRequests.ts";
 import { allocateGreedily, type WindowedJob } from "./allocateGreedily.ts";
 
-/** Windows are widened to whole slots, which keeps the bound a bound. */
-const SLOT_MS = 1_000;
+/** Time windows are rounded outwards to steps, so the bound stays valid. */
+const TIME_STEP_MS = 1_000;
 
-/** One tier of a service: what its callers saw, and how many could have been on time. */
+/** Outcomes of a tier's requests and the bound on those served on time. */
 export interface TierUsage {
   readonly tier: number;
   readonly requestCount: number;
   readonly outcomes: ReadonlyMap<LoggedOutcome, number>;
-  /** Most requests that any order and placement could have served on time. */
+  /** Upper bound on the requests that any schedule could serve on time. */
   readonly bound: number;
 }
 
-/** What one service's places were used for. */
+/** Use of a service's upstream slots. */
 export interface ServiceUsage {
   readonly tiers: readonly TierUsage[];
-  /** Time in places at the speed of the fastest upstream, in milliseconds. */
+  /** Available slot time in milliseconds, scaled to the fastest upstream. */
   readonly capacity: number;
+  /** Occupied slot time in the same unit. */
   readonly used: number;
 }
 
-/** What is known of an upstream from its requests. */
-interface Place {
+/** Properties of an upstream that are derived from its requests. */
+interface UpstreamUsage {
   readonly slots: number;
-  /** How many times as long as the fastest one it takes. */
+  /** Ratio of its event interval to that of the fastest upstream. */
   readonly slowness: number;
   readonly from: EpochMilliseconds;
   until: EpochMilliseconds;
 }
 
 /**
- * Works out what a service's places were used for, and how many requests of each
- * tier could have been on time if all had been known beforehand.
+ * Computes the slot usage of a service and, for each tier, an upper bound on
+ * the requests that an offline schedule could serve on time.
  *
- * Places bind before tokens do where answers are long, so that work is counted in
- * time that a place is held at the fastest upstream. An upstream counts as up from
- * its first request to its last; refused requests count by the time that their host
- * expected. Work is cut into parts at will and higher tiers go first, each with its
- * shortest requests first: no schedule that keeps the order of tiers does better.
+ * Work is measured in slot time at the fastest upstream. An upstream counts as
+ * up from its first request to its last; refused requests count with the
+ * duration that their host expected. The bound assumes preemption, strict tier
+ * priority and, within a tier, shortest requests first.
  */
 export function analyzeServiceUsage(
   requests: readonly LoggedRequest[],
 ): ServiceUsage {
-  const places = placesOf(requests);
+  const upstreams = collectUpstreams(requests);
   const start = Math.min(...requests.map(({ at }) => at));
   const jobs = requests
-    .map((request) => ({ request, job: jobOf(request, { places, start }) }))
+    .map((request) => ({
+      request,
+      job: createJob(request, { upstreams, start }),
+    }))
     .sort((left, right) =>
       left.request.tier - right.request.tier || left.job.work - right.job.work
     );
   const end = Math.max(
     ...jobs.map(({ job }) => job.due),
-    ...[...places.values()].map(({ until }) =>
-      Math.floor((until - start) / SLOT_MS)
+    ...[...upstreams.values()].map(({ until }) =>
+      Math.floor((until - start) / TIME_STEP_MS)
     ),
   );
-  const slots = 1 + end;
-  const capacity = capacityBySlot(places, { start, slots });
+  const steps = 1 + end;
+  const capacity = capacityByStep(upstreams, { start, steps });
   const shares = allocateGreedily(jobs.map(({ job }) => job), capacity);
   const tiers = new Map<number, { bound: number; requests: LoggedRequest[] }>();
   for (const [index, { request }] of jobs.entries()) {
@@ -71,10 +74,10 @@
     tiers: [...tiers].map(([tier, { bound, requests }]) => ({
       tier,
       requestCount: requests.length,
-      outcomes: countEndings(requests),
+      outcomes: countOutcomes(requests),
       bound,
     })),
-    capacity: capacity.reduce((sum, slot) => sum + slot, 0),
+    capacity: capacity.reduce((sum, step) => sum + step, 0),
     used: jobs.reduce(
       (sum, { request, job }) =>
         sum + (request.upstream === undefined ? 0 : job.work),
@@ -83,82 +86,84 @@
   };
 }
 
-function placesOf(requests: readonly LoggedRequest[]): Map<string, Place> {
+function collectUpstreams(
+  requests: readonly LoggedRequest[],
+): Map<string, UpstreamUsage> {
   const paces = new Map<string, number[]>();
   for (const { upstream, pace } of requests) {
     if (upstream === undefined || pace === undefined) continue;
     paces.set(upstream, [...paces.get(upstream) ?? [], pace]);
   }
-  const usual = new Map(
-    [...paces].map(([upstream, values]) => [upstream, medianOf(values)]),
+  const medianPaces = new Map(
+    [...paces].map(([upstream, values]) => [upstream, median(values)]),
   );
-  const fastest = Math.min(...usual.values());
-  const places = new Map<string, Place>();
+  const fastest = Math.min(...medianPaces.values());
+  const upstreams = new Map<string, UpstreamUsage>();
   for (const { upstream, slots, at, held } of requests) {
     if (upstream === undefined) continue;
-    const known = places.get(upstream);
-    if (known === undefined) {
-      const pace = usual.get(upstream) ?? fastest;
+    const existing = upstreams.get(upstream);
+    if (existing === undefined) {
+      const pace = medianPaces.get(upstream) ?? fastest;
       const slowness = Number.isFinite(fastest) && fastest > 0
         ? Math.max(1, pace / fastest)
         : 1;
-      places.set(upstream, { slots, slowness, from: at, until: at + held });
-    } else known.until = Math.max(known.until, at + held);
+      upstreams.set(upstream, { slots, slowness, from: at, until: at + held });
+    } else existing.until = Math.max(existing.until, at + held);
   }
-  return places;
+  return upstreams;
 }
 
-function jobOf(
+function createJob(
   { at, target, held, upstream }: LoggedRequest,
-  { places, start }: {
-    places: ReadonlyMap<string, Place>;
+  { upstreams, start }: {
+    upstreams: ReadonlyMap<string, UpstreamUsage>;
     start: EpochMilliseconds;
   },
 ): WindowedJob {
   const slowness = upstream === undefined
-    ? meanSlowness(places)
-    : places.get(upstream)!.slowness;
+    ? meanSlowness(upstreams)
+    : upstreams.get(upstream)!.slowness;
   const work = Math.max(1, held / slowness);
   return {
     work,
-    release: Math.max(0, Math.floor((at - start) / SLOT_MS)),
-    due: Math.max(0, Math.floor((at - start + target + work) / SLOT_MS)),
+    release: Math.max(0, Math.floor((at - start) / TIME_STEP_MS)),
+    due: Math.max(0, Math.floor((at - start + target + work) / TIME_STEP_MS)),
   };
 }
 
-/** Refused requests carry the time expected at the mean upstream. */
-function meanSlowness(places: ReadonlyMap<string, Place>): number {
+/** Refused requests carry the duration expected at a mean upstream. */
+function meanSlowness(upstreams: ReadonlyMap<string, UpstreamUsage>): number {
   let sum = 0;
-  for (const { slowness } of places.values()) sum += slowness;
-  return places.size === 0 ? 1 : sum / places.size;
+  for (const { slowness } of upstreams.values()) sum += slowness;
+  return upstreams.size === 0 ? 1 : sum / upstreams.size;
 }
 
-function capacityBySlot(
-  places: ReadonlyMap<string, Place>,
-  { start, slots }: { start: EpochMilliseconds; slots: number },
+function capacityByStep(
+  upstreams: ReadonlyMap<string, UpstreamUsage>,
+  { start, steps }: { start: EpochMilliseconds; steps: number },
 ): Float64Array {
-  const capacity = new Float64Array(slots);
-  for (const { slots: own, slowness, from, until } of places.values()) {
-    for (let slot = 0; slot < slots; slot++) {
-      const begin = Math.max(from - start, slot * SLOT_MS);
-      const end = Math.min(until - start, (slot + 1) * SLOT_MS);
-      capacity[slot]! += own * Math.max(0, end - begin) / slowness;
+  const capacity = new Float64Array(steps);
+  for (const { slots, slowness, from, until } of upstreams.values()) {
+    for (let step = 0; step < steps; step++) {
+      const begin = Math.max(from - start, step * TIME_STEP_MS);
+      const end = Math.min(until - start, (step + 1) * TIME_STEP_MS);
+      capacity[step]! += slots * Math.max(0, end - begin) / slowness;
     }
   }
   return capacity;
 }
 
-function countEndings(
+function countOutcomes(
   requests: readonly LoggedRequest[],
 ): Map<LoggedOutcome, number> {
   const counts = new Map<LoggedOutcome, number>();
-  for (const { outcome: ending } of requests) {
-    counts.set(ending, (counts.get(ending) ?? 0) + 1);
+  for (const { outcome } of requests) {
+    counts.set(outcome, (counts.get(outcome) ?? 0) + 1);
   }
   return counts;
 }
 
-function medianOf(values: readonly number[]): number {
+function median(values: readonly number[]): number {
   const sorted = values.toSorted((left, right) => left - right);
   return sorted[Math.floor(sorted.length / 2)]!;
 }
--- a/packages/proof/src/slope.ts
+++ b/packages/proof/src/slope.ts
@@ -1,35 +1,37 @@
-/** One measured pair: how much of something there is, and what it costs. */
+/** A measured point: a size and the cost at that size. */
 export type SlopePoint = readonly [number, number];
 
-/** A straight line through the points, by least squares. */
+/** Linear least-squares fit of the points. */
 export interface SlopeFit {
   readonly model: "linear";
   readonly intercept: number;
   readonly slope: number;
-  /** The fit leaves out points below this x, where another regime holds. */
+  /** Lowest x of the fitted points. */
   readonly fromX: number;
-  /** Greatest distance of a fitted point from the line, as a share of the greatest y. */
+  /**
+   * Maximum distance of a fitted point from the line, as a share of maximum y.
+   */
   readonly residual: number;
 }
 
-/** What is measured, and what it has to fit into. */
+/** Definition of a measured slope: the growth of a cost with a size. */
 export interface SlopeDefinition {
   readonly name: string;
   /** Unit of y. */
   readonly unit: string;
-  /** What x counts. */
+  /** Quantity on the x axis. */
   readonly per: string;
-  /** x at the users' target. */
+  /** x at the target deployment. */
   readonly targetX: number;
-  /** Bound on y at the target, where there is one. */
+  /** Upper limit of y at the target, if there is one. */
   readonly budget?: number;
-  /** Points below this x belong to another regime. */
+  /** Lowest x to fit, where smaller deployments scale differently. */
   readonly fromX?: number;
-  /** Whether y repeats exactly; the others are times and sizes of this machine. */
+  /** Whether y is deterministic instead of dependent on the machine. */
   readonly isExact: boolean;
 }
 
-/** A measured slope, as `npm run slopes -- --json` prints it. */
+/** A measured slope, as printed by `npm run slopes -- --json`. */
 export interface Slope {
   readonly name: string;
   readonly unit: string;
@@ -37,19 +39,19 @@
   readonly isExact: boolean;
   readonly points: readonly SlopePoint[];
   readonly fit: SlopeFit;
-  /** Share of the variance that the line explains; 1 where nothing varies. */
+  /** Coefficient of determination; 1 if y is constant. */
   readonly r2: number;
   readonly targetX: number;
-  /** y at the target by the line; the last point where it was measured there. */
+  /** y at the target, measured if possible, else extrapolated. */
   readonly atTarget: number;
   readonly budget: number | null;
-  /** Whether the figure at the target is within the budget; null without one. */
+  /** Whether y at the target is within the budget; `null` without a budget. */
   readonly holds: boolean | null;
 }
 
 const SIGNIFICANT_DIGITS = 6;
 
-/** Fits a line to the points and extends it to the target. */
+/** Fits a line to the points and extrapolates it to the target. */
 export function fitSlope(
   definition: SlopeDefinition,
   points: readonly SlopePoint[],
@@ -59,21 +61,21 @@
   const { intercept, slope } = leastSquares(fitted);
   const line = (x: number): number => intercept + slope * x;
   const measured = points.find(([x]) => x === targetX);
-  const atTarget = rounded(measured?.[1] ?? line(targetX));
+  const atTarget = roundSignificant(measured?.[1] ?? line(targetX));
   return {
     name,
     unit,
     per,
     isExact,
-    points: points.map(([x, y]) => [x, rounded(y)]),
+    points: points.map(([x, y]) => [x, roundSignificant(y)]),
     fit: {
       model: "linear",
-      intercept: rounded(intercept),
-      slope: rounded(slope),
+      intercept: roundSignificant(intercept),
+      slope: roundSignificant(slope),
       fromX,
-      residual: rounded(residualOf(fitted, line)),
+      residual: roundSignificant(computeResidual(fitted, line)),
     },
-    r2: rounded(determinationOf(fitted, line)),
+    r2: roundSignificant(computeR2(fitted, line)),
     targetX,
     atTarget,
     budget: budget ?? null,
@@ -96,23 +98,23 @@
   return { intercept: meanY - slope * meanX, slope };
 }
 
-function determinationOf(
+function computeR2(
   points: readonly SlopePoint[],
   line: (x: number) => number,
 ): number {
   const meanY = mean(points.map(([, y]) => y));
   const total = sum(points.map(([, y]) => (y - meanY) ** 2));
-  const left = sum(points.map(([x, y]) => (y - line(x)) ** 2));
-  return total === 0 ? 1 : 1 - left / total;
+  const residualSum = sum(points.map(([x, y]) => (y - line(x)) ** 2));
+  return total === 0 ? 1 : 1 - residualSum / total;
 }
 
-function residualOf(
+function computeResidual(
   points: readonly SlopePoint[],
   line: (x: number) => number,
 ): number {
-  const greatest = Math.max(...points.map(([, y]) => Math.abs(y)));
+  const maximumY = Math.max(...points.map(([, y]) => Math.abs(y)));
   const distances = points.map(([x, y]) => Math.abs(y - line(x)));
-  return greatest === 0 ? 0 : Math.max(...distances) / greatest;
+  return maximumY === 0 ? 0 : Math.max(...distances) / maximumY;
 }
 
 function mean(values: readonly number[]): number {
@@ -123,6 +125,6 @@
   return values.reduce((total, value) => total + value, 0);
 }
 
-function rounded(value: number): number {
+function roundSignificant(value: number): number {
   return Number(value.toPrecision(SIGNIFICANT_DIGITS));
 }
--- a/packages/proof/src/slopeBundle.ts
+++ b/packages/proof/src/slopeBundle.ts
@@ -21,10 +21,10 @@
 const UPSTREAM_COUNTS = [1_000, 3_000, 6_000, 12_000];
 const SIGNING_KEY = exampleSigningKey();
 const TRUSTED_KEYS = [trustedKeyOf(SIGNING_KEY)];
-/** Times are taken of values that no digest is known of, hence few rounds. */
+/** Few rounds, since each verifies a whole bundle. */
 const ROUNDS = 3;
 
-/** What bundles of growing size cost, each by the number of upstreams. */
+/** Costs of a bundle by its number of upstreams. */
 export interface BundleCosts {
   readonly bytes: SlopePoint[];
   readonly compressedBytes: SlopePoint[];
@@ -34,9 +34,9 @@
   readonly changeMs: SlopePoint[];
 }
 
-/** Measures bundles with the target's accounts and models. */
+/** Measures bundles with the accounts and models of the target deployment. */
 export function measureBundles(): BundleCosts {
-  const costs = UPSTREAM_COUNTS.map(costOf);
+  const costs = UPSTREAM_COUNTS.map(measureBundle);
   const pointsOf = (name: keyof BundleCosts): SlopePoint[] =>
     costs.map((cost, index) => [UPSTREAM_COUNTS[index]!, cost[name]]);
   return {
@@ -49,28 +49,28 @@
   };
 }
 
-function costOf(upstreams: number): Record<keyof BundleCosts, number> {
-  const signed = sign(targetBundle(upstreams, 1));
+function measureBundle(upstreams: number): Record<keyof BundleCosts, number> {
+  const signed = sign(createTargetBundle(upstreams, 1));
   const text = JSON.stringify(signed);
-  const next = sign(targetBundle(upstreams, 2));
+  const next = sign(createTargetBundle(upstreams, 2));
   const difference = createBundleDifference(signed, next)._unsafeUnwrap();
   return {
     bytes: Buffer.byteLength(text),
     compressedBytes: gzipSync(text).length,
     heapBytes: retainedBytes(() => JSON.parse(text)),
     verifyMs: minimumProcessorMs(
-      () => void verified(JSON.parse(text) as SignedBundle),
+      () => void verify(JSON.parse(text) as SignedBundle),
       { rounds: ROUNDS },
     ),
     differenceBytes: Buffer.byteLength(JSON.stringify(difference)),
     changeMs: minimumProcessorMs(() => {
       const applied = applyBundleDifference(signed, difference)._unsafeUnwrap();
-      verified(applied);
+      verify(applied);
     }, { rounds: ROUNDS }),
   };
 }
 
-function verified(signed: SignedBundle): SignedBundle {
+function verify(signed: SignedBundle): SignedBundle {
   return verifySignedBundle(signed, TRUSTED_KEYS)._unsafeUnwrap();
 }
 
@@ -78,8 +78,8 @@
   return signBundle(bundle, SIGNING_KEY)._unsafeUnwrap();
 }
 
-/** A bundle of the target's shape; each version changes one upstream. */
-function targetBundle(upstreams: number, version: number): Bundle {
+/** Creates a bundle of the target; each version changes one upstream. */
+function createTargetBundle(upstreams: number, version: number): Bundle {
   const example = exampleBundle("fukuoka");
   const domains = Array.from(
     { length: TARGET.failureDomains },
--- a/packages/proof/src/slopeConfiguration.ts
+++ b/packages/proof/src/slopeConfiguration.ts
@@ -40,21 +40,21 @@
 } from "./slopeFleet.ts";
 
 const SETTLE_MS: Milliseconds = 4_000;
-const GRAIN_MS: Milliseconds = 5;
+const TIMER_STEP_MS: Milliseconds = 5;
 const CHANGES = 3;
 const SECOND = 1_000;
 
-/** What one change of configuration costs a fleet. */
+/** Cost of a configuration change for a fleet. */
 export interface ChangeCost {
-  /** Bytes sent per host and change beyond those of an idle fleet. */
+  /** Bytes sent per host and change in addition to idle traffic. */
   readonly bytesPerHost: number;
-  /** Longest time until a change was in force on every host. */
+  /** Maximum time until a change is in force on every host. */
   readonly inForceMs: Milliseconds;
 }
 
-/** What a fleet does whose hosts all start at once. */
+/** Cost of starting all hosts of a fleet at once. */
 export interface StartCost {
-  /** Reads of the platform while it settles. */
+  /** Platform reads during the warm-up. */
   readonly reads: number;
 }
 
@@ -65,20 +65,23 @@
 const SIGNING_KEY = exampleSigningKey();
 const TRUSTED_KEYS = [trustedKeyOf(SIGNING_KEY)];
 
-/** Configuration of a fleet of `size` hosts: idle, at changes, and at a start of all at once. */
+/** Measures the configuration costs of a fleet: start, idle and changes. */
 export async function measureConfiguration(
   size: number,
 ): Promise<{ idle: HostCost; change: ChangeCost; start: StartCost }> {
   const fleet = new ConfigurationFleet(size);
   await fleet.advance(WARM_UP_MS);
   const start = { reads: fleet.platform.reads };
-  const reading = readCostCounters(fleet.network);
+  const startCounters = readCostCounters(fleet.network);
   await fleet.advance(MEASURED_MS);
-  const idle = costSince(reading, fleet.network, { size, span: MEASURED_MS });
+  const idle = costSince(startCounters, fleet.network, {
+    size,
+    span: MEASURED_MS,
+  });
   return { idle, change: await fleet.measureChanges(idle), start };
 }
 
-/** Configuration controllers over one network and one platform, in virtual time. */
+/** Configuration controllers on a simulated network and platform. */
 class ConfigurationFleet {
   readonly timer = new VirtualTimer();
   readonly network: MemoryNetwork;
@@ -102,7 +105,7 @@
   async advance(span: Milliseconds): Promise<void> {
     const end = this.timer.now() + span;
     while (this.timer.now() < end) {
-      this.timer.advance(GRAIN_MS);
+      this.timer.advance(TIMER_STEP_MS);
       for (let turn = 0; turn < 4; turn++) await Promise.resolve();
     }
   }
@@ -115,8 +118,8 @@
       this.#publish(1 + change);
       await this.advance(SETTLE_MS);
       const times = this.#inForceAt.get(1 + change) ?? [];
-      const isEverywhere = times.length === this.#size;
-      const last = isEverywhere ? Math.max(...times) - since : Infinity;
+      const isInForceEverywhere = times.length === this.#size;
+      const last = isInForceEverywhere ? Math.max(...times) - since : Infinity;
       inForceMs = Math.max(inForceMs, last);
     }
     const idleBytes = idle.bytes * SETTLE_MS / SECOND * CHANGES;
@@ -124,7 +127,7 @@
     return { bytesPerHost: (sentPerHost - idleBytes) / CHANGES, inForceMs };
   }
 
-  /** A change of one service's bound, the commonest kind of change. */
+  /** Publishes a change of one service's concurrency limit. */
   #publish(version: number): void {
     const services = this.#bundle.services.map((service, index) =>
       index === 0 ? { ...service, maximumConcurrency: 64 + version } : service
@@ -147,7 +150,7 @@
     const blackboard = new Blackboard();
     blackboard.write(MEMBERS, members);
     blackboard.watch(BUNDLE_IN_FORCE, (signed) => {
-      if (signed !== undefined) this.#noteInForce(signed.bundle.version);
+      if (signed !== undefined) this.#recordInForce(signed.bundle.version);
     });
     new ConfigurationController({
       blackboard,
@@ -162,20 +165,20 @@
     }).start();
   }
 
-  #noteInForce(version: number): void {
+  #recordInForce(version: number): void {
     const times = this.#inForceAt.get(version) ?? [];
     times.push(this.timer.now());
     this.#inForceAt.set(version, times);
   }
 }
 
-type Answer<Value> = Result<Revisioned<Value> | undefined, PlatformError>;
+type ReadResult<Value> = Result<Revisioned<Value> | undefined, PlatformError>;
 
-/** The platform's service; a watch ends at a change or after its wait. */
+/** Simulated platform with long-poll reads. */
 class VirtualPlatform {
   reads = 0;
   readonly #timer: VirtualTimer;
-  readonly #watches = new Set<() => void>();
+  readonly #pendingReads = new Set<() => void>();
   #bundle: Revisioned<SignedBundle> | undefined;
 
   constructor(timer: VirtualTimer) {
@@ -184,38 +187,38 @@
 
   publish(signed: SignedBundle): void {
     this.#bundle = { revision: signed.bundle.version, value: signed };
-    for (const wake of [...this.#watches]) wake();
+    for (const wake of [...this.#pendingReads]) wake();
   }
 
   readBundle(
     options: { afterRevision: number; waitMs: Milliseconds },
-  ): Promise<Answer<SignedBundle>> {
+  ): Promise<ReadResult<SignedBundle>> {
     const newer = (): Revisioned<SignedBundle> | undefined =>
       this.#bundle !== undefined &&
         this.#bundle.revision > options.afterRevision
         ? this.#bundle
         : undefined;
-    return this.#watch(options.waitMs, newer);
+    return this.#read(options.waitMs, newer);
   }
 
-  readHosts(waitMs: Milliseconds): Promise<Answer<HostList>> {
-    return this.#watch(waitMs, () => undefined);
+  readHosts(waitMs: Milliseconds): Promise<ReadResult<HostList>> {
+    return this.#read(waitMs, () => undefined);
   }
 
-  #watch<Value>(
+  #read<Value>(
     waitMs: Milliseconds,
     newer: () => Revisioned<Value> | undefined,
-  ): Promise<Answer<Value>> {
+  ): Promise<ReadResult<Value>> {
     this.reads++;
     return new Promise((resolve) => {
-      const answer = (): void => {
-        if (!this.#watches.delete(answer)) return;
+      const respond = (): void => {
+        if (!this.#pendingReads.delete(respond)) return;
         timeout.cancel();
         this.#timer.after(LINK_DELAY_MS, () => resolve(ok(newer())));
       };
-      this.#watches.add(answer);
-      const timeout = this.#timer.after(waitMs, answer);
-      if (newer() !== undefined) answer();
+      this.#pendingReads.add(respond);
+      const timeout = this.#timer.after(waitMs, respond);
+      if (newer() !== undefined) respond();
     });
   }
 }
@@ -230,7 +233,7 @@
 
   override read(
     options: { afterRevision: number; waitMs: Milliseconds },
-  ): Promise<Answer<SignedBundle>> {
+  ): Promise<ReadResult<SignedBundle>> {
     return this.#platform.readBundle(options);
   }
 }
@@ -245,7 +248,7 @@
 
   override read(
     options: { afterRevision: number; waitMs: Milliseconds },
-  ): Promise<Answer<HostList>> {
+  ): Promise<ReadResult<HostList>> {
     return this.#platform.readHosts(options.waitMs);
   }
 }
--- a/packages/proof/src/slopeFleet.ts
+++ b/packages/proof/src/slopeFleet.ts
@@ -20,42 +20,42 @@
 import { processorMsSince } from "./resourceMeasurement.ts";
 import { TARGET } from "./slopeTarget.ts";
 
-/** Virtual time until a fleet that started at once is idle. */
+/** Virtual time until a newly started fleet is idle. */
 export const WARM_UP_MS: Milliseconds = 8_000;
-/** Virtual time of one measurement. */
+/** Virtual duration of a measurement. */
 export const MEASURED_MS: Milliseconds = 10_000;
-/** One way between two hosts, as within a region. */
+/** One-way latency between two hosts of a region. */
 export const LINK_DELAY_MS: Milliseconds = 1;
 const SECOND = 1_000;
 
-/** What one host of a fleet spends each second of virtual time. */
+/** Cost per host and second of virtual time. */
 export interface HostCost {
   readonly messages: number;
   readonly bytes: number;
-  /** Processor time without sockets: encoding, checks, decisions, both ends. */
+  /** Processor time of both sender and receiver, without sockets. */
   readonly processorMs: number;
 }
 
-/** What a change of the members costs, over the whole fleet. */
+/** Cost of a membership change, summed over the fleet. */
 export interface MemberChangeCost {
-  /** Bytes that all hosts send beyond those of an idle fleet when one dies. */
+  /** Bytes sent in addition to idle traffic when a host dies. */
   readonly deathBytes: number;
-  /** The same when a host starts that nobody knows. */
+  /** Bytes sent in addition to idle traffic when an unlisted host starts. */
   readonly startBytes: number;
 }
 
-/** Membership of a fleet of `size` hosts in virtual time, idle. */
+/** Measures the membership cost of an idle fleet of `size` hosts. */
 export function measureMembership(size: number): HostCost {
   const fleet = new MembershipFleet(size);
   fleet.timer.advance(WARM_UP_MS);
-  return idleCost(fleet, size);
+  return measureIdleCost(fleet, size);
 }
 
-/** What a death and a start add to an idle fleet of `size` hosts. */
+/** Measures the cost of a host's death and start in a fleet of `size` hosts. */
 export function measureMemberChanges(size: number): MemberChangeCost {
   const fleet = new MembershipFleet(size);
   fleet.timer.advance(WARM_UP_MS);
-  const idle = idleCost(fleet, size);
+  const idle = measureIdleCost(fleet, size);
   const idleBytes = idle.bytes * size * MEASURED_MS / SECOND;
   const addedBytes = (change: () => void): number => {
     const before = fleet.network.sentBytes;
@@ -69,20 +69,20 @@
   };
 }
 
-/** Starts membership on `size` hosts and lets them settle; the fleet keeps their state alive. */
+/** Creates a settled fleet of `size` hosts to measure its memory. */
 export function createSettledFleet(size: number): unknown {
   const fleet = new MembershipFleet(size);
   fleet.timer.advance(WARM_UP_MS);
   return fleet;
 }
 
-function idleCost(fleet: MembershipFleet, size: number): HostCost {
+function measureIdleCost(fleet: MembershipFleet, size: number): HostCost {
   const start = readCostCounters(fleet.network);
   fleet.timer.advance(MEASURED_MS);
   return costSince(start, fleet.network, { size, span: MEASURED_MS });
 }
 
-/** Membership controllers over one network, in virtual time. */
+/** Membership controllers on a simulated network in virtual time. */
 class MembershipFleet {
   readonly timer = new VirtualTimer();
   readonly network: MemoryNetwork;
@@ -103,7 +103,7 @@
     for (let index = 0; index < size; index++) this.start(index);
   }
 
-  /** Starts the host with that number, also one that the list does not name. */
+  /** Starts the host with an index, which may exceed the host list. */
   start(index: number): void {
     const { timer } = this;
     const { host, failureDomain, peerAddress } = listedHost(index);
@@ -128,7 +128,7 @@
     this.#hosts.push({ controller, link });
   }
 
-  /** Ends the newest host without a word. */
+  /** Stops the last started host without notice. */
   stopLast(): void {
     const { controller, link } = this.#hosts.pop()!;
     controller.stop();
@@ -136,7 +136,7 @@
   }
 }
 
-/** A list of so many hosts over all failure domains of the target. */
+/** Creates a list of `size` hosts across the target's failure domains. */
 export function hostListOf(size: number): HostList {
   const entryHosts = Array.from(
     { length: size },
@@ -156,19 +156,19 @@
   };
 }
 
-/** The name of the host with that number, counted from 0. */
+/** Returns the name of the host with a zero-based index. */
 export function hostName(index: number): HostId {
   return asId<HostId>(`entry-${index + 1}`);
 }
 
-/** Counters at the start of a measurement. */
+/** Network and processor counters at the start of a measurement. */
 export interface CostCounters {
   readonly messages: number;
   readonly bytes: number;
   readonly processor: NodeJS.CpuUsage;
 }
 
-/** Reads the counters that {@link costSince} compares with. */
+/** Reads the counters for {@link costSince}. */
 export function readCostCounters(network: MemoryNetwork): CostCounters {
   return {
     messages: network.sentMessages,
@@ -177,7 +177,7 @@
   };
 }
 
-/** What each host spent since a reading. */
+/** Computes the cost per host since the start of a measurement. */
 export function costSince(
   start: CostCounters,
   network: MemoryNetwork,
--- a/packages/proof/src/slopeFleetGroups.ts
+++ b/packages/proof/src/slopeFleetGroups.ts
@@ -22,7 +22,7 @@
 const STATE_HOST_COUNTS = [32, 64, 128];
 const CHANGE_HOST_COUNTS = [32, 64, 128];
 
-/** What entry hosts tell each other, by the size of the fleet. */
+/** Slopes of the traffic between entry hosts by fleet size. */
 export const FLEET_GROUPS: readonly SlopeGroup[] = [
   defineSlopeGroup({
     "membership-messages": {
--- a/packages/proof/src/slopeGroup.ts
+++ b/packages/proof/src/slopeGroup.ts
@@ -3,13 +3,13 @@
 
 type Points<Name extends string> = Record<Name, readonly SlopePoint[]>;
 
-/** Slopes that one run measures together. */
+/** Slopes that are measured in one run. */
 export interface SlopeGroup {
   readonly definitions: readonly SlopeDefinition[];
   measure(): Promise<Points<string>>;
 }
 
-/** Joins definitions by name with the run that measures them. */
+/** Creates a group from slope definitions by name and their measurement. */
 export function defineSlopeGroup<Name extends string>(
   definitions: Readonly<Record<Name, Omit<SlopeDefinition, "name">>>,
   measure: () => Promise<Points<Name>> | Points<Name>,
@@ -21,33 +21,33 @@
   };
 }
 
-/** From so many hosts on, heartbeats go to a subset. */
-const SUBSET_HOSTS = 32;
+/** Fleet size from which heartbeats go to a subset of hosts. */
+const PARTIAL_MESH_HOSTS = 32;
 
-/** Measured over fleets of growing size. */
+/** Scaling by fleet size. */
 export const PER_HOST = {
   per: "hosts of the fleet",
   targetX: TARGET.hosts,
-  fromX: SUBSET_HOSTS,
+  fromX: PARTIAL_MESH_HOSTS,
 } as const;
-/** Measured over growing numbers of upstreams. */
+/** Scaling by the number of upstreams. */
 export const PER_UPSTREAM = {
   per: "upstreams",
   targetX: TARGET.upstreams,
 } as const;
-/** Counts against the bytes that control may send. */
+/** Traffic with the control plane's budget. */
 export const BYTES_PER_SECOND = {
   unit: "bytes sent per host and second",
   budget: TARGET.controlBytesPerSecond,
   isExact: true,
 } as const;
-/** Counts against the processor time of control. */
+/** Processor time with the control plane's budget. */
 export const PROCESSOR_MS = {
   unit: "ms of processor time per host and second",
   budget: TARGET.controlMsPerSecond,
   isExact: false,
 } as const;
-/** Counts against the memory of control. */
+/** Memory with the control plane's budget. */
 export const HEAP_BYTES = {
   unit: "bytes of heap",
   budget: TARGET.controlMemoryBytes,
--- a/packages/proof/src/slopeHostGroups.ts
+++ b/packages/proof/src/slopeHostGroups.ts
@@ -28,13 +28,13 @@
 } from "./slopeTarget.ts";
 
 const MILLISECONDS = 1_000;
-/** Were every request to carry a bare key, as long as keys are remembered. */
+/** Keys held by one home if every request carries a bare key. */
 const KEYS_PER_HOME = TARGET.requestsPerSecond * KEY_LIFETIME_MS /
   MILLISECONDS / MAX_VIEW_HOSTS;
-/** What one process can relay at most: a core less a third for bursts. */
+/** Two thirds of a core, which leaves headroom for bursts. */
 const RELAY_BUDGET_MS = 667;
 
-/** What one host holds and does, by what it is given. */
+/** Slopes of the costs of a single host by its load. */
 export const HOST_GROUPS: readonly SlopeGroup[] = [
   defineSlopeGroup({
     "bundle-bytes": {
--- a/packages/proof/src/slopeKeys.ts
+++ b/packages/proof/src/slopeKeys.ts
@@ -25,12 +25,12 @@
 
 const HOSTS = 8;
 const RATES = [10, 20, 40, 80];
-const HELD_COUNTS = [1_000, 2_000, 4_000];
-/** Leases are joined and held by then. */
+const KEY_COUNTS = [1_000, 2_000, 4_000];
+/** Time until the view leases are held. */
 const WARM_UP_MS: Milliseconds = 8_000;
 const MEASURED_MS: Milliseconds = 4_000;
 const SETTLE_MS: Milliseconds = 1_000;
-const GRAIN_MS: Milliseconds = 5;
+const TIMER_STEP_MS: Milliseconds = 5;
 const SECOND = 1_000;
 const SECRETS = ["slope-secret"];
 const BODY_DIGEST = asId<Digest>("0".repeat(64));
@@ -39,33 +39,33 @@
   nonce: asId<Nonce>("0".repeat(32)),
 };
 
-/** Bytes that keys add to a fleet, by keys claimed through one host in a second. */
+/** Measures the key traffic by claims per second through one host. */
 export async function measureKeyTraffic(): Promise<SlopePoint[]> {
-  const idle = await sentBytesAt(0);
+  const idle = await measureSentBytes(0);
   const points: SlopePoint[] = [];
   for (const rate of RATES) {
-    const bytes = await sentBytesAt(rate) - idle;
+    const bytes = await measureSentBytes(rate) - idle;
     points.push([rate, bytes / MEASURED_MS * SECOND]);
   }
   return points;
 }
 
-/** Heap of owner and home together, by keys that are held. */
+/** Measures the heap of claimant and home by the number of keys. */
 export async function measureKeyMemory(): Promise<SlopePoint[]> {
   const points: SlopePoint[] = [];
-  for (const count of HELD_COUNTS) {
+  for (const count of KEY_COUNTS) {
     const fleet = new KeyFleet();
     await fleet.advance(WARM_UP_MS);
     const before = heapBytes();
     for (let number = 0; number < count; number++) fleet.claim();
     await fleet.advance(SETTLE_MS);
     points.push([count, heapBytes() - before]);
-    fleet.check(count);
+    fleet.checkGranted(count);
   }
   return points;
 }
 
-async function sentBytesAt(rate: number): Promise<number> {
+async function measureSentBytes(rate: number): Promise<number> {
   const fleet = new KeyFleet();
   await fleet.advance(WARM_UP_MS);
   const before = fleet.network.sentBytes;
@@ -74,11 +74,11 @@
     fleet.timer.after(number * SECOND / rate, () => fleet.claim());
   }
   await fleet.advance(MEASURED_MS + SETTLE_MS);
-  fleet.check(claims);
+  fleet.checkGranted(claims);
   return fleet.network.sentBytes - before;
 }
 
-/** Hosts that hold leases and keys; all keys are claimed through the first. */
+/** Hosts that hold leases and keys; the first one claims all keys. */
 class KeyFleet {
   readonly timer = new VirtualTimer();
   readonly network: MemoryNetwork;
@@ -117,15 +117,15 @@
   async advance(span: Milliseconds): Promise<void> {
     const end = this.timer.now() + span;
     while (this.timer.now() < end) {
-      this.timer.advance(GRAIN_MS);
+      this.timer.advance(TIMER_STEP_MS);
       for (let turn = 0; turn < 6; turn++) await Promise.resolve();
     }
   }
 
-  /** Takes one bare key from its claim to the end of its request. */
+  /** Claims a bare key and marks its request as dispatched and finished. */
   claim(): void {
     const [keys] = this.#keys;
-    const key = this.#bareKey();
+    const key = this.#createBareKey();
     void keys!.claim({
       account: asId<ClientAccountId>("client-account-1"),
       key,
@@ -140,25 +140,25 @@
     });
   }
 
-  /** Claims that were not granted would make the figures too good. */
-  check(claims: number): void {
+  /** Throws if claims were not granted, which would distort the measurement. */
+  checkGranted(claims: number): void {
     if (this.#granted === claims) return;
     throw new Error(`${this.#granted} of ${claims} claims were granted`);
   }
 
-  /** A UUIDv7 made now. */
-  #bareKey(): IdempotencyKey {
+  /** Creates a UUIDv7 with the current time. */
+  #createBareKey(): IdempotencyKey {
     const time = Math.floor(this.timer.wallNow()).toString(16).padStart(
       12,
       "0",
     );
-    const chance = this.#random.hex(9);
+    const randomHex = this.#random.hex(9);
     const parts = [
       time.slice(0, 8),
       time.slice(8),
-      `7${chance.slice(0, 3)}`,
-      `8${chance.slice(3, 6)}`,
-      chance.slice(6, 18),
+      `7${randomHex.slice(0, 3)}`,
+      `8${randomHex.slice(3, 6)}`,
+      randomHex.slice(6, 18),
     ];
     return asId<IdempotencyKey>(parts.join("-"));
   }
--- a/packages/proof/src/slopePool.ts
+++ b/packages/proof/src/slopePool.ts
@@ -24,41 +24,41 @@
 import { TARGET } from "./slopeTarget.ts";
 
 const RATES = [10, 20, 40, 80];
-/** Code that the runtime has not compiled yet costs several times as much. */
+/** Runs until the code is compiled. */
 const WARM_UP_RUNS = 8;
 const WARM_UP_RATE = 160;
 const POOL_COUNTS = [1, 4, 8, 14];
 const MEASURED_MS: Milliseconds = 4_000;
 const FIRST_TOKEN_MS: Milliseconds = 300;
-/** Tokens of a mean answer: 5.9 million over 27,000 requests. */
+/** Mean output tokens: the target's tokens per request. */
 const OUTPUT_TOKENS = 219;
-const ANSWER_MS: Milliseconds = OUTPUT_TOKENS * TARGET.tokenGapMs;
+const RESPONSE_MS: Milliseconds = OUTPUT_TOKENS * TARGET.tokenGapMs;
 const SECOND = 1_000;
-const FLEET_SHARE = createTopic("slope-fleet-share", 1);
+const REACHABLE_SHARE = createTopic("slope-fleet-share", 1);
 const MEMBERS = createTopic<readonly PoolMember[]>("slope-pool-members", []);
 const HOSTS = ["entry-1", "entry-2"].map((host) => asId<HostId>(host));
 
-/** Bytes and processor time of the pool protocol by requests of one host in a second. */
+/** Measures the pool protocol by requests per second of one host. */
 export function measurePoolProtocol(): {
   bytes: SlopePoint[];
   processorMs: SlopePoint[];
 } {
-  for (let run = 0; run < WARM_UP_RUNS; run++) costAt(WARM_UP_RATE);
-  const costs = RATES.map((rate) => ({ rate, ...costAt(rate) }));
+  for (let run = 0; run < WARM_UP_RUNS; run++) measureAtRate(WARM_UP_RATE);
+  const costs = RATES.map((rate) => ({ rate, ...measureAtRate(rate) }));
   return {
     bytes: costs.map(({ rate, bytes }) => [rate, bytes]),
     processorMs: costs.map(({ rate, processorMs }) => [rate, processorMs]),
   };
 }
 
-/** Bytes that one host sends each second to keep pools in step, by pools in which something runs. */
+/** Measures the synchronization traffic of one host by active pools. */
 export function measurePoolSync(): SlopePoint[] {
   return POOL_COUNTS.map((pools) => {
     const pair = new PoolPair();
     for (let number = 0; number < pools; number++) {
       pair.run(pair.services[number]!, {
-        ask: createTargetRequest(number),
-        lengthMs: MEASURED_MS * 2,
+        placementRequest: createTargetRequest(number),
+        durationMs: MEASURED_MS * 2,
       });
     }
     pair.timer.advance(SECOND);
@@ -68,31 +68,35 @@
   });
 }
 
-function costAt(rate: number): { bytes: number; processorMs: number } {
+function measureAtRate(rate: number): { bytes: number; processorMs: number } {
   const pair = new PoolPair();
-  const asks = Array.from(
+  const requests = Array.from(
     { length: rate * MEASURED_MS / SECOND },
     (_, number) => createTargetRequest(number),
   );
   const start = process.cpuUsage();
-  for (const [number, ask] of asks.entries()) {
+  for (const [number, placementRequest] of requests.entries()) {
     pair.timer.after(
       number * SECOND / rate,
-      () => pair.run(pair.services[0]!, { ask, lengthMs: ANSWER_MS }),
+      () =>
+        pair.run(pair.services[0]!, {
+          placementRequest,
+          durationMs: RESPONSE_MS,
+        }),
     );
   }
-  pair.timer.advance(MEASURED_MS + ANSWER_MS + SECOND);
+  pair.timer.advance(MEASURED_MS + RESPONSE_MS + SECOND);
   return {
     bytes: pair.network.sentBytes / MEASURED_MS * SECOND,
     processorMs: processorMsSince(start) / MEASURED_MS * SECOND,
   };
 }
 
-/** An entry host whose pools are all kept by another host. */
+/** An entry host and the host that coordinates its pools. */
 class PoolPair {
   readonly timer = new VirtualTimer();
   readonly network: MemoryNetwork;
-  /** Services whose keeper is the other host. */
+  /** Services whose coordinator is the other host. */
   readonly services: ServiceId[];
   readonly #client: PoolClient;
 
@@ -115,23 +119,26 @@
     timer.advance(SECOND);
   }
 
-  /** Takes one request from its ask to its end. */
+  /** Runs a request from its placement to its end. */
   run(
     service: ServiceId,
-    { ask, lengthMs }: { ask: PlacementRequest; lengthMs: Milliseconds },
+    { placementRequest, durationMs }: {
+      placementRequest: PlacementRequest;
+      durationMs: Milliseconds;
+    },
   ): void {
-    this.#client.submit(service, ask, {
+    this.#client.submit(service, placementRequest, {
       decide: (decision) => {
         if (decision.kind !== "grant") {
-          throw new Error(`A request was refused: ${decision.reason}`);
+          throw new Error(`Request was refused: ${decision.reason}`);
         }
-        const { request } = ask;
+        const { request } = placementRequest;
         const { upstream } = decision;
         this.timer.after(
           FIRST_TOKEN_MS,
           () => this.#client.recordFirstToken(service, request),
         );
-        this.timer.after(lengthMs, () =>
+        this.timer.after(durationMs, () =>
           this.#client.finish(service, {
             request,
             upstream,
@@ -155,11 +162,11 @@
     };
     const client: PoolClient = new PoolClient({
       ...shared,
-      localCoordinator: () => keeper,
+      localCoordinator: () => coordinator,
     });
-    const keeper = new PoolCoordinator({
+    const coordinator = new PoolCoordinator({
       ...shared,
-      reachableShare: FLEET_SHARE,
+      reachableShare: REACHABLE_SHARE,
       policyOf: () => createTargetPolicy(857, { accounts: TARGET.accounts }),
       createScheduler: (_service, policy) =>
         new PoolScheduler(policy, { random: new SeededRandom(2) }),
@@ -167,7 +174,7 @@
         client.applyLocalDecision(service, decision),
     });
     client.start();
-    keeper.start();
+    coordinator.start();
     return client;
   }
 }
--- a/packages/proof/src/slopeScheduler.ts
+++ b/packages/proof/src/slopeScheduler.ts
@@ -23,26 +23,25 @@
 
 const UPSTREAM_COUNTS = [16, 100, 857, 3_000, 12_000];
 const ACCOUNT_COUNTS = [100, 400, 1_100];
-const WAITING_COUNTS = [1_000, 2_000, 4_000];
+const QUEUED_COUNTS = [1_000, 2_000, 4_000];
 const RUNNING_COUNTS = [1_000, 2_000, 4_000];
 const GENERATIONS = 3;
 const TIERS = [1, 2, 3, 4];
-/** Requests that run at each upstream while decisions are timed. */
+/** Running requests per upstream while decisions are timed. */
 const RUNNING_PER_UPSTREAM = 2;
 const TIMED_DECISIONS = 2_000;
 const TIMED_ROUNDS = 4;
-/** A prompt of 4 KiB, hence 16 digests. */
+/** Prompt size that results in 16 prefix digests. */
 const PROMPT_BYTES = 4_096;
-const MICROSECONDS = 1_000;
-/** 1,000 requests a second, each for a tenth of a second. */
-const ARRIVAL_MS = 1;
-const RUNNING_AT_ONCE = 100;
-/** The first token of a request comes when so many came after it. */
-const PREFILLING = 20;
+const MICROSECONDS_PER_MS = 1_000;
+const ARRIVAL_INTERVAL_MS = 1;
+const MAX_RUNNING_REQUESTS = 100;
+/** Number of later grants after which a request gets its first token. */
+const PREFILLING_REQUESTS = 20;
 const ARRIVALS_PER_TICK = 50;
 const HOUR_MS = 3_600_000;
 
-/** A pool of the target's shape with so many upstreams. */
+/** Creates a pool policy of the target deployment with the given upstreams. */
 export function createTargetPolicy(
   upstreams: number,
   { accounts = 0, ...rest }:
@@ -78,7 +77,7 @@
   };
 }
 
-/** A request of the target's shape; its strings are its own, as on arrival. */
+/** Creates a placement request of the target with unshared strings. */
 export function createTargetRequest(
   number: number,
   { accounts = TARGET.accounts, origin = "entry-1" }: {
@@ -107,15 +106,15 @@
   return asId<ClientAccountId>(`client-account-${index}`);
 }
 
-/** Heap of a scheduler by its upstreams. */
+/** Measures the heap of a scheduler by the number of upstreams. */
 export function measureUpstreamMemory(): SlopePoint[] {
   return UPSTREAM_COUNTS.map((count) => {
     const policy = createTargetPolicy(count);
-    return [count, retainedBytes(() => schedulerOf(policy))];
+    return [count, retainedBytes(() => createScheduler(policy))];
   });
 }
 
-/** Heap of a scheduler by client accounts that each sent a request. */
+/** Measures the heap of a scheduler by the number of active client accounts. */
 export function measureAccountMemory(): SlopePoint[] {
   return ACCOUNT_COUNTS.map((count) => {
     const policy = createTargetPolicy(16, {
@@ -126,20 +125,20 @@
     return [
       count,
       retainedBytes(() => {
-        const scheduler = schedulerOf(policy);
-        serve(scheduler, asksFrom(0, count, { accounts: count }));
+        const scheduler = createScheduler(policy);
+        runRequests(scheduler, createRequests(0, count, { accounts: count }));
         return scheduler;
       }),
     ];
   });
 }
 
-/** Heap of a scheduler by requests that wait. */
+/** Measures the heap of a scheduler by the number of queued requests. */
 export function measureQueueMemory(): SlopePoint[] {
-  return WAITING_COUNTS.map((count) => [
+  return QUEUED_COUNTS.map((count) => [
     count,
     retainedBytes(() => {
-      const scheduler = schedulerOf(
+      const scheduler = createScheduler(
         createTargetPolicy(1, { initialConcurrency: 1, maximumConcurrency: 1 }),
       );
       for (let number = 0; number <= count; number++) {
@@ -150,53 +149,53 @@
   ]);
 }
 
-/** Heap of a scheduler by requests that run. */
+/** Measures the heap of a scheduler by the number of running requests. */
 export function measureRunningMemory(): SlopePoint[] {
   return RUNNING_COUNTS.map((count) => [
     count,
     retainedBytes(() => {
-      const scheduler = schedulerOf(createTargetPolicy(857));
-      start(scheduler, { from: 0, count });
+      const scheduler = createScheduler(createTargetPolicy(857));
+      startRequests(scheduler, { from: 0, count });
       return scheduler;
     }),
   ]);
 }
 
-/** Processor time of one request at the keeper: ask, grant, first token, end. */
+/** Measures the scheduling time over a request's lifecycle by pool size. */
 export function measureDecisionTime(): SlopePoint[] {
   return UPSTREAM_COUNTS.map((count) => {
-    const scheduler = schedulerOf(
+    const scheduler = createScheduler(
       createTargetPolicy(count, { accounts: TARGET.accounts }),
     );
     const running = RUNNING_PER_UPSTREAM * count;
-    start(scheduler, { from: 0, count: running });
+    startRequests(scheduler, { from: 0, count: running });
     const rounds = Array.from(
       { length: TIMED_ROUNDS },
       (_, round) =>
-        asksFrom(running + round * TIMED_DECISIONS, TIMED_DECISIONS),
+        createRequests(running + round * TIMED_DECISIONS, TIMED_DECISIONS),
     );
     let now = 0;
-    const least = minimumProcessorMs(() => {
-      now = serve(scheduler, rounds.pop()!, { from: now });
+    const minimumMs = minimumProcessorMs(() => {
+      now = runRequests(scheduler, rounds.pop()!, { from: now });
     }, { rounds: TIMED_ROUNDS });
-    return [count, least / TIMED_DECISIONS * MICROSECONDS];
+    return [count, minimumMs / TIMED_DECISIONS * MICROSECONDS_PER_MS];
   });
 }
 
-/** Processor time of a new policy at the keeper, by upstreams of the pool. */
+/** Measures the processor time of a policy update by pool size. */
 export function measurePolicyTime(): SlopePoint[] {
   return UPSTREAM_COUNTS.map((count) => {
-    const scheduler = schedulerOf(createTargetPolicy(count));
+    const scheduler = createScheduler(createTargetPolicy(count));
     const next = createTargetPolicy(count);
     return [count, minimumProcessorMs(() => void scheduler.setPolicy(next, 1))];
   });
 }
 
-function schedulerOf(policy: PoolPolicy): PoolScheduler {
+function createScheduler(policy: PoolPolicy): PoolScheduler {
   return new PoolScheduler(policy, { random: new SeededRandom(1) });
 }
 
-function asksFrom(
+function createRequests(
   from: number,
   count: number,
   options: { accounts?: number } = {},
@@ -207,50 +206,50 @@
   );
 }
 
-/** Starts requests that stay, each past its first token. */
-function start(
+/** Starts requests that keep running after their first token. */
+function startRequests(
   scheduler: PoolScheduler,
   { from, count }: { from: number; count: number },
 ): void {
-  for (const ask of asksFrom(from, count)) {
-    scheduler.submit(ask, 0);
-    scheduler.recordFirstToken(ask.request, 0);
+  for (const request of createRequests(from, count)) {
+    scheduler.submit(request, 0);
+    scheduler.recordFirstToken(request.request, 0);
   }
 }
 
 /**
- * Runs requests from their ask to their end, some at once, and gives the time of
- * the last end. A scheduler may let one wait; what waits at the end is withdrawn.
+ * Runs requests to their end and returns the time of the last one. Requests
+ * that are still queued then are withdrawn.
  */
-function serve(
+function runRequests(
   scheduler: PoolScheduler,
-  asks: readonly PlacementRequest[],
+  requests: readonly PlacementRequest[],
   { from = 0 }: { from?: Milliseconds } = {},
 ): Milliseconds {
   let now = from;
   const running: Grant[] = [];
   const endOldest = (): void => {
-    const { placementRequest: ask, upstream } = running.shift()!;
-    const { request } = ask;
+    const { placementRequest, upstream } = running.shift()!;
+    const { request } = placementRequest;
     const outcome = "whole";
     running.push(...grantsOf(
       scheduler.finish({ request, upstream, outcome, outputTokens: 200 }, now),
     ));
   };
-  for (const [index, ask] of asks.entries()) {
-    now += ARRIVAL_MS;
-    const due = { ...ask, deadline: now + HOUR_MS };
-    running.push(...grantsOf(scheduler.submit(due, now)));
-    const youngest = running.at(-PREFILLING);
-    if (youngest !== undefined) {
-      scheduler.recordFirstToken(youngest.placementRequest.request, now);
+  for (const [index, request] of requests.entries()) {
+    now += ARRIVAL_INTERVAL_MS;
+    const placementRequest = { ...request, deadline: now + HOUR_MS };
+    running.push(...grantsOf(scheduler.submit(placementRequest, now)));
+    const prefilled = running.at(-PREFILLING_REQUESTS);
+    if (prefilled !== undefined) {
+      scheduler.recordFirstToken(prefilled.placementRequest.request, now);
     }
-    if (running.length > RUNNING_AT_ONCE) endOldest();
+    if (running.length > MAX_RUNNING_REQUESTS) endOldest();
     if (index % ARRIVALS_PER_TICK !== 0) continue;
     running.push(...grantsOf(scheduler.tick(now)));
   }
   while (running.length > 0) endOldest();
-  for (const { request } of asks) scheduler.withdraw(request, now);
+  for (const { request } of requests) scheduler.withdraw(request, now);
   return now;
 }
 
@@ -259,6 +258,6 @@
 function grantsOf(decisions: readonly Decision[]): Grant[] {
   return decisions.map((decision) => {
     if (decision.kind === "grant") return decision;
-    throw new Error(`A request was refused: ${JSON.stringify(decision)}`);
+    throw new Error(`Request was refused: ${JSON.stringify(decision)}`);
   });
 }
--- a/packages/proof/src/slopeStream.ts
+++ b/packages/proof/src/slopeStream.ts
@@ -15,20 +15,20 @@
 const SETTLE_MS = 2_500;
 const MEASURED_MS = 4_000;
 const SECOND = 1_000;
-/** The kernel's clock ticks a second in /proc; 100 on every Linux of ours. */
+/** Clock ticks per second in /proc. */
 const TICKS_PER_SECOND = 100;
 const BYTES_PER_MIB = 1024 * 1024;
-const TOKEN_MARK = "data: ";
+const EVENT_PREFIX = "data: ";
 
-/** What open streams cost one entry process. */
+/** Costs of open streams for one entry process. */
 export interface StreamCosts {
-  /** Resident bytes by open streams. */
+  /** Resident set size by the number of open streams. */
   readonly residentBytes: SlopePoint[];
-  /** Processor milliseconds a second by relayed tokens a second. */
+  /** Processor milliseconds per second by relayed tokens per second. */
   readonly processorMs: SlopePoint[];
 }
 
-/** Holds streams open through one entry process and reads what the kernel charges it. */
+/** Measures the memory and processor time of an entry process by streams. */
 export async function measureStreams(): Promise<StreamCosts> {
   const upstream = await startProgram("./slopeUpstreamMain.js");
   const entry = await startBenchEntry(loopbackUrl(upstream.announcement.port), {
@@ -42,7 +42,7 @@
   const processorMs: SlopePoint[] = [];
   try {
     for (const count of STREAM_COUNTS) {
-      load.openUpTo(count);
+      load.openStreams(count);
       await sleep(SETTLE_MS);
       const before = { ticks: await processorTicks(pid), tokens: load.tokens };
       const startedAt = performance.now();
@@ -55,10 +55,10 @@
         ticks / TICKS_PER_SECOND * SECOND / seconds,
       ]);
       residentBytes.push([count, await residentMib(pid) * BYTES_PER_MIB]);
-      load.check();
+      load.checkOpen();
     }
   } finally {
-    load.end();
+    load.stop();
     await Promise.all(
       [upstream, entry.program].map(({ child }) => endProgram(child)),
     );
@@ -67,50 +67,50 @@
   return { residentBytes, processorMs };
 }
 
-/** Callers that read their streams without end. */
+/** Callers that read endless streams. */
 class StreamLoad {
   tokens = 0;
   readonly #url: string;
   readonly #agent = new Agent({ connections: 2_048, pipelining: 1 });
-  readonly #ending = new AbortController();
+  readonly #abortController = new AbortController();
   #opened = 0;
   #failure: unknown;
 
   constructor(url: string) {
     this.#url = url;
-    setMaxListeners(0, this.#ending.signal);
+    setMaxListeners(0, this.#abortController.signal);
   }
 
-  openUpTo(count: number): void {
+  openStreams(count: number): void {
     for (; this.#opened < count; this.#opened++) void this.#read();
   }
 
-  /** A stream that ended early would make the figures too good. */
-  check(): void {
+  /** Throws if a stream ended early, which would distort the measurement. */
+  checkOpen(): void {
     if (this.#failure !== undefined) throw this.#failure;
   }
 
-  end(): void {
-    this.#ending.abort();
+  stop(): void {
+    this.#abortController.abort();
     void this.#agent.destroy();
   }
 
   async #read(): Promise<void> {
     try {
-      const answer = await this.#agent.request({
+      const response = await this.#agent.request({
         origin: this.#url,
         ...createBenchRequest({ stream: true, tokens: 4_096 }),
-        signal: this.#ending.signal,
+        signal: this.#abortController.signal,
       });
       let last = "";
-      for await (const bytes of answer.body) {
+      for await (const bytes of response.body) {
         last = (bytes as Buffer).toString("latin1");
-        this.tokens += last.split(TOKEN_MARK).length - 1;
+        this.tokens += last.split(EVENT_PREFIX).length - 1;
       }
-      const { statusCode } = answer;
-      throw new Error(`A stream ended with status ${statusCode}: ${last}`);
+      const { statusCode } = response;
+      throw new Error(`Stream ended early with status ${statusCode}: ${last}`);
     } catch (error) {
-      if (!this.#ending.signal.aborted) this.#failure ??= error;
+      if (!this.#abortController.signal.aborted) this.#failure ??= error;
     }
   }
 }
--- a/packages/proof/src/slopeTarget.ts
+++ b/packages/proof/src/slopeTarget.ts
@@ -1,4 +1,4 @@
-/** The users' target in two years, and what follows from it by division. */
+/** Target deployment for capacity planning. */
 export const TARGET = {
   hosts: 350,
   upstreams: 12_000,
@@ -14,28 +14,28 @@
   replacementsPerDay: 2_100,
   firstTokenMs: 1_800,
   tokenGapMs: 40,
-  /** 3.9 % of a core. */
+  /** Budget of the control plane per host. */
   controlMsPerSecond: 39,
   controlBytesPerSecond: 3_000,
   controlMemoryBytes: 128 * 1024 * 1024,
-  /** Largest value of the platform. */
+  /** Maximum size of a platform value. */
   platformValueBytes: 1024 * 1024,
 } as const;
 
 const SECONDS_PER_DAY = 86_400;
 const MILLISECONDS = 1_000;
 
-/** Requests that one host takes in a second. */
+/** Requests per second and host. */
 export const REQUESTS_PER_HOST: number = TARGET.requestsPerSecond /
   TARGET.hosts;
-/** Tokens that one host relays in a second. */
+/** Relayed tokens per second and host. */
 export const TOKENS_PER_HOST: number = TARGET.tokensPerSecond / TARGET.hosts;
-/** Streams open at one host, each with a token every 40 ms. */
+/** Open streams per host. */
 export const STREAMS_PER_HOST: number = TOKENS_PER_HOST * TARGET.tokenGapMs /
   MILLISECONDS;
-/** Changes of configuration in a second, on average over a day. */
+/** Mean configuration changes per second. */
 export const CHANGES_PER_SECOND: number = TARGET.changesPerDay /
   SECONDS_PER_DAY;
-/** Hosts that end or start in a second, on average over a day. */
+/** Mean host deaths and replacements per second. */
 export const MEMBER_CHANGES_PER_SECOND: number =
   (TARGET.deathsPerDay + TARGET.replacementsPerDay) / SECONDS_PER_DAY;
--- a/packages/proof/src/slopeUpstreamMain.ts
+++ b/packages/proof/src/slopeUpstreamMain.ts
@@ -2,11 +2,11 @@
 import type { AddressInfo } from "node:net";
 import process from "node:process";
 
-/** An upstream that streams at the target's pace, one token in each chunk. */
-const TOKEN_GAP_MS = 40;
+/** Upstream that streams one token per chunk at the target's rate. */
+const TOKEN_INTERVAL_MS = 40;
 const NONCE_HEADER = "x-request-nonce";
 
-function answerStream(nonce: string, outgoing: ServerResponse): void {
+function sendStream(nonce: string, outgoing: ServerResponse): void {
   outgoing.writeHead(200, {
     "content-type": "text/event-stream",
     [NONCE_HEADER]: nonce,
@@ -23,8 +23,8 @@
       choices,
     })
   }\n\n`;
-  const sending = setInterval(() => outgoing.write(token), TOKEN_GAP_MS);
-  outgoing.once("close", () => clearInterval(sending));
+  const interval = setInterval(() => outgoing.write(token), TOKEN_INTERVAL_MS);
+  outgoing.once("close", () => clearInterval(interval));
 }
 
 const server = createServer((incoming, outgoing) => {
@@ -34,7 +34,7 @@
     outgoing.writeHead(404).end();
     return;
   }
-  incoming.resume().once("end", () => answerStream(nonce, outgoing));
+  incoming.resume().once("end", () => sendStream(nonce, outgoing));
 });
 server.listen(0, "127.0.0.1", () => {
   const { port } = server.address() as AddressInfo;
--- a/packages/proof/src/slopeViews.ts
+++ b/packages/proof/src/slopeViews.ts
@@ -21,14 +21,14 @@
 const MEASURED_MS: Milliseconds = 3_000;
 const SECOND = 1_000;
 
-/** What view leases cost each second, for each host that takes part. */
+/** Cost of view leases per lease holder and second. */
 export interface ViewCost {
   readonly messages: number;
   readonly bytes: number;
   readonly processorMs: number;
 }
 
-/** View leases of a fleet of `size` hosts under one list, in virtual time. */
+/** Measures the view leases of a fleet of `size` hosts in virtual time. */
 export function measureViews(size: number): ViewCost {
   const timer = new VirtualTimer();
   const network = new MemoryNetwork({ timer, random: new SeededRandom(size) });
--- a/packages/proof/src/slopes.ts
+++ b/packages/proof/src/slopes.ts
@@ -5,19 +5,19 @@
 const MILLISECONDS = 1_000;
 const GROUPS = [...FLEET_GROUPS, ...HOST_GROUPS];
 
-/** Every slope that the tool measures. */
+/** Definitions of all measured slopes. */
 export const SLOPES: readonly SlopeDefinition[] = GROUPS.flatMap((
   { definitions },
 ) => definitions);
 
 /** Options of {@link measureSlopes}. */
 export interface SlopesOptions {
-  /** Measures only groups with a slope whose name starts so. */
+  /** Measures only groups with a slope name of this prefix. */
   readonly prefix?: string;
   readonly onGroup?: (names: readonly string[], seconds: number) => void;
 }
 
-/** Measures the slopes, one group after the other. */
+/** Measures the slopes group by group. */
 export async function measureSlopes(
   { prefix = "", onGroup }: SlopesOptions = {},
 ): Promise<Slope[]> {
--- a/packages/proof/src/slopesMain.ts
+++ b/packages/proof/src/slopesMain.ts
@@ -3,10 +3,10 @@
 import type { Slope } from "./slope.ts";
 import { measureSlopes } from "./slopes.ts";
 
-function lineOf(
+function formatSlope(
   { name, fit, r2, atTarget, budget, holds, unit }: Slope,
 ): string {
-  const verdict = holds === null ? "" : holds ? "holds" : "DOES NOT HOLD";
+  const budgetStatus = holds === null ? "" : holds ? "holds" : "DOES NOT HOLD";
   const columns = [
     name.padEnd(30),
     String(fit.slope).padStart(12),
@@ -14,25 +14,29 @@
     String(atTarget).padStart(12),
     String(budget ?? "-").padStart(12),
   ];
-  return `${columns.join(" ")}  ${unit} ${verdict}\n`;
+  return `${columns.join(" ")}  ${unit} ${budgetStatus}\n`;
 }
 
 const program = cac("slopes");
 program.option("--json", "Print one JSON object");
-program.option("--only <prefix>", "Measure only slopes whose name starts so");
-program.command("", "Measure what grows with the size of a deployment").action(
-  async ({ json, only }: { json?: boolean; only?: string }) => {
-    const slopes = await measureSlopes({
-      prefix: only,
-      onGroup: ([first], seconds) =>
-        process.stderr.write(
-          `${first} and its group: ${seconds.toFixed(1)} s\n`,
-        ),
-    });
-    if (json) process.stdout.write(`${JSON.stringify({ slopes })}\n`);
-    else for (const slope of slopes) process.stdout.write(lineOf(slope));
-  },
+program.option(
+  "--only <prefix>",
+  "Measure only groups with a slope name of this prefix",
 );
+program.command("", "Measure how costs grow with the size of a deployment")
+  .action(
+    async ({ json, only }: { json?: boolean; only?: string }) => {
+      const slopes = await measureSlopes({
+        prefix: only,
+        onGroup: ([first], seconds) =>
+          process.stderr.write(
+            `Group of ${first}: ${seconds.toFixed(1)} s\n`,
+          ),
+      });
+      if (json) process.stdout.write(`${JSON.stringify({ slopes })}\n`);
+      else for (const slope of slopes) process.stdout.write(formatSlope(slope));
+    },
+  );
 program.help();
 program.parse(process.argv, { run: false });
 await program.runMatchedCommand();
--- a/packages/proof/tests/capacity.test.ts
+++ b/packages/proof/tests/capacity.test.ts
@@ -9,14 +9,14 @@
 const NAMES = SLOPES.map(({ name }) => name);
 const SLOPE_NAME = /`([a-z]+(?:-[a-z]+)+)`/g;
 
-test("every slope that the page names is measured, and the page names all", (t) => {
+test("the capacity page names exactly the measured slopes", (t) => {
   const named = [...readCapacityPage().matchAll(SLOPE_NAME)].map(([, name]) =>
     name
   );
   t.deepEqual([...new Set(named)].sort(), [...NAMES].sort());
 });
 
-test("the figures of the page come from one run of all slopes", (t) => {
+test("the capacity page is generated from a single run of all slopes", (t) => {
   const measured = readSlopes().map(({ name }) => name);
   t.deepEqual(measured, NAMES);
   t.is(
@@ -26,7 +26,7 @@
   );
 });
 
-/** The formatter pads the cells of tables. */
+/** Removes the cell padding that the formatter adds to tables. */
 function withoutPadding(text: string): string {
   return text.replaceAll(/ +/g, " ").replaceAll(/-{2,}/g, "--");
 }
--- a/packages/proof/tests/drawnSchedules.test.ts
+++ b/packages/proof/tests/drawnSchedules.test.ts
@@ -2,9 +2,8 @@
 import { type FaultScenario, runScenario } from "@wasabivane/proof";
 import test from "ava";
 
-// Schedules that broke a promise once, as they were drawn. Those that still do
-// are named in KNOWN-RED.txt with their cause; the run passes over just these,
-// prints them, and fails when one of them no longer breaks anything.
+// Regression schedules that once violated an invariant. Those listed in
+// KNOWN-RED.txt are expected to fail; the run fails if one of them passes.
 
 const SCHEDULES = JSON.parse(
   readFileSync(
@@ -18,10 +17,13 @@
   : "";
 
 for (const schedule of SCHEDULES) {
-  const isRed = KNOWN_RED.includes(`schedule ${schedule.name} `);
-  const run = isRed ? test.failing : test;
-  run(`schedule ${schedule.name}${isRed ? " (KNOWN-RED)" : ""}`, async (t) => {
-    const { verdict } = await runScenario(schedule);
-    t.deepEqual(verdict.findings, []);
-  });
+  const isKnownRed = KNOWN_RED.includes(`schedule ${schedule.name} `);
+  const run = isKnownRed ? test.failing : test;
+  run(
+    `schedule ${schedule.name}${isKnownRed ? " (KNOWN-RED)" : ""}`,
+    async (t) => {
+      const { verdict } = await runScenario(schedule);
+      t.deepEqual(verdict.findings, []);
+    },
+  );
 }
--- a/packages/proof/tests/experiment.test.ts
+++ b/packages/proof/tests/experiment.test.ts
@@ -7,14 +7,17 @@
 } from "@wasabivane/proof";
 
 const SEED = 11;
-/** Those with faults; the others are cheap to run by hand and take long in CI. */
+/** Patterns with faults; the others take long in CI. */
 const PATTERNS_WITH_FAULTS: readonly LoadPattern[] = [
   "upstream-loss",
   "leaving",
   "mixed",
 ];
 
-function runOne(pattern: LoadPattern, deployment: Deployment): PolicyResult {
+function runPattern(
+  pattern: LoadPattern,
+  deployment: Deployment,
+): PolicyResult {
   const { result } = runExperiment({
     pattern,
     deployment,
@@ -25,8 +28,8 @@
 }
 
 for (const pattern of PATTERNS_WITH_FAULTS) {
-  test(`${pattern}: what must always hold, holds`, (t) => {
-    const result = runOne(pattern, "fukuoka");
+  test(`${pattern}: no invariant is violated`, (t) => {
+    const result = runPattern(pattern, "fukuoka");
     t.is(result.doubleDispatches, 0);
     t.is(result.crossedAnswers, 0);
     t.is(result.falseNotRun, 0);
@@ -35,14 +38,11 @@
   });
 }
 
-// Callers see a refusal marked `convicted` for the one request whose upstreams
-// died, and answers to all others. The killer crashes its engine at its first
-// token and is sent again each two seconds. Without suspicion it takes an
-// upstream each time; held apart from other suspects, its second loss convicts it.
-test("one killer sent twenty times costs two upstreams", (t) => {
-  t.true(runOne("poison", "fukuoka").upstreamsLost <= 2);
+// Guards against a poison request that crashes an upstream with every resend.
+test("a poison request sent twenty times crashes at most two upstreams", (t) => {
+  t.true(runPattern("poison", "fukuoka").upstreamsLost <= 2);
 });
 
-test("the same seed gives the same result", (t) => {
-  t.deepEqual(runOne("poison", "cairo"), runOne("poison", "cairo"));
+test("the result is deterministic for a seed", (t) => {
+  t.deepEqual(runPattern("poison", "cairo"), runPattern("poison", "cairo"));
 });
--- a/packages/proof/tests/experimentLoad.test.ts
+++ b/packages/proof/tests/experimentLoad.test.ts
@@ -15,12 +15,10 @@
     .result;
 }
 
-// Callers send half as much again as the fleet can carry for ten seconds, or one
-// account sends half of all requests, or three engines turn six times slower, or
-// a tenth of the prompts is twenty times longer. What they receive must be no
-// worse than from the customary proxy, and the top tier near what is possible.
+// Guards against lower goodput than least-outstanding balancing under bursts,
+// slow engines and long prompts, and against a top tier far below its bound.
 for (const pattern of ["burst", "slow-upstream", "long-among-short"] as const) {
-  test(`${pattern}: callers get more than from the customary proxy`, (t) => {
+  test(`${pattern}: goodput is at least that of least-outstanding balancing`, (t) => {
     const { policies, bound } = run(pattern, [
       "leastOutstanding",
       "wasabivane",
@@ -36,10 +34,9 @@
   });
 }
 
-// Callers send twice what the fleet can carry. Without order the urgent wait
-// behind the rest and all answers come late; here the lower tiers are refused,
-// with the reason, and the top tier hardly notices.
-test("overload: the top tier keeps what the bound keeps", (t) => {
+// Guards against a top tier that is queued behind lower tiers when the load is
+// twice the fleet's capacity.
+test("overload: the goodput of the top tier stays close to its bound", (t) => {
   const { policies, bound } = run("overload", ["wasabivane"]);
   const result = policies.wasabivane!;
   t.true(result.goodputByTier[1]! >= 0.97 * bound.goodputByTier[1]!);
@@ -48,7 +45,7 @@
   t.is(result.refusedByReason["not answered in time"] ?? 0, 0);
 });
 
-test("the bound is never exceeded in the top tier", (t) => {
+test("goodput does not exceed the bound", (t) => {
   const { policies, bound } = run("hot-account", ["wasabivane"]);
   const { goodputByTier, weightedGoodput } = policies.wasabivane!;
   t.true(goodputByTier[1]! <= bound.goodputByTier[1]!);
--- a/packages/proof/tests/modelCheck.test.ts
+++ b/packages/proof/tests/modelCheck.test.ts
@@ -20,20 +20,20 @@
   }
 }
 
-class HomeWithoutTenure extends KeyTable {
+class KeyTableWithoutTenure extends KeyTable {
   protected override isOlderThanTenure(): boolean {
     return false;
   }
 }
 
-class HomeWithoutExpiry extends KeyTable {
+class KeyTableWithoutExpiry extends KeyTable {
   protected override isPastLifetime(): boolean {
     return false;
   }
 }
 
 for (const [name, scope] of Object.entries(SMALL_SCOPES)) {
-  test(`${name}: no order of events breaks a promise`, (t) => {
+  test(`${name}: no interleaving violates an invariant`, (t) => {
     const { states, isComplete, violation } = checkModel(scope);
     t.log(`${states} states`);
     t.is(violation, undefined);
@@ -41,40 +41,44 @@
   });
 }
 
-const weakened: readonly {
+const WEAKENED_SCOPES: readonly {
   safeguard: string;
   scope: ModelScopeName;
-  machines: Partial<ModelComponents>;
+  components: Partial<ModelComponents>;
 }[] = [
   {
     safeguard: "the wait for former leases",
     scope: "viewChange",
-    machines: { createLease: (options) => new LeaseWithoutWait(options) },
+    components: { createLease: (options) => new LeaseWithoutWait(options) },
   },
   {
     safeguard: "the wait after a restart",
     scope: "granterRestart",
-    machines: {
+    components: {
       createLease: (options) => new LeaseWithoutRestartWait(options),
     },
   },
   {
     safeguard: "the start of a tenure",
     scope: "homeChange",
-    machines: { createKeyTable: (options) => new HomeWithoutTenure(options) },
+    components: {
+      createKeyTable: (options) => new KeyTableWithoutTenure(options),
+    },
   },
   {
     safeguard: "the expiry of keys",
     scope: "keyExpiry",
-    machines: { createKeyTable: (options) => new HomeWithoutExpiry(options) },
+    components: {
+      createKeyTable: (options) => new KeyTableWithoutExpiry(options),
+    },
   },
 ];
 
-for (const { safeguard, scope, machines } of weakened) {
-  test(`without ${safeguard} a broken promise is found`, (t) => {
+for (const { safeguard, scope, components } of WEAKENED_SCOPES) {
+  test(`a violation is found without ${safeguard}`, (t) => {
     const { violation } = checkModel({
       ...SMALL_SCOPES[scope],
-      components: { ...PRODUCTION_COMPONENTS, ...machines },
+      components: { ...PRODUCTION_COMPONENTS, ...components },
     });
     t.truthy(violation);
     t.log(violation!.what, violation!.trace);
--- a/packages/proof/tests/registerCheck.test.ts
+++ b/packages/proof/tests/registerCheck.test.ts
@@ -7,13 +7,13 @@
 
 test("no run of the register chooses two values", (t) => {
   for (
-    const attempts of [
+    const bounds of [
       { holderProposals: 1, copyProposals: 1 },
       { holderProposals: 0, copyProposals: 2 },
     ]
   ) {
-    const report = checkRegister(attempts);
-    t.log(JSON.stringify({ ...attempts, ...report }));
+    const report = checkRegister(bounds);
+    t.log(JSON.stringify({ ...bounds, ...report }));
     t.true(report.isComplete);
     t.is(report.violation, undefined);
     t.true(report.dispatched > 0);
@@ -21,9 +21,9 @@
   }
 });
 
-test("without promises a paused holder dispatches what a copy has moved on", (t) => {
-  // The safeguard is off: members forget what they promised. The copy gets its
-  // move chosen, then the holder's late request is accepted by a majority, too.
+test("a violation is found if members forget their promises", (t) => {
+  // The replica's move is chosen, then a majority accepts the holder's late
+  // dispatch.
   const report = checkRegister({
     rules: {
       ...REGISTER_RULES,
@@ -34,25 +34,25 @@
   t.truthy(report.violation);
 });
 
-test("a copy that ignores accepted values moves a job that may run", (t) => {
-  // The safeguard is off: the copy proposes its own wish although a member told
-  // it of an accepted dispatch. The holder heard the majority; both go ahead.
+test("a violation is found if a proposer ignores accepted values", (t) => {
+  // The replica proposes its move although a member reported an accepted
+  // dispatch.
   const report = checkRegister({
     rules: {
       ...REGISTER_RULES,
-      applyReply: (attempt, { from, reply }) => {
+      applyReply: (proposal, { from, reply }) => {
         if (reply.kind !== "promised") {
-          return applyRegisterReply(attempt, { from, reply });
+          return applyRegisterReply(proposal, { from, reply });
         }
-        const { accepted: _accepted, ...blank } = reply;
-        return applyRegisterReply(attempt, { from, reply: blank });
+        const { accepted: _accepted, ...stripped } = reply;
+        return applyRegisterReply(proposal, { from, reply: stripped });
       },
     },
   });
   t.truthy(report.violation);
 });
 
-test("a holder that uses its own round twice can dispatch and move one job", (t) => {
+test("a violation is found if the holder uses its own round twice", (t) => {
   const rules = { ...REGISTER_RULES, canRepeatHolderRound: true };
   t.truthy(checkRegister({ rules }).violation);
 });
--- a/packages/proof/tests/safeguards.test.ts
+++ b/packages/proof/tests/safeguards.test.ts
@@ -19,18 +19,17 @@
 import { RESEND_TO_ANOTHER_HOST_WHILE_FIRST_RUNS } from "../scenarios/resendToAnotherHostWhileFirstRuns.ts";
 import { UPSTREAM_LEAVING } from "../scenarios/upstreamLeaving.ts";
 
-// Each test takes one safeguard away and runs a scenario that is sound with it.
-// What a caller would then suffer must be found by the judge; otherwise the
-// zeros that the fault schedules report would say nothing.
+// Guards against a checker that misses violations: each test disables one
+// safeguard and expects the checker to report the resulting violation.
 
-test.serial("without the nonce check a caller gets another's answer", async (t) => {
-  const verdict = await judged(MISROUTED_RESPONSES, {
+test.serial("without the nonce check a response of another request is passed on", async (t) => {
+  const verdict = await runAndCheck(MISROUTED_RESPONSES, {
     shouldCheckNonce: false,
   });
   t.true(verdict.crossed > 0);
 });
 
-test.serial("without the claim of keys a save runs twice", async (t) => {
+test.serial("without key claims a save runs twice", async (t) => {
   const claim = KeyService.prototype.claim;
   KeyService.prototype.claim = ({ account, key, request }) =>
     Promise.resolve({
@@ -46,31 +45,34 @@
     });
   const { markDispatched } = KeyService.prototype;
   KeyService.prototype.markDispatched = () => true;
-  const verdict = await judged(RESEND_TO_ANOTHER_HOST_WHILE_FIRST_RUNS);
+  const verdict = await runAndCheck(RESEND_TO_ANOTHER_HOST_WHILE_FIRST_RUNS);
   Object.assign(KeyService.prototype, { claim, markDispatched });
   t.true(verdict.doubleRuns > 0);
 });
 
-test.serial("without the record at the copies a job runs on both sides of a cut", async (t) => {
+test.serial("without the dispatch record at the copies a job runs on both sides of a partition", async (t) => {
   const { recordDispatch } = JobController.prototype;
   JobController.prototype.recordDispatch = () => Promise.resolve(ok(undefined));
-  const verdict = await judged(JOB_HOLDER_CUT_FROM_COPIES);
+  const verdict = await runAndCheck(JOB_HOLDER_CUT_FROM_COPIES);
   JobController.prototype.recordDispatch = recordDispatch;
   t.true(verdict.doubleRuns > 0);
 });
 
-test.serial("without word of leaving upstreams they get new work", async (t) => {
-  const verdict = await judged(UPSTREAM_LEAVING, {
+test.serial("without their leaving state leaving upstreams get new requests", async (t) => {
+  const verdict = await runAndCheck(UPSTREAM_LEAVING, {
     overrideOptions: (options) => ({
       ...options,
-      hostListSource: deafToLeaving(options.hostListSource),
+      hostListSource: withoutLeavingState(options.hostListSource),
     }),
   });
   t.true(verdict.newWorkToLeavingAfterGrace > 0);
 });
 
-test("the judge finds each broken promise that no safeguard test reaches", (t) => {
-  const verdict = checkScenario(HAND_WRITTEN, handWrittenJournal());
+test("the checker reports the violations that no safeguard test covers", (t) => {
+  const verdict = checkScenario(
+    HANDWRITTEN_SCENARIO,
+    createHandwrittenJournal(),
+  );
   t.like(verdict, {
     cut: 1,
     falseNotRun: 1,
@@ -80,33 +82,33 @@
   });
 });
 
-test("a scenario with every safeguard breaks no promise", async (t) => {
-  const verdict = await judged(MISROUTED_RESPONSES);
-  t.deepEqual(brokenOf(verdict), brokenOf(emptyVerdict()));
+test("a scenario with all safeguards has no violation", async (t) => {
+  const verdict = await runAndCheck(MISROUTED_RESPONSES);
+  t.deepEqual(violationsOf(verdict), violationsOf(emptyVerdict()));
 });
 
-async function judged(
+async function runAndCheck(
   scenario: FaultScenario,
   safeguards: Safeguards = {},
 ): Promise<ScenarioVerdict> {
   return (await runScenario(scenario, safeguards)).verdict;
 }
 
-function brokenOf(verdict: ScenarioVerdict): Partial<InvariantViolations> {
+function violationsOf(verdict: ScenarioVerdict): Partial<InvariantViolations> {
   return Object.fromEntries(
-    INVARIANTS.map((promise) => [promise, verdict[promise]]),
+    INVARIANTS.map((invariant) => [invariant, verdict[invariant]]),
   );
 }
 
-function deafToLeaving(source: HostListSource): HostListSource {
+function withoutLeavingState(source: HostListSource): HostListSource {
   return {
     read: async (options) =>
-      (await source.read(options)).map((answer) =>
-        answer && {
-          ...answer,
+      (await source.read(options)).map((read) =>
+        read && {
+          ...read,
           value: {
-            ...answer.value,
-            upstreams: answer.value.upstreams.map((upstream) => ({
+            ...read.value,
+            upstreams: read.value.upstreams.map((upstream) => ({
               ...upstream,
               state: "live" as const,
             })),
@@ -116,7 +118,7 @@
   };
 }
 
-const HAND_WRITTEN: FaultScenario = {
+const HANDWRITTEN_SCENARIO: FaultScenario = {
   name: "handWritten",
   requests: {
     "cut": { kind: "draft", tier: 1 },
@@ -128,10 +130,10 @@
   story: [],
 };
 
-function handWrittenJournal(): ScenarioJournal {
+function createHandwrittenJournal(): ScenarioJournal {
   const timer = new VirtualTimer();
   const journal = new ScenarioJournal(timer);
-  const dispatched = (request: string): void =>
+  const addDispatched = (request: string): void =>
     journal.add({
       kind: "dispatched",
       request,
@@ -139,20 +141,20 @@
       upstream: "drafter-01",
       host: "entry-1",
     });
-  const inForce = (version: number): void =>
+  const addInForce = (version: number): void =>
     journal.add({
       kind: "in-force",
       host: "entry-1",
       incarnation: "start-1",
       version,
     });
-  for (const request of Object.keys(HAND_WRITTEN.requests)) {
+  for (const request of Object.keys(HANDWRITTEN_SCENARIO.requests)) {
     journal.add({ kind: "sent", request, attempt: 1, host: "entry-1" });
   }
-  inForce(2);
-  inForce(1);
+  addInForce(2);
+  addInForce(1);
   timer.advance(20_000);
-  const end = (
+  const addEnded = (
     request: string,
     { ending, detail = "" }: {
       ending: "not-run" | "accepted" | "whole";
@@ -160,12 +162,12 @@
     },
   ): void =>
     journal.add({ kind: "ended", request, attempt: 1, ending, detail });
-  end("lost", { ending: "accepted" });
-  end("shed", { ending: "not-run", detail: "shed" });
-  end("false", { ending: "not-run", detail: "deadline-passed" });
+  addEnded("lost", { ending: "accepted" });
+  addEnded("shed", { ending: "not-run", detail: "shed" });
+  addEnded("false", { ending: "not-run", detail: "deadline-passed" });
   timer.advance(1);
-  dispatched("false");
-  dispatched("low");
-  end("low", { ending: "whole" });
+  addDispatched("false");
+  addDispatched("low");
+  addEnded("low", { ending: "whole" });
   return journal;
 }
--- a/packages/proof/tests/serviceUsage.test.ts
+++ b/packages/proof/tests/serviceUsage.test.ts
@@ -6,7 +6,7 @@
   readLoggedRequests,
 } from "@wasabivane/proof";
 
-function lineOf(
+function createLine(
   event: LogLine["event"],
   time: number,
   values: Record<string, unknown>,
@@ -24,7 +24,7 @@
   waited: 100,
 };
 
-test("requests are read with how they ended", (t) => {
+test("requests are reconstructed from logs with their outcomes", (t) => {
   const ended = {
     ending: "whole",
     first: 300,
@@ -32,15 +32,15 @@
     took: 800,
     parts: 11,
   };
-  const day = readLoggedRequests([
-    lineOf("request_sent", 1_000, { ...SENT, id: "a" }),
-    lineOf("request_sent", 1_000, { ...SENT, id: "b" }),
-    lineOf("request_sent", 1_000, { ...SENT, id: "c" }),
-    lineOf("request_ended", 1_700, { ...ended, id: "a" }),
-    lineOf("request_ended", 1_700, { ...ended, id: "b", pause: 300 }),
-    lineOf("request_ended", 1_700, { ...ended, id: "c", ending: "cut" }),
-    lineOf("request_refused", 2_000, { id: "d", reason: "no-route" }),
-    lineOf("request_refused", 2_000, {
+  const requestsByService = readLoggedRequests([
+    createLine("request_sent", 1_000, { ...SENT, id: "a" }),
+    createLine("request_sent", 1_000, { ...SENT, id: "b" }),
+    createLine("request_sent", 1_000, { ...SENT, id: "c" }),
+    createLine("request_ended", 1_700, { ...ended, id: "a" }),
+    createLine("request_ended", 1_700, { ...ended, id: "b", pause: 300 }),
+    createLine("request_ended", 1_700, { ...ended, id: "c", ending: "cut" }),
+    createLine("request_refused", 2_000, { id: "d", reason: "no-route" }),
+    createLine("request_refused", 2_000, {
       id: "e",
       service: "plans",
       tier: 2,
@@ -49,8 +49,8 @@
       held: 400,
     }),
   ]);
-  const requests = day.get("plans")!;
-  t.deepEqual(requests.map(({ outcome: ending }) => ending), [
+  const requests = requestsByService.get("plans")!;
+  t.deepEqual(requests.map(({ outcome }) => outcome), [
     "on time",
     "late by a pause",
     "broken off",
@@ -74,10 +74,9 @@
   };
 }
 
-test("what could be on time is bounded by the time in places, higher tiers first", (t) => {
-  // One place is up for four seconds. Four requests of a second each come at once,
-  // and are on time only within the first two seconds: two of the first tier fit,
-  // and nothing is left for the second.
+test("the on-time bound is limited by slot time, with higher tiers first", (t) => {
+  // One slot has time for two of the three one-second requests at the start: both
+  // of tier 1 fit, the one of tier 2 does not.
   const requests = [
     request({}),
     request({}),
@@ -92,7 +91,7 @@
   ]);
 });
 
-test("time at a slow upstream counts for less", (t) => {
+test("slot time at a slow upstream is scaled down", (t) => {
   const { capacity, used } = analyzeServiceUsage([
     request({}),
     request({ upstream: "u1", held: 4_000, pace: 40 }),
--- a/packages/proof/tests/slopes.test.ts
+++ b/packages/proof/tests/slopes.test.ts
@@ -10,7 +10,7 @@
   isExact: true,
 };
 
-test("a line through exact points has no residual and reaches the target", (t) => {
+test("a fit of collinear points has no residual and is extrapolated to the target", (t) => {
   const slope = fitSlope({ ...DEFINITION, budget: 210 }, [[1, 12], [2, 14], [
     4,
     18,
@@ -23,7 +23,7 @@
   t.true(slope.holds);
 });
 
-test("points of another regime are shown but not fitted", (t) => {
+test("points below the fitted range are kept but not fitted", (t) => {
   const slope = fitSlope(
     { ...DEFINITION, fromX: 32, budget: 7 },
     [[2, 1], [16, 15], [32, 8], [64, 8]],
@@ -33,14 +33,14 @@
   t.false(slope.holds);
 });
 
-test("a measurement at the target itself counts more than the line", (t) => {
+test("a measurement at the target takes precedence over the fit", (t) => {
   const slope = fitSlope(DEFINITION, [[50, 1], [75, 2], [100, 9]]);
   t.is(slope.atTarget, 9);
   t.is(slope.holds, null);
   t.true(slope.r2 < 1);
 });
 
-test("every slope has a name of its own and a target", (t) => {
+test("every slope has a unique name and a target", (t) => {
   const names = SLOPES.map(({ name }) => name);
   t.is(new Set(names).size, names.length);
   t.true(SLOPES.every(({ targetX }) => targetX > 0));
