--- a/apps/bundle/src/initCommand.ts
+++ b/apps/bundle/src/initCommand.ts
@@ -5,7 +5,7 @@
 } from "@wasabivane/bundle";
 import { type CommandReport, EXIT_OK, UsageError } from "@wasabivane/common";
 import { createBundleTemplate } from "./createBundleTemplate.ts";
-import { writeErrorReport, writeNewFile } from "./writeNewFile.ts";
+import { fileWriteErrorReport, writeNewFile } from "./writeNewFile.ts";
 
 /** Options of {@link initCommand}. */
 export interface InitOptions {
@@ -27,7 +27,7 @@
   }
   return writeNewFile(out, { text }).match(
     () => ({ exitCode: EXIT_OK, data: { file: out }, lines: [`Wrote ${out}`] }),
-    writeErrorReport,
+    fileWriteErrorReport,
   );
 }
 
--- a/apps/bundle/src/keygenCommand.ts
+++ b/apps/bundle/src/keygenCommand.ts
@@ -2,8 +2,8 @@
 import { generateSigningKey, trustedKeyOf } from "@wasabivane/bundle";
 import { type CommandReport, EXIT_OK } from "@wasabivane/common";
 import {
+  fileWriteErrorReport,
   PRIVATE_FILE_MODE,
-  writeErrorReport,
   writeNewFile,
 } from "./writeNewFile.ts";
 
@@ -34,7 +34,7 @@
         JSON.stringify(pinnedKey),
       ],
     }),
-    writeErrorReport,
+    fileWriteErrorReport,
   );
 }
 
--- a/apps/bundle/src/signCommand.ts
+++ b/apps/bundle/src/signCommand.ts
@@ -9,7 +9,7 @@
 import { type CommandReport, EXIT_FINDINGS, EXIT_OK } from "@wasabivane/common";
 import { documentErrorsReport } from "./documentErrorsReport.ts";
 import { keyFileErrorReport, readPrivateKey } from "./readPrivateKey.ts";
-import { writeErrorReport, writeNewFile } from "./writeNewFile.ts";
+import { fileWriteErrorReport, writeNewFile } from "./writeNewFile.ts";
 
 /** Options of {@link signCommand}. */
 export interface SignOptions {
@@ -74,6 +74,6 @@
         data: { file: out, deployment, version, root },
         lines: [`Wrote version ${version} of ${deployment} to ${out}`, root],
       }),
-      writeErrorReport,
+      fileWriteErrorReport,
     );
 }
--- a/apps/bundle/src/writeNewFile.ts
+++ b/apps/bundle/src/writeNewFile.ts
@@ -6,7 +6,7 @@
 export const PRIVATE_FILE_MODE = 0o600;
 const PUBLIC_FILE_MODE = 0o644;
 
-/** Error of a file that could not be written. */
+/** Error for a file that could not be written. */
 export interface FileWriteError {
   readonly kind: "not-written";
   readonly file: string;
@@ -33,8 +33,8 @@
   }
 }
 
-/** Creates the report of a file that could not be written. */
-export function writeErrorReport(error: FileWriteError): CommandReport {
+/** Creates the command report for a file that could not be written. */
+export function fileWriteErrorReport(error: FileWriteError): CommandReport {
   return {
     exitCode: EXIT_FINDINGS,
     data: { errors: [error] },
--- a/apps/entry/src/acceptRequest.ts
+++ b/apps/entry/src/acceptRequest.ts
@@ -119,7 +119,7 @@
   const isIdempotent = service.kind === "model" ||
     service.idempotentMethods.some((method) => method === incoming.method);
   return ok({
-    request: incoming.request,
+    requestId: incoming.request,
     bundle,
     account,
     service,
--- a/apps/entry/src/acceptedRequest.ts
+++ b/apps/entry/src/acceptedRequest.ts
@@ -9,11 +9,11 @@
 } from "@wasabivane/common";
 
 /**
- * A validated request with the values that scheduling and dispatch need. It
- * keeps the bundle under which it was accepted.
+ * A validated request with the values that scheduling and dispatch need,
+ * including the bundle under which it was accepted.
  */
 export interface AcceptedRequest {
-  readonly request: RequestId;
+  readonly requestId: RequestId;
   readonly bundle: Bundle;
   readonly account: ClientAccount;
   readonly service: Service;
@@ -21,7 +21,7 @@
   readonly idempotencyKey: IdempotencyKey | undefined;
   readonly isIdempotent: boolean;
   readonly acceptedAt: Milliseconds;
-  /** The earliest time at which its first byte can have arrived. */
+  /** The earliest time at which the request's first byte can have arrived. */
   readonly arrivedAt: Milliseconds;
   /** On the timer's monotonic clock. */
   readonly deadline: Milliseconds;
--- a/apps/entry/src/exchange.ts
+++ b/apps/entry/src/exchange.ts
@@ -81,6 +81,10 @@
   readonly onEnd?: (end: ResponseEnd) => void;
 }
 
+/**
+ * `waiting` means that no dispatch is in progress, such as before placement or
+ * before a reconnect.
+ */
 type Phase = "waiting" | "dispatched" | "ended";
 
 /**
@@ -142,7 +146,7 @@
   }
 
   /** Resumes a request that another process dispatched to an upstream. */
-  resumeAt(target: DispatchTarget): Promise<void> {
+  resumeDispatch(target: DispatchTarget): Promise<void> {
     this.#startDeadlineTimer();
     this.#target = target;
     this.#phase = "dispatched";
@@ -157,7 +161,7 @@
     if (this.#phase === "waiting") {
       this.#services.pools.withdraw(
         this.request.service.service,
-        this.request.request,
+        this.request.requestId,
       );
       this.end({ kind: "failed", problem });
       return;
@@ -273,12 +277,15 @@
         isPastDeadline: this.#isPastDeadline,
       }),
     });
-    if (result.error.kind === "refused") this.#onRefusedConnection(target);
+    if (result.error.kind === "refused") this.#onConnectionRefused(target);
     else this.end({ kind: "failed", problem: problemOfError(result.error) });
   }
 
-  /** No byte was sent, so another upstream can be tried safely. */
-  #onRefusedConnection(target: DispatchTarget): void {
+  /**
+   * Requests placement again, or reconnects if the upstream is pinned. This is
+   * safe since no byte was sent.
+   */
+  #onConnectionRefused(target: DispatchTarget): void {
     this.#services.metrics.count("safeguard.connection_refused");
     this.#hooks.onConnectionRefused?.();
     this.#refusedConnections++;
@@ -300,7 +307,8 @@
   }
 
   /**
-   * Retries the same upstream; no byte was sent, so this is no second dispatch.
+   * Retries the same upstream after a delay; no byte was sent, so the request
+   * is not dispatched twice.
    */
   #scheduleReconnect(target: DispatchTarget): void {
     if (this.#refusedConnections >= MAX_RECONNECTS) {
@@ -334,7 +342,7 @@
     },
   ): void {
     this.#services.pools.finish(this.request.service.service, {
-      request: this.request.request,
+      request: this.request.requestId,
       upstream,
       outcome,
       outputTokens,
@@ -358,7 +366,7 @@
         this.#metrics.recordFirstToken();
         pools.recordFirstToken(
           this.request.service.service,
-          this.request.request,
+          this.request.requestId,
         );
       },
       onToken: () => this.#metrics.recordToken(),
--- a/apps/entry/src/jobApi.ts
+++ b/apps/entry/src/jobApi.ts
@@ -85,7 +85,7 @@
     const outcome = await keyService.claim({
       account: request.account.account,
       key,
-      request: request.request,
+      request: request.requestId,
       bodyDigest: request.fingerprint,
       isIdempotent: false,
       ageMs: this.#options.timer.now() - request.arrivedAt,
--- a/apps/entry/src/jobRequest.ts
+++ b/apps/entry/src/jobRequest.ts
@@ -56,7 +56,7 @@
   );
   if (account === undefined || service === undefined) return undefined;
   return {
-    request,
+    requestId: request,
     bundle,
     account,
     service,
--- a/apps/entry/src/jobRunner.ts
+++ b/apps/entry/src/jobRunner.ts
@@ -59,12 +59,12 @@
 
 /**
  * Runs the jobs that this host holds, through the same scheduler as other
- * requests. Records each dispatch at the job's copies before the first byte is
- * sent, so that no other host repeats it.
+ * requests. Records each dispatch on the job's replicas before the first byte
+ * is sent, so that no other host repeats it.
  */
 export class JobRunner extends Controller {
   readonly #options: JobRunnerOptions;
-  readonly #running = new Map<JobId, Exchange>();
+  readonly #exchanges = new Map<JobId, Exchange>();
   readonly #retryNotBefore = new Map<JobId, Milliseconds>();
   #pollTimer: TimerSubscription | undefined;
   #unsubscribeTakeovers: (() => void) | undefined;
@@ -89,19 +89,19 @@
 
   /** Number of jobs that wait at the scheduler or run at an upstream. */
   get activeCount(): number {
-    return this.#running.size;
+    return this.#exchanges.size;
   }
 
   /** Number of jobs that run at an upstream. */
   get dispatchedCount(): number {
-    return [...this.#running.values()]
+    return [...this.#exchanges.values()]
       .filter(({ phase }) => phase === "dispatched").length;
   }
 
   /** Withdraws the placement requests of all waiting jobs before a handover. */
   withdrawWaiting(): void {
     this.#pollTimer?.cancel();
-    for (const exchange of this.#running.values()) {
+    for (const exchange of this.#exchanges.values()) {
       if (exchange.phase === "waiting") exchange.cancel(problemOf("stopping"));
     }
   }
@@ -110,25 +110,27 @@
     const now = this.#options.timer.now();
     for (const ready of this.#options.jobs.readyJobs()) {
       const { id } = ready.job;
-      if (this.#running.has(id) || (this.#retryNotBefore.get(id) ?? 0) > now) {
+      if (
+        this.#exchanges.has(id) || (this.#retryNotBefore.get(id) ?? 0) > now
+      ) {
         continue;
       }
       this.#run(ready);
     }
   }
 
-  #run({ job, pinned }: ReadyJob): void {
+  #run({ job, recordedDispatch }: ReadyJob): void {
     const request = this.#requestOf(job);
     if (request === undefined) {
       this.#postpone(job.id, MIN_RETRY_DELAY_MS);
       return;
     }
     const exchange = this.#createExchange(job, request);
-    if (pinned === undefined) {
+    if (recordedDispatch === undefined) {
       exchange.start();
       return;
     }
-    const target = targetOf(request, pinned);
+    const target = targetOf(request, recordedDispatch);
     if (target !== undefined) exchange.dispatchTo(target);
     else {this.#finish(job.id, {
         kind: "failed",
@@ -137,11 +139,11 @@
   }
 
   /** Resumes a job that its former holder has dispatched. */
-  #takeOver({ job, resumeAt }: JobTakeover): void {
-    if (resumeAt === undefined || this.#running.has(job.id)) return;
+  #takeOver({ job, dispatchToResume }: JobTakeover): void {
+    if (dispatchToResume === undefined || this.#exchanges.has(job.id)) return;
     const context = this.#createContext(job);
     const request = context && resumedRequestOfJob(job, context);
-    const target = request && targetOf(request, resumeAt);
+    const target = request && targetOf(request, dispatchToResume);
     if (request === undefined || target === undefined) {
       this.#finish(job.id, {
         kind: "failed",
@@ -150,7 +152,7 @@
       return;
     }
     this.#options.metrics.count("jobs_resumed");
-    void this.#createExchange(job, request).resumeAt(target);
+    void this.#createExchange(job, request).resumeDispatch(target);
   }
 
   #createExchange(job: Job, request: AcceptedRequest): Exchange {
@@ -169,7 +171,7 @@
         isUpstreamPinned: true,
       },
     });
-    this.#running.set(job.id, exchange);
+    this.#exchanges.set(job.id, exchange);
     void this.#awaitResponse(job.id, exchange);
     return exchange;
   }
@@ -178,7 +180,7 @@
     const { head, parts, end } = await collectResponse(
       exchange.response.openReader()!,
     );
-    this.#running.delete(id);
+    this.#exchanges.delete(id);
     if (end.kind === "whole") {
       this.#finish(id, end, { head, body: Buffer.concat(parts) });
     } else if (end.problem.ending === "unknown") {
@@ -196,8 +198,9 @@
     },
   ): Promise<void> {
     const { timer, jobs } = this.#options;
-    // No byte was sent, so a dispatch recorded at the copies is void.
+    // No byte was sent, so a dispatch recorded on the replicas is void.
     await jobs.recordUnsent(id);
+    // A quarantined poison request is not retried.
     const isFinal = timer.now() >= request.deadline ||
       end.problem.name === "convicted";
     if (!isFinal) {
--- a/apps/entry/src/keyedRequestService.ts
+++ b/apps/entry/src/keyedRequestService.ts
@@ -98,7 +98,7 @@
     const {
       account,
       idempotencyKey,
-      request,
+      requestId: request,
       fingerprint,
       isIdempotent,
       arrivedAt,
@@ -149,16 +149,16 @@
               isAllowed ? undefined : problemOf("key-expired"),
             );
           },
-          onConnectionRefused: () => keyService.markRefused(owned),
+          onConnectionRefused: () => keyService.markConnectionRefused(owned),
           confirmNotRun: () => keyService.release(owned),
         },
         onEnd: (end) => {
           this.#reportFinished(owned, { end, target: exchange.target });
-          retainedResponses.recordEnd(this.#request.request);
+          retainedResponses.recordEnd(this.#request.requestId);
           resolve();
         },
       });
-      retainedResponses.add(this.#request.request, this.response);
+      retainedResponses.add(this.#request.requestId, this.response);
       this.#onDisconnect = () => this.#cancelAfterGrace(exchange);
       exchange.start();
       if (this.#isDisconnected) this.#cancelAfterGrace(exchange);
@@ -257,11 +257,11 @@
     const exchange = new Exchange(this.#request, {
       services,
       response: this.response,
-      onEnd: () => retainedResponses.recordEnd(this.#request.request),
+      onEnd: () => retainedResponses.recordEnd(this.#request.requestId),
     });
-    retainedResponses.add(this.#request.request, this.response);
+    retainedResponses.add(this.#request.requestId, this.response);
     this.#onDisconnect = () => this.#cancelAfterGrace(exchange);
-    return exchange.resumeAt(target);
+    return exchange.resumeDispatch(target);
   }
 
   #targetOf(
--- a/apps/entry/src/placementRequest.ts
+++ b/apps/entry/src/placementRequest.ts
@@ -8,7 +8,7 @@
   { host, failureDomain }: { host: HostId; failureDomain: FailureDomain },
 ): PlacementRequest {
   return {
-    request: request.request,
+    request: request.requestId,
     origin: host,
     originDomain: failureDomain,
     account: request.account.account,
--- a/apps/entry/tests/retainedResponses.test.ts
+++ b/apps/entry/tests/retainedResponses.test.ts
@@ -9,15 +9,15 @@
   return response;
 }
 
-test("ended responses are evicted oldest first and running ones stay", (t) => {
+test("ended responses above the memory limit are evicted oldest first; running ones do not count", (t) => {
   const retained = new RetainedResponses(20_000);
-  const names = ["r1", "r2", "r3"].map((name) => asId<RequestId>(name));
-  for (const name of names) retained.add(name, createResponse(7_000));
-  retained.recordEnd(names[0]!);
-  retained.recordEnd(names[1]!);
-  t.truthy(retained.find(names[0]!));
-  retained.recordEnd(names[2]!);
-  t.deepEqual(names.map((name) => retained.find(name) !== undefined), [
+  const requestIds = ["r1", "r2", "r3"].map((id) => asId<RequestId>(id));
+  for (const id of requestIds) retained.add(id, createResponse(7_000));
+  retained.recordEnd(requestIds[0]!);
+  retained.recordEnd(requestIds[1]!);
+  t.truthy(retained.find(requestIds[0]!));
+  retained.recordEnd(requestIds[2]!);
+  t.deepEqual(requestIds.map((id) => retained.find(id) !== undefined), [
     false,
     true,
     true,
--- a/apps/load/src/planCalls.ts
+++ b/apps/load/src/planCalls.ts
@@ -11,7 +11,7 @@
   type TrafficShape,
 } from "./pattern.ts";
 
-/** A client account in whose name calls are sent. */
+/** Client account that sends calls. */
 export interface Caller {
   readonly account: string;
   readonly apiKey: string;
@@ -40,6 +40,7 @@
   readonly durationMs: Milliseconds;
   /** Base rate, scaled by the pattern. */
   readonly requestsPerSecond: number;
+  /** The first one is the hot account of patterns that have one. */
   readonly callers: readonly Caller[];
   /** Share of calls to plain services. */
   readonly plainShare: number;
@@ -47,9 +48,9 @@
   readonly wholeShare: number;
 }
 
-/** Log-normal length distribution. */
+/** Log-normal distribution of the prompt length, cut off at the maximum. */
 const PROMPT_TOKENS = { median: 120, sigma: 1.1, maximum: 16_000 };
-/** Log-normal length distribution. */
+/** Log-normal distribution of the output length, cut off at the maximum. */
 const OUTPUT_TOKENS = { median: 60, sigma: 0.8, maximum: 2_000 };
 const LONG_PROMPT_FACTOR = 20;
 const LONG_OUTPUT_FACTOR = 4;
@@ -67,7 +68,7 @@
   let arrivalOffset = random.exponential(MILLISECONDS_PER_SECOND / maximumRate);
   while (arrivalOffset < options.durationMs) {
     const shape = pattern(arrivalOffset / options.durationMs);
-    // Thinning of a Poisson process at the maximum rate.
+    // Thins a Poisson process at the maximum rate to the rate of the pattern.
     const isKept = random.float() < shape.rateFactor / MAXIMUM_RATE_FACTOR;
     if (isKept) {
       calls.push({
--- a/packages/coordination/src/job.ts
+++ b/packages/coordination/src/job.ts
@@ -70,7 +70,7 @@
   | { readonly kind: "busy" }
   /**
    * Too few replicas replied in time. Once the outcome is clear, the job is
-   * returned by `readyJobs` again, possibly with `pinned` set.
+   * returned by `readyJobs` again, possibly with `recordedDispatch` set.
    */
   | { readonly kind: "unconfirmed" };
 
@@ -94,7 +94,7 @@
    * Recorded dispatch that was not made; only this upstream and nonce may be
    * used.
    */
-  readonly pinned?: JobDispatch;
+  readonly recordedDispatch?: JobDispatch;
 }
 
 /** A job taken over from another host. */
@@ -104,7 +104,7 @@
    * Dispatch to resume instead of dispatching again; absent if the job has not
    * been dispatched.
    */
-  readonly resumeAt?: JobDispatch;
+  readonly dispatchToResume?: JobDispatch;
 }
 
 /** Accepts jobs and keeps them available when their host fails. */
--- a/packages/coordination/src/jobController.ts
+++ b/packages/coordination/src/jobController.ts
@@ -240,7 +240,7 @@
     const dispatch = knownDispatchOf(record);
     if (dispatch?.by !== this.#self || record.isDispatchGranted) return [];
     const { upstream, nonce } = dispatch;
-    return [{ job, pinned: { upstream, nonce } }];
+    return [{ job, recordedDispatch: { upstream, nonce } }];
   }
 
   /** Proposes a value; resolves with `undefined` if it was chosen. */
--- a/packages/coordination/src/jobLifecycle.ts
+++ b/packages/coordination/src/jobLifecycle.ts
@@ -158,7 +158,7 @@
     const { upstream, nonce } = dispatch;
     this.#notifyTakeover({
       job: record.job,
-      resumeAt: { upstream, nonce },
+      dispatchToResume: { upstream, nonce },
     });
   }
 
--- a/packages/coordination/src/keyHomeController.ts
+++ b/packages/coordination/src/keyHomeController.ts
@@ -119,7 +119,7 @@
     if (state === "released") {
       this.#table.release(update, this.#options.timer.wallNow());
     }
-    if (state === "refused") this.#table.markRefused(update);
+    if (state === "refused") this.#table.markConnectionRefused(update);
     if (dispatch === undefined) return;
     if (state === "dispatched") this.#table.markDispatched(update, dispatch);
     if (state === "finished") this.#table.markFinished(update, dispatch);
--- a/packages/coordination/src/keyService.ts
+++ b/packages/coordination/src/keyService.ts
@@ -198,7 +198,7 @@
   }
 
   /** Restores the grant after the upstream refused the connection. */
-  markRefused(owned: OwnedKey): void {
+  markConnectionRefused(owned: OwnedKey): void {
     if (!this.#claimTable.restoreGrant(owned.claimId)) return;
     void this.#update(owned, { state: "refused" });
   }
--- a/packages/coordination/src/keyTable.ts
+++ b/packages/coordination/src/keyTable.ts
@@ -13,19 +13,23 @@
 } from "./idempotencyKeys.ts";
 import type { Claim, Claimant, ClaimReply, Dispatch } from "./keyClaims.ts";
 
-/** Maximum number of keys that a home holds; further ones are refused. */
+/**
+ * Maximum number of keys that a home, the host that decides about them, holds;
+ * further ones are refused.
+ */
 export const MAX_HELD_KEYS = 200_000;
 /**
- * Minimum time between the start of a tenure and a key's creation; covers clock
- * skew, so that no former home can have granted the key.
+ * Minimum time from the start of a tenure, the period for which a host is the
+ * home of a key, to the creation of the key; covers clock skew, so that no
+ * former home can have granted the key.
  */
 export const TENURE_MARGIN_MS = MAX_CALLER_CLOCK_SKEW_MS +
   2 * MAX_HOST_CLOCK_SKEW_MS;
 
 /**
  * How long a released key is not granted again. It exceeds the time in which
- * claims sent before the release time out, so that the caller's "not run" stays
- * true.
+ * claims sent before the release time out, so that a "not run" reported to the
+ * caller stays true.
  */
 export const RELEASE_GRACE_MS: Milliseconds = 4_000;
 
@@ -38,7 +42,7 @@
   attempt: number;
   state: "waiting" | "dispatched" | "finished" | "released" | "unknown";
   dispatch: Dispatch | undefined;
-  /** Sequence of the owner's newest update. */
+  /** Sequence number of the owner's latest update. */
   lastSequence: number;
   /** When the last owner released the key. */
   releasedAt: EpochMilliseconds;
@@ -52,7 +56,7 @@
   readonly isTerminated: (host: HostId, incarnation: Incarnation) => boolean;
 }
 
-/** Identifies a claim and the sequence of an update about it. */
+/** Fields of a key update that identify its claim and order the updates. */
 export interface ClaimReference {
   readonly account: ClientAccountId;
   readonly key: IdempotencyKey;
@@ -62,7 +66,8 @@
 
 /** Limits and initial records of a {@link KeyTable}. */
 export interface KeyTableOptions {
-  readonly maximum?: number;
+  /** Maximum number of keys held. */
+  readonly maxKeys?: number;
   /**
    * Minimum time that a key is held, and maximum age of a key that is new to
    * the table.
@@ -79,21 +84,21 @@
  */
 export class KeyTable {
   readonly records: Map<string, KeyRecord>;
-  readonly #maximum: number;
+  readonly #maxKeys: number;
   readonly #lifetimeMs: Milliseconds;
   readonly #tenureMarginMs: Milliseconds;
   readonly #releaseGraceMs: Milliseconds;
 
   constructor(
     {
-      maximum = MAX_HELD_KEYS,
+      maxKeys = MAX_HELD_KEYS,
       lifetimeMs = KEY_LIFETIME_MS,
       tenureMarginMs = TENURE_MARGIN_MS,
       releaseGraceMs = RELEASE_GRACE_MS,
       records = new Map(),
     }: KeyTableOptions = {},
   ) {
-    this.#maximum = maximum;
+    this.#maxKeys = maxKeys;
     this.#lifetimeMs = lifetimeMs;
     this.#tenureMarginMs = tenureMarginMs;
     this.#releaseGraceMs = releaseGraceMs;
@@ -122,7 +127,7 @@
    * Records that the upstream refused the connection, so the owner may try
    * another one.
    */
-  markRefused(update: ClaimReference): void {
+  markConnectionRefused(update: ClaimReference): void {
     const record = this.#find(update);
     if (record?.state !== "dispatched") return;
     record.state = "waiting";
@@ -154,6 +159,7 @@
     if (record?.state !== "waiting") return;
     record.state = "released";
     record.owner = undefined;
+    // The released grant does not count as an attempt.
     record.attempt--;
     record.releasedAt = wallNow;
   }
@@ -201,7 +207,7 @@
       return { kind: "unknown", reason: "expired" };
     }
     const isOlder = this.isOlderThanTenure(claim, context);
-    if (this.records.size >= this.#maximum) {
+    if (this.records.size >= this.#maxKeys) {
       return isOlder
         ? { kind: "unknown", reason: "older-than-tenure" }
         : { kind: "not-run", reason: "full" };
@@ -224,36 +230,37 @@
       return this.#claimReleasedKey(claim, { record, context });
     }
     const { owner, dispatch } = record;
-    if (record.claimId === claim.claimId) return repeatReply(record);
+    if (record.claimId === claim.claimId) return replyToDuplicate(record);
     const hasOwnerTerminated = owner === undefined ||
       context.isTerminated(owner.host, owner.incarnation);
     if (!hasOwnerTerminated && record.state !== "unknown") {
       return { kind: "owned-by", owner, state: record.state, dispatch };
     }
     if (dispatch !== undefined) return { kind: "resume-at", dispatch };
-    return this.#claimLostKey(claim, record);
+    return this.#claimOrphanedKey(claim, record);
   }
 
   #claimReleasedKey(
     claim: Claim,
     { record, context }: { record: KeyRecord; context: ClaimContext },
   ): ClaimReply {
-    const isRepeat = record.claimId === claim.claimId;
+    const isDuplicate = record.claimId === claim.claimId;
     // A claim sent before the end of the grace period is refused, however late
     // it arrives.
     const sentAt = context.wallNow - (claim.ageMs ?? 0);
     const isPastGrace = sentAt >= record.releasedAt + this.#releaseGraceMs;
-    if (isPastGrace && !isRepeat) return grant(record, claim);
+    if (isPastGrace && !isDuplicate) return grant(record, claim);
     return record.attempt > 0
       ? { kind: "unknown", reason: "owner-lost" }
       : { kind: "not-run", reason: "released" };
   }
 
   /**
-   * It is unknown whether the lost owner dispatched; only an idempotent request
-   * may run again.
+   * Decides a claim of a key whose owner is gone and may have dispatched the
+   * request. Only an idempotent request may run again, and only after an
+   * earlier claim was answered "unknown".
    */
-  #claimLostKey(claim: Claim, record: KeyRecord): ClaimReply {
+  #claimOrphanedKey(claim: Claim, record: KeyRecord): ClaimReply {
     const reason = record.owner === undefined
       ? "older-than-tenure"
       : "owner-lost";
@@ -275,7 +282,7 @@
 }
 
 /** Returns the reply to a duplicate of the current claim. */
-function repeatReply({ owner, attempt }: KeyRecord): ClaimReply {
+function replyToDuplicate({ owner, attempt }: KeyRecord): ClaimReply {
   return owner === undefined
     ? { kind: "unknown", reason: "older-than-tenure" }
     : { kind: "granted", attempt };
--- a/packages/coordination/tests/helpers/jobFleet.ts
+++ b/packages/coordination/tests/helpers/jobFleet.ts
@@ -122,8 +122,10 @@
       isLeaving: false,
     };
     this.hosts.set(host, started);
-    controller.onTakeover(({ job, resumeAt }) => {
-      if (resumeAt) this.#resume(started, { job, dispatch: resumeAt });
+    controller.onTakeover(({ job, dispatchToResume }) => {
+      if (dispatchToResume) {
+        this.#resume(started, { job, dispatch: dispatchToResume });
+      }
     });
     controller.start();
     return started;
@@ -280,8 +282,8 @@
     if (!this.isDispatching) return;
     for (const { host, controller, isPaused } of this.hosts.values()) {
       if (isPaused) continue;
-      for (const { job, pinned } of controller.readyJobs()) {
-        const dispatch = pinned ?? this.#dispatchFor(job);
+      for (const { job, recordedDispatch } of controller.readyJobs()) {
+        const dispatch = recordedDispatch ?? this.#dispatchFor(job);
         void this.dispatch(host, job, dispatch).then((outcome) => {
           if (outcome !== "dispatched") return;
           this.timer.after(200, () => {
--- a/packages/decisions/src/freeUpstreams.ts
+++ b/packages/decisions/src/freeUpstreams.ts
@@ -3,8 +3,8 @@
 
 /** Maximum size of a sample, unless there are more groups. */
 const MAXIMUM_SAMPLE = 9;
-/** Bits in the group mask; additional groups share bits. */
-const GROUP_BITS = 30;
+/** Number of bits in the group mask; additional groups share bits. */
+const GROUP_MASK_BITS = 30;
 
 /**
  * Holds the upstreams with a free slot, grouped by generation and pace tier. A
@@ -14,7 +14,7 @@
  */
 export class FreeUpstreams {
   readonly #groups = new Map<string, UpstreamState[]>();
-  readonly #bits = new Map<string, number>();
+  readonly #groupBits = new Map<string, number>();
   readonly #positions = new Map<
     UpstreamState,
     { group: string; index: number }
@@ -43,7 +43,7 @@
     this.#groups.set(group, states);
     this.#positions.set(state, { group, index: states.length });
     states.push(state);
-    this.#groupMask |= this.#bitOf(group);
+    this.#groupMask |= this.#groupBitOf(group);
   }
 
   remove(state: UpstreamState): void {
@@ -53,21 +53,24 @@
     const { group, index } = position;
     const states = this.#groups.get(group)!;
     const last = states.pop()!;
-    if (states.length === 0) this.#groupMask &= ~this.#bitOf(group);
+    if (states.length === 0) this.#groupMask &= ~this.#groupBitOf(group);
     if (last === state) return;
     states[index] = last;
     this.#positions.get(last)!.index = index;
   }
 
-  #bitOf(group: string): number {
-    const existing = this.#bits.get(group);
+  #groupBitOf(group: string): number {
+    const existing = this.#groupBits.get(group);
     if (existing !== undefined) return existing;
-    const bit = 1 << (this.#bits.size % GROUP_BITS);
-    this.#bits.set(group, bit);
+    const bit = 1 << (this.#groupBits.size % GROUP_MASK_BITS);
+    this.#groupBits.set(group, bit);
     return bit;
   }
 
-  /** Returns all free upstreams, or a sample with some of each group. */
+  /**
+   * Returns all free upstreams, or a random sample with some of each group; a
+   * sample may contain an upstream more than once.
+   */
   sample(random: Random): UpstreamState[] {
     if (this.size <= MAXIMUM_SAMPLE) return [...this.#positions.keys()];
     const groups = [...this.#groups.values()]
--- a/packages/engine-model/src/engineModel.ts
+++ b/packages/engine-model/src/engineModel.ts
@@ -279,7 +279,7 @@
     execution.isEnded = true;
     this.#waiting.delete(execution.request.id);
     if (!this.#running.delete(execution.request.id)) return;
-    this.#memory.release(execution.totalTokens);
+    this.#memory.release(execution.requiredKvTokens);
   }
 
   #admit(): void {
@@ -294,7 +294,7 @@
   #canAdmit(execution: RequestExecution): boolean {
     if (this.#running.size === 0) return true;
     return this.#running.size < this.#profile.maximumBatch &&
-      this.#memory.hasCapacity(execution.totalTokens);
+      this.#memory.hasCapacity(execution.requiredKvTokens);
   }
 
   #startExecution(execution: RequestExecution): void {
@@ -305,7 +305,7 @@
     execution.remainingPrefillTokens = request.promptTokens -
       execution.cachedTokens;
     this.#counters.cachedTokens += execution.cachedTokens;
-    this.#memory.reserve(execution.totalTokens);
+    this.#memory.reserve(execution.requiredKvTokens);
     this.#running.set(request.id, execution);
   }
 
--- a/packages/engine-model/src/requestExecution.ts
+++ b/packages/engine-model/src/requestExecution.ts
@@ -11,7 +11,10 @@
   /** Prompt tokens to compute in each scheduled step. */
   prefillChunkTokens = 0;
   generatedTokens = 0;
-  /** Whether it has finished, or was cancelled or lost; no events follow. */
+  /**
+   * Whether the request has finished, was cancelled, or was lost in a crash of
+   * the engine; no events follow.
+   */
   isEnded = false;
 
   constructor(request: EngineRequest, listener: EngineListener) {
@@ -19,11 +22,12 @@
     this.listener = listener;
   }
 
-  /** KV memory in tokens that prompt and output need. */
-  get totalTokens(): number {
+  /** KV cache capacity that prompt and output need, in tokens. */
+  get requiredKvTokens(): number {
     return this.request.promptTokens + this.request.outputTokens;
   }
 
+  /** Whether all output tokens have been generated. */
   get isComplete(): boolean {
     return this.generatedTokens >= this.request.outputTokens;
   }
@@ -37,6 +41,7 @@
     this.remainingPrefillTokens -= this.prefillChunkTokens * steps;
     this.prefilledTokens += this.prefillChunkTokens * steps;
     if (this.remainingPrefillTokens > 0) return undefined;
+    // The last prefill step also generates the first token.
     this.generatedTokens = 1;
     return { kind: "firstToken", cachedTokens: this.cachedTokens };
   }
--- a/packages/gateway/src/peerLog.ts
+++ b/packages/gateway/src/peerLog.ts
@@ -4,7 +4,7 @@
 
 /** Minimum interval between log lines. */
 const LOG_INTERVAL_MS: Milliseconds = 1_000;
-/** Limit on the peers named in a line. */
+/** Maximum number of found peers, and of lost ones, named in a line. */
 const MAXIMUM_NAMED_PEERS = 8;
 
 /**
@@ -13,32 +13,35 @@
  */
 export class PeerLog {
   readonly #context: Pick<GatewayContext, "log" | "timer">;
-  #changes: PeerChange[] = [];
+  #pendingChanges: PeerChange[] = [];
   #loggedAt: Milliseconds = -Infinity;
 
   constructor(context: Pick<GatewayContext, "log" | "timer">) {
     this.#context = context;
   }
 
-  /** Adds changes; `peers` is the current number of live peers. */
+  /**
+   * Adds changes, if any, and logs the pending ones once the interval has
+   * passed; `peers` is the current number of live peers.
+   */
   add(changes: readonly PeerChange[], peers: number): void {
     const { log, timer } = this.#context;
-    this.#changes.push(...changes);
-    if (this.#changes.length === 0) return;
+    this.#pendingChanges.push(...changes);
+    if (this.#pendingChanges.length === 0) return;
     const now = timer.now();
     if (now - this.#loggedAt < LOG_INTERVAL_MS) return;
     this.#loggedAt = now;
     log.write("peers_changed", {
-      changes: this.#changes.length,
+      changes: this.#pendingChanges.length,
       found: this.#namesOf("found"),
       lost: this.#namesOf("lost"),
       peers,
     });
-    this.#changes = [];
+    this.#pendingChanges = [];
   }
 
   #namesOf(kind: PeerChange["kind"]): string {
-    return this.#changes.filter((change) => change.kind === kind)
+    return this.#pendingChanges.filter((change) => change.kind === kind)
       .map(({ host }) => host)
       .slice(0, MAXIMUM_NAMED_PEERS)
       .join(",");
