--- a/packages/admission/tests/coldUpstreams.test.ts
+++ b/packages/admission/tests/upstreamWarmup.test.ts
@@ -15,7 +15,7 @@
  */
 const START_RATE_LIMIT = 30;
 const RETURNED_AT: Milliseconds = 1_000;
-const COLD_FOR: Milliseconds = 3_000;
+const WARMUP_MS: Milliseconds = 3_000;
 
 /**
  * A burst of short requests: an upstream with 8 slots could start 160 per
@@ -65,13 +65,13 @@
         for (const { stats, directory } of fleet.hosts) {
           for (const { upstream } of directory.all()) {
             const now = timer.now();
-            stats.warmup.update(upstream, { coldFor: COLD_FOR, now });
+            stats.warmup.update(upstream, { coldFor: WARMUP_MS, now });
           }
         }
       });
     },
     onSend: ({ upstream }, at) => {
-      const isWarmingUp = at >= RETURNED_AT && at < RETURNED_AT + COLD_FOR;
+      const isWarmingUp = at >= RETURNED_AT && at < RETURNED_AT + WARMUP_MS;
       if (!isWarmingUp) return;
       sends.set(upstream, [...sends.get(upstream) ?? [], at]);
     },
